--- a/crates/bench/src/reclaim/event.rs
+++ b/crates/bench/src/reclaim/event.rs
@@ -3,7 +3,7 @@
 use std::cmp::Ordering;
 use std::collections::BinaryHeap;
 
-use fulmarpath_policy::Carry;
+use fulmarpath_policy::Migration;
 
 /// Something that happens at a moment.
 #[derive(Debug, Clone, Copy, PartialEq)]
@@ -23,9 +23,9 @@
     /// The home looks for something to carry off an engine.
     Carry(usize),
     /// The long copy is at its destination.
-    Copied(Carry),
+    Copied(Migration),
     /// The short copy is there too, and the destination goes on.
-    GoesOn(Carry),
+    GoesOn(Migration),
     /// An engine is gone.
     Gone(usize),
     /// An engine crashes.
--- a/crates/bench/src/reclaim/transfer.rs
+++ b/crates/bench/src/reclaim/transfer.rs
@@ -1,6 +1,6 @@
 //! Generations on their way off leaving engines: links that carry one transfer after another.
 
-use fulmarpath_policy::{Carry, CarryEnd};
+use fulmarpath_policy::{Migration, MigrationOutcome};
 
 use super::engine::FIGURES;
 use super::event::Event;
@@ -31,23 +31,23 @@
             return;
         }
         let now_ms = self.now_ms();
-        match self.cell.next_carry(now_ms, key_of(engine)) {
+        match self.cell.next_migration(now_ms, key_of(engine)) {
             Some(carry) => self.begin(carry),
             None => self.after(LOOK_US, Event::Carry(engine)),
         }
     }
 
-    fn begin(&mut self, carry: Carry) {
+    fn begin(&mut self, carry: Migration) {
         let (from, to) = (engine_of(carry.from), engine_of(carry.to));
         let run = carry.run.0 as usize;
         let job = self.engines[from].find(run).copied();
         let begun = job.filter(|job| job.out_tokens > 0 && job.unread_tokens == 0);
         let Some(job) = begun else {
-            return self.end_carry(carry, CarryEnd::Stayed);
+            return self.end_carry(carry, MigrationOutcome::NotMoved);
         };
         let held = job.held_tokens();
         if self.engines[to].is_gone || !self.engines[to].has_room(held) {
-            return self.end_carry(carry, CarryEnd::Refused);
+            return self.end_carry(carry, MigrationOutcome::Refused);
         }
         let until_us = self.now_us + LEFT_BEHIND_US;
         self.engines[to].copy(run, held, until_us);
@@ -74,15 +74,15 @@
         over_us
     }
 
-    pub(super) fn copied(&mut self, carry: Carry) {
+    pub(super) fn copied(&mut self, carry: Migration) {
         let (from, to) = (engine_of(carry.from), engine_of(carry.to));
         let run = carry.run.0 as usize;
         if self.engines[from].is_gone {
-            return self.end_carry(carry, CarryEnd::LeftBehind);
+            return self.end_carry(carry, MigrationOutcome::Orphaned);
         }
         if self.tries[run].is_over || self.engines[from].find(run).is_none() {
             self.engines[to].drop_copy(run);
-            return self.end_carry(carry, CarryEnd::Over);
+            return self.end_carry(carry, MigrationOutcome::Ended);
         }
         let Some(job) = self.engines[from].take(run) else {
             return;
@@ -95,7 +95,7 @@
         self.agenda.add(over_us, Event::GoesOn(carry));
     }
 
-    pub(super) fn goes_on(&mut self, carry: Carry) {
+    pub(super) fn goes_on(&mut self, carry: Migration) {
         let (from, to) = (engine_of(carry.from), engine_of(carry.to));
         let run = carry.run.0 as usize;
         let Some(job) = self.tries[run].stopped.take() else {
@@ -107,7 +107,7 @@
             .find(|place| !self.engines[*place].is_gone);
         let Some(place) = place else {
             self.lose(run);
-            return self.end_carry(carry, CarryEnd::Over);
+            return self.end_carry(carry, MigrationOutcome::Ended);
         };
         if self.tries[run].backup == Some(place) {
             self.tries[run].backup = None;
@@ -117,16 +117,16 @@
         self.engines[place].resume(job);
         self.kick(place);
         let end = match place == to {
-            true => CarryEnd::Moved,
-            false => CarryEnd::Stayed,
+            true => MigrationOutcome::Moved,
+            false => MigrationOutcome::NotMoved,
         };
         self.tally.moves += u32::from(place == to);
         self.end_carry(carry, end);
     }
 
-    fn end_carry(&mut self, carry: Carry, end: CarryEnd) {
+    fn end_carry(&mut self, carry: Migration, end: MigrationOutcome) {
         let now_ms = self.now_ms();
-        self.cell.carried(now_ms, carry, end);
+        self.cell.finish_migration(now_ms, carry, end);
         self.after(1_000, Event::Carry(engine_of(carry.from)));
     }
 }
--- a/crates/gateway/src/cells.rs
+++ b/crates/gateway/src/cells.rs
@@ -3,8 +3,8 @@
 use std::collections::HashMap;
 
 use fulmarpath_policy::{
-    Carry, CarryEnd, Cell, CellEngine, Division, EngineFigures, HostKey, Millis, Placement,
-    PlacementRequest, RunEnd, RunKey, UpstreamKey, Verdict,
+    Cell, CellEngine, Division, EngineFigures, HostKey, Migration, MigrationOutcome, Millis,
+    Placement, PlacementRequest, RunEnd, RunKey, UpstreamKey, Verdict,
 };
 use fulmarpath_wire::{CellKey, Restatement};
 use parking_lot::Mutex;
@@ -220,14 +220,20 @@
         now_ms: Millis,
         cell: CellKey,
         from: UpstreamKey,
-    ) -> Option<Carry> {
+    ) -> Option<Migration> {
         let mut tables = self.tables.lock();
-        tables.get_mut(&cell)?.cell.next_carry(now_ms, from)
+        tables.get_mut(&cell)?.cell.next_migration(now_ms, from)
     }
 
-    pub(crate) fn carried(&self, now_ms: Millis, cell: CellKey, carry: Carry, end: CarryEnd) {
+    pub(crate) fn carried(
+        &self,
+        now_ms: Millis,
+        cell: CellKey,
+        carry: Migration,
+        end: MigrationOutcome,
+    ) {
         if let Some(table) = self.tables.lock().get_mut(&cell) {
-            table.cell.carried(now_ms, carry, end);
+            table.cell.finish_migration(now_ms, carry, end);
         }
     }
 }
--- a/crates/gateway/src/homes.rs
+++ b/crates/gateway/src/homes.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use fulmarpath_policy::{
-    Carry, CarryEnd, HostKey, Placement, PlacementRequest, RunEnd, RunKey, UpstreamKey,
+    HostKey, Migration, MigrationOutcome, Placement, PlacementRequest, RunEnd, RunKey, UpstreamKey,
 };
 use fulmarpath_wire::{CarryAnswer, CellKey, GatewayPeerClient, MemberNote, Restatement};
 use parking_lot::Mutex;
@@ -208,14 +208,14 @@
             );
             let labels = TransferLabels { end: name(end) };
             self.metrics.transfers.get_or_create(&labels).inc();
-            moved += u32::from(end == CarryEnd::Moved);
+            moved += u32::from(end == MigrationOutcome::Moved);
             self.cells.carried(self.clock.now_ms(), cell, carry, end);
         }
         info!("cells: {moved} generations carried off {:016x}", engine.0);
     }
 
-    async fn order(self: &Arc<Self>, carry: Carry) -> CarryEnd {
-        let Carry { run, to, host, .. } = carry;
+    async fn order(self: &Arc<Self>, carry: Migration) -> MigrationOutcome {
+        let Migration { run, to, host, .. } = carry;
         if host == self.host_key() {
             return end(self.carry_here(run, to).await);
         }
@@ -224,7 +224,7 @@
             members.find(host).map(|rumour| rumour.member.clone())
         };
         let Some(note) = note else {
-            return CarryEnd::Over;
+            return MigrationOutcome::Ended;
         };
         let call = |client: GatewayPeerClient, context| async move {
             client.carry(context, run, to).await
@@ -234,7 +234,7 @@
             Ok(answer) => end(answer),
             Err(error) => {
                 warn!("cells: a generation may not have moved: {error}");
-                CarryEnd::LeftBehind
+                MigrationOutcome::Orphaned
             }
         }
     }
@@ -249,22 +249,22 @@
 }
 
 /// Its name on metrics.
-fn name(end: CarryEnd) -> &'static str {
+fn name(end: MigrationOutcome) -> &'static str {
     match end {
-        CarryEnd::Moved => "moved",
-        CarryEnd::Stayed => "stayed",
-        CarryEnd::Refused => "refused",
-        CarryEnd::LeftBehind => "left_behind",
-        CarryEnd::Over => "over",
+        MigrationOutcome::Moved => "moved",
+        MigrationOutcome::NotMoved => "stayed",
+        MigrationOutcome::Refused => "refused",
+        MigrationOutcome::Orphaned => "left_behind",
+        MigrationOutcome::Ended => "over",
     }
 }
 
-fn end(answer: CarryAnswer) -> CarryEnd {
+fn end(answer: CarryAnswer) -> MigrationOutcome {
     match answer {
-        CarryAnswer::Moved => CarryEnd::Moved,
-        CarryAnswer::Stayed => CarryEnd::Stayed,
-        CarryAnswer::Refused => CarryEnd::Refused,
-        CarryAnswer::LeftBehind => CarryEnd::LeftBehind,
-        CarryAnswer::Over => CarryEnd::Over,
+        CarryAnswer::Moved => MigrationOutcome::Moved,
+        CarryAnswer::Stayed => MigrationOutcome::NotMoved,
+        CarryAnswer::Refused => MigrationOutcome::Refused,
+        CarryAnswer::LeftBehind => MigrationOutcome::Orphaned,
+        CarryAnswer::Over => MigrationOutcome::Ended,
     }
 }
--- a/crates/policy/src/cell/carry.rs
+++ b/crates/policy/src/cell/migration.rs
@@ -32,7 +32,7 @@
 
 /// One generation to carry off.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Carry {
+pub struct Migration {
     /// The generation.
     pub run: RunKey,
     /// The host that relays it.
@@ -45,18 +45,18 @@
 
 /// How a transfer ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum CarryEnd {
+pub enum MigrationOutcome {
     /// It goes on at the destination.
     Moved,
     /// It still runs where it was.
-    Stayed,
+    NotMoved,
     /// It still runs where it was; the destination had no room for it.
     Refused,
     /// It may still run where it was. A part of its memory stays at the destination for a while,
     /// and nobody knows its name.
-    LeftBehind,
+    Orphaned,
     /// It is over.
-    Over,
+    Ended,
 }
 
 impl Cell {
@@ -70,7 +70,7 @@
     }
 
     /// The next transfer off a leaving engine; counts it at the destination.
-    pub fn next_carry(&mut self, now_ms: Millis, from: UpstreamKey) -> Option<Carry> {
+    pub fn next_migration(&mut self, now_ms: Millis, from: UpstreamKey) -> Option<Migration> {
         let engine = self.engines.get(&from)?;
         let left_ms = engine.gone_at_ms()?.saturating_sub(now_ms) as f32;
         let by_loss = self.by_loss(now_ms, engine, left_ms);
@@ -88,7 +88,7 @@
         receiver.note_start(now_ms);
         let run = self.runs.get_mut(&key)?;
         run.move_to(to);
-        Some(Carry {
+        Some(Migration {
             run: key,
             host: run.host(),
             from,
@@ -97,24 +97,24 @@
     }
 
     /// A transfer is over.
-    pub fn carried(&mut self, now_ms: Millis, carry: Carry, end: CarryEnd) {
+    pub fn finish_migration(&mut self, now_ms: Millis, carry: Migration, end: MigrationOutcome) {
         let held = self.runs.get(&carry.run);
         let held_tokens = held.map_or(0.0, |run| run.held_tokens(now_ms));
         if let Some(to) = self.engines.get_mut(&carry.to) {
             to.received();
             match end {
-                CarryEnd::Refused => to.refuse(now_ms),
-                CarryEnd::LeftBehind => to.leave_behind(now_ms, held_tokens),
-                CarryEnd::Moved | CarryEnd::Stayed | CarryEnd::Over => {}
+                MigrationOutcome::Refused => to.refuse(now_ms),
+                MigrationOutcome::Orphaned => to.leave_behind(now_ms, held_tokens),
+                MigrationOutcome::Moved | MigrationOutcome::NotMoved | MigrationOutcome::Ended => {}
             }
         }
-        if end == CarryEnd::Over {
+        if end == MigrationOutcome::Ended {
             self.runs.remove(&carry.run);
             return;
         }
         if let Some(run) = self.runs.get_mut(&carry.run) {
-            run.moved(end == CarryEnd::Moved);
-            if matches!(end, CarryEnd::Stayed | CarryEnd::LeftBehind) {
+            run.moved(end == MigrationOutcome::Moved);
+            if matches!(end, MigrationOutcome::NotMoved | MigrationOutcome::Orphaned) {
                 run.rest_until_ms = now_ms + REST_MS;
             }
         }
--- a/crates/policy/src/cell/mod.rs
+++ b/crates/policy/src/cell/mod.rs
@@ -7,10 +7,10 @@
 //! and a host without a home places by itself.
 
 mod answers;
-mod carry;
 mod cost;
 mod engine;
 mod forecast;
+mod migration;
 mod placement;
 mod reading;
 mod run;
@@ -19,8 +19,8 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-pub use carry::{Carry, CarryEnd};
 pub use engine::{CellEngine, EngineFigures};
+pub use migration::{Migration, MigrationOutcome};
 pub use placement::{Placement, PlacementRequest, Seen};
 pub use run::{RunEnd, RunKey, RunStatement};
 
--- a/crates/policy/tests/cell/carrying.rs
+++ b/crates/policy/tests/cell/carrying.rs
@@ -1,24 +1,24 @@
 //! The way of generations off a leaving engine, and the copies beside them.
 
 use fulmarpath_policy::{
-    Carry, CarryEnd, Cell, CellEngine, Placement, PlacementRequest, RunEnd, RunKey, RunStatement,
-    UpstreamKey,
+    Cell, CellEngine, Migration, MigrationOutcome, Placement, PlacementRequest, RunEnd, RunKey,
+    RunStatement, UpstreamKey,
 };
 use rstest::rstest;
 
 use crate::fixtures::{FAR, ME, NEAR, cell, engine, engine_of, request, statement};
 
-fn carries(cell: &mut Cell, now_ms: u64, from: u64) -> Vec<Carry> {
-    let next = || cell.next_carry(now_ms, UpstreamKey(from));
+fn carries(cell: &mut Cell, now_ms: u64, from: u64) -> Vec<Migration> {
+    let next = || cell.next_migration(now_ms, UpstreamKey(from));
     std::iter::from_fn(next).collect()
 }
 
 /// Carries one generation after the other, each as soon as the one before has moved.
 fn carried_in_turn(cell: &mut Cell, now_ms: u64, from: u64) -> Vec<u64> {
     let mut runs = Vec::new();
-    while let Some(carry) = cell.next_carry(now_ms, UpstreamKey(from)) {
+    while let Some(carry) = cell.next_migration(now_ms, UpstreamKey(from)) {
         runs.push(carry.run.0);
-        cell.carried(now_ms, carry, CarryEnd::Moved);
+        cell.finish_migration(now_ms, carry, MigrationOutcome::Moved);
     }
     runs
 }
@@ -70,7 +70,9 @@
     let mut all = vec![statement(1, 1, 100, 900)];
     all.extend(held);
     cell.restate(0, ME, &all);
-    let to = cell.next_carry(5, UpstreamKey(1)).map(|carry| carry.to.0);
+    let to = cell
+        .next_migration(5, UpstreamKey(1))
+        .map(|carry| carry.to.0);
     assert_eq!(to, expected);
 }
 
@@ -99,10 +101,13 @@
 /// stopped generation waits behind another's long copy. The second begins when the first is over,
 /// or overdue because the host that carries it is frozen.
 #[rstest]
-#[case::over(Some(CarryEnd::Moved), 300)]
-#[case::refused(Some(CarryEnd::Refused), 600)]
+#[case::over(Some(MigrationOutcome::Moved), 300)]
+#[case::refused(Some(MigrationOutcome::Refused), 600)]
 #[case::overdue(None, 1_200)]
-fn a_destination_takes_one_transfer_at_a_time(#[case] end: Option<CarryEnd>, #[case] then_ms: u64) {
+fn a_destination_takes_one_transfer_at_a_time(
+    #[case] end: Option<MigrationOutcome>,
+    #[case] then_ms: u64,
+) {
     let mut cell = cell(&[
         engine(1, NEAR, true),
         engine(2, NEAR, true),
@@ -113,12 +118,14 @@
         ME,
         &[statement(1, 1, 100, 900), statement(2, 2, 100, 900)],
     );
-    let first = cell.next_carry(5, UpstreamKey(1)).expect("it is carried");
-    assert_eq!(cell.next_carry(10, UpstreamKey(2)), None);
+    let first = cell
+        .next_migration(5, UpstreamKey(1))
+        .expect("it is carried");
+    assert_eq!(cell.next_migration(10, UpstreamKey(2)), None);
     if let Some(end) = end {
-        cell.carried(250, first, end);
+        cell.finish_migration(250, first, end);
     }
-    let second = cell.next_carry(then_ms, UpstreamKey(2));
+    let second = cell.next_migration(then_ms, UpstreamKey(2));
     assert_eq!(second.map(|carry| carry.run.0), Some(2));
 }
 
@@ -144,7 +151,7 @@
     if let Some(stated_ms) = case.stated_ms {
         assert!(cell.see_leaving(600, UpstreamKey(1), stated_ms));
     }
-    let carry = cell.next_carry(case.at_ms, UpstreamKey(1));
+    let carry = cell.next_migration(case.at_ms, UpstreamKey(1));
     assert_eq!(carry.is_some(), case.begins);
 }
 
@@ -156,8 +163,10 @@
     let mut held = vec![statement(1, 1, 100, 900)];
     held.extend((50..56).map(|run| statement(run, 2, 400, 900)));
     cell.restate(0, ME, &held);
-    let carry = cell.next_carry(5, UpstreamKey(1)).expect("it is carried");
-    cell.carried(200, carry, CarryEnd::LeftBehind);
+    let carry = cell
+        .next_migration(5, UpstreamKey(1))
+        .expect("it is carried");
+    cell.finish_migration(200, carry, MigrationOutcome::Orphaned);
     let next = request(9, 4_000, 900, 800);
     assert!(matches!(cell.place(300, &next), Placement::Full { .. }));
     cell.restate(9_300, ME, &held);
@@ -165,7 +174,7 @@
 }
 
 struct End {
-    end: CarryEnd,
+    end: MigrationOutcome,
     /// Generations that are carried next, at once and a while later.
     at_once: usize,
     later: usize,
@@ -175,16 +184,18 @@
 /// A transfer ends: a moved generation is gone from there, one that stayed is tried again after a
 /// short rest in which others go, one that is over is forgotten.
 #[rstest]
-#[case::moved(End { end: CarryEnd::Moved, at_once: 0, later: 0, left: 1 })]
-#[case::stayed(End { end: CarryEnd::Stayed, at_once: 0, later: 1, left: 1 })]
-#[case::refused(End { end: CarryEnd::Refused, at_once: 0, later: 1, left: 1 })]
-#[case::left_behind(End { end: CarryEnd::LeftBehind, at_once: 0, later: 1, left: 1 })]
-#[case::over(End { end: CarryEnd::Over, at_once: 0, later: 0, left: 0 })]
+#[case::moved(End { end: MigrationOutcome::Moved, at_once: 0, later: 0, left: 1 })]
+#[case::stayed(End { end: MigrationOutcome::NotMoved, at_once: 0, later: 1, left: 1 })]
+#[case::refused(End { end: MigrationOutcome::Refused, at_once: 0, later: 1, left: 1 })]
+#[case::left_behind(End { end: MigrationOutcome::Orphaned, at_once: 0, later: 1, left: 1 })]
+#[case::over(End { end: MigrationOutcome::Ended, at_once: 0, later: 0, left: 0 })]
 fn ends_of_transfers(#[case] case: End) {
     let mut cell = cell(&[engine(1, NEAR, true), engine(2, NEAR, false)]);
     cell.restate(0, ME, &[statement(1, 1, 100, 900)]);
-    let carry = cell.next_carry(5, UpstreamKey(1)).expect("it is carried");
-    cell.carried(200, carry, case.end);
+    let carry = cell
+        .next_migration(5, UpstreamKey(1))
+        .expect("it is carried");
+    cell.finish_migration(200, carry, case.end);
     assert_eq!(carries(&mut cell, 210, 1).len(), case.at_once);
     assert_eq!(carries(&mut cell, 500, 1).len(), case.later);
     assert_eq!(cell.run_count(), case.left);
@@ -242,7 +253,9 @@
         panic!("{placed:?}");
     };
     cell.set_engines(20, &four(true));
-    let carry = cell.next_carry(30, UpstreamKey(1)).expect("it is carried");
+    let carry = cell
+        .next_migration(30, UpstreamKey(1))
+        .expect("it is carried");
     assert!(
         carry.to != copy && carry.to != first,
         "{carry:?}, copy at {copy:?}"
@@ -260,7 +273,9 @@
     let new = request(9, 3_000, 900, 100);
     cell.set_engines(10, &[engine(1, NEAR, true), engine(2, NEAR, false)]);
     assert!(matches!(cell.place(20, &new), Placement::Full { .. }));
-    let carry = cell.next_carry(30, UpstreamKey(1)).expect("it is carried");
+    let carry = cell
+        .next_migration(30, UpstreamKey(1))
+        .expect("it is carried");
     assert_eq!(carry.to, UpstreamKey(2));
 }
 
@@ -289,6 +304,6 @@
     let held: Vec<RunStatement> = stays.chain([leaves]).collect();
     // Restated at the same moment, nothing more is expected to be out.
     cell.restate(case.now_ms, ME, &held);
-    let carry = cell.next_carry(case.now_ms, UpstreamKey(1));
+    let carry = cell.next_migration(case.now_ms, UpstreamKey(1));
     assert_eq!(carry.is_some(), case.is_carried, "{carry:?}");
 }
--- a/crates/policy/tests/cell/engines.rs
+++ b/crates/policy/tests/cell/engines.rs
@@ -71,10 +71,10 @@
     let engines = [engine(1, NEAR, false), engine(2, NEAR, false)];
     let mut cell = cell(&engines);
     cell.restate(0, ME, &[statement(1, 1, 100, 900)]);
-    assert_eq!(cell.next_carry(5, UpstreamKey(1)), None);
+    assert_eq!(cell.next_migration(5, UpstreamKey(1)), None);
     assert!(cell.see_leaving(10, UpstreamKey(1), 1_500));
     cell.set_engines(20, &engines);
-    let carry = cell.next_carry(30, UpstreamKey(1));
+    let carry = cell.next_migration(30, UpstreamKey(1));
     assert_eq!(carry.map(|carry| carry.run.0), Some(1));
 }
 
--- a/crates/policy/tests/cell/standing.rs
+++ b/crates/policy/tests/cell/standing.rs
@@ -1,6 +1,6 @@
 //! Engines whose data centre is evacuated, and cold ones, before a crowd of short prompts.
 
-use fulmarpath_policy::{CarryEnd, Cold, Placement, RunEnd, RunKey, UpstreamKey};
+use fulmarpath_policy::{Cold, MigrationOutcome, Placement, RunEnd, RunKey, UpstreamKey};
 
 use crate::fixtures::{FAR, ME, NEAR, cell, engine, engine_of, request, statement};
 
@@ -32,7 +32,9 @@
     evacuated.is_evacuated = true;
     let mut cell = cell(&[engine(1, NEAR, true), evacuated, engine(3, FAR, false)]);
     cell.restate(0, ME, &[statement(1, 1, 40, 900)]);
-    let carry = cell.next_carry(10, UpstreamKey(1)).expect("one to carry");
+    let carry = cell
+        .next_migration(10, UpstreamKey(1))
+        .expect("one to carry");
     assert_eq!(carry.to, UpstreamKey(3));
 }
 
@@ -81,8 +83,10 @@
     let mut cell = cell(&[engine(1, NEAR, true), cold]);
     let runs = [statement(1, 1, 40, 900), statement(2, 1, 50, 900)];
     cell.restate(0, ME, &runs);
-    let first = cell.next_carry(10, UpstreamKey(1)).expect("one to carry");
-    cell.carried(60, first, CarryEnd::Moved);
-    assert_eq!(cell.next_carry(70, UpstreamKey(1)), None);
-    assert!(cell.next_carry(1_010, UpstreamKey(1)).is_some());
+    let first = cell
+        .next_migration(10, UpstreamKey(1))
+        .expect("one to carry");
+    cell.finish_migration(60, first, MigrationOutcome::Moved);
+    assert_eq!(cell.next_migration(70, UpstreamKey(1)), None);
+    assert!(cell.next_migration(1_010, UpstreamKey(1)).is_some());
 }
