--- a/crates/gateway/src/departures.rs
+++ b/crates/gateway/src/departures.rs
@@ -58,7 +58,7 @@
     pub(crate) fn has_gone_before(&self, start: &Registration, era: u64) -> bool {
         let gone = self.gone.get(&start.instance);
         gone.is_some_and(|gone| {
-            gone.departure.born_ms == start.born_ms && gone.departure.at.era < era
+            gone.departure.started_at_ms == start.started_at_ms && gone.departure.at.era < era
         })
     }
 
--- a/crates/gateway/src/directory.rs
+++ b/crates/gateway/src/directory.rs
@@ -22,7 +22,8 @@
     /// When this start of it began, in Unix milliseconds by its own clock. A later start holds and
     /// knows nothing of an earlier one, so the two together name what requests, generations and
     /// copies are at.
-    pub born_ms: Option<Millis>,
+    #[serde(rename = "born_ms")]
+    pub started_at_ms: Option<Millis>,
     /// The service it belongs to.
     pub service: String,
     /// Where it listens.
@@ -42,14 +43,14 @@
     pub(crate) fn departure(&self, at: Revision) -> Departure {
         Departure {
             instance: self.instance.clone(),
-            born_ms: self.born_ms,
+            started_at_ms: self.started_at_ms,
             at,
         }
     }
 
     /// Whether both are of one start of one upstream.
     pub(crate) fn is_same_start(&self, other: &Self) -> bool {
-        self.instance == other.instance && self.born_ms == other.born_ms
+        self.instance == other.instance && self.started_at_ms == other.started_at_ms
     }
 }
 
@@ -59,7 +60,8 @@
     /// Its name.
     pub instance: String,
     /// When that start of it began.
-    pub born_ms: Option<Millis>,
+    #[serde(rename = "born_ms")]
+    pub started_at_ms: Option<Millis>,
     /// The revision by which it had gone.
     pub at: Revision,
 }
@@ -109,7 +111,7 @@
 
 impl DirectoryChange {
     /// Whether it names all there is, so that what it doesn't name is gone.
-    pub fn is_whole(&self) -> bool {
+    pub fn is_complete(&self) -> bool {
         self.from_revision == Revision::default()
     }
 }
--- a/crates/gateway/src/evacuations.rs
+++ b/crates/gateway/src/evacuations.rs
@@ -51,7 +51,7 @@
         if self.settings.evacuation_bound_ms.is_none() {
             return;
         }
-        let listed = self.metadata.evacuations.list(Freshness::MayBeOld).await;
+        let listed = self.metadata.evacuations.list(Freshness::MayBeStale).await;
         self.metrics.store_call("evacuations", outcome(&listed));
         match listed {
             Ok(all) => {
@@ -152,7 +152,7 @@
 fn step(change: Change<String>) -> Option<EvacuationChange> {
     match change {
         Change::Put(name) => Some(EvacuationChange::Begins(name)),
-        Change::Gone(name) => Some(EvacuationChange::Ends(name)),
+        Change::Removed(name) => Some(EvacuationChange::Ends(name)),
         Change::Unusable(unusable) => unusable.name.map(EvacuationChange::Begins),
     }
 }
--- a/crates/gateway/src/fleet.rs
+++ b/crates/gateway/src/fleet.rs
@@ -28,7 +28,7 @@
 use crate::encoding::decode;
 use crate::gateway::Gateway;
 use crate::join::Newcomers;
-use crate::presence::Presence;
+use crate::presence_log::PresenceLog;
 
 /// Between two pings. Each goes to one member, so a host's share doesn't grow with the fleet.
 const PING_PERIOD: Duration = Duration::from_millis(250);
@@ -50,7 +50,7 @@
     /// How far this host's list of upstreams is behind its peers'.
     lag: Mutex<Lag>,
     drift: Mutex<Drift>,
-    presence: Mutex<Presence>,
+    presence: Mutex<PresenceLog>,
     /// What is being fetched from a peer now.
     fetching: Mutex<HashSet<Holding>>,
     /// This start of the host has ever written its entry.
--- a/crates/gateway/src/follow.rs
+++ b/crates/gateway/src/follow.rs
@@ -127,7 +127,9 @@
                 Err(error) => {
                     is_listed = false;
                     if error.is_outage() {
-                        self.roster.lock().lost(self.clock.now_ms());
+                        self.roster
+                            .lock()
+                            .mark_store_unavailable(self.clock.now_ms());
                     }
                     follower.fail(&self, &error).await;
                 }
@@ -174,7 +176,7 @@
     async fn read_configuration(self: &Arc<Self>) {
         // With the configuration this host begins to serve, so the evacuations have to be known by then.
         let (listed, ()) = tokio::join!(
-            self.metadata.configuration.list(Freshness::MayBeOld),
+            self.metadata.configuration.list(Freshness::MayBeStale),
             self.read_evacuations()
         );
         self.metrics.store_call("configuration", outcome(&listed));
@@ -195,12 +197,16 @@
 
     /// Reads the upstreams once, where no peer has told them.
     async fn read_registrations(self: &Arc<Self>) {
-        let listed = self.metadata.registrations.list(Freshness::MayBeOld).await;
+        let listed = self
+            .metadata
+            .registrations
+            .list(Freshness::MayBeStale)
+            .await;
         self.metrics.store_call("upstreams", outcome(&listed));
         match listed {
             Ok(list) => {
                 self.skip_of_list("the upstreams", &list);
-                self.roster_step(|roster, now_ms| roster.begin(now_ms, list));
+                self.roster_step(|roster, now_ms| roster.load_provisional(now_ms, list));
             }
             Err(error) => {
                 self.metrics.store_failures.inc();
@@ -225,12 +231,12 @@
     pub(crate) fn take_upstreams(&self, change: DirectoryChange) {
         self.hear_era(change.revision, "a peer");
         let now_ms = self.clock.now_ms();
-        let is_whole = change.is_whole();
+        let is_complete = change.is_complete();
         let mut roster = self.roster.lock();
         let before = roster.revision();
-        if roster.apply_by_peer(now_ms, change) {
+        if roster.apply_peer_change(now_ms, change) {
             let revision = roster.revision();
-            let how = if is_whole { "whole" } else { "in part" };
+            let how = if is_complete { "whole" } else { "in part" };
             info!("upstreams: revision {revision} is a peer's, {how}, after {before}");
             self.adopt_directory(&roster.directory());
         }
@@ -240,7 +246,7 @@
     fn roster_step(&self, step: impl FnOnce(&mut Roster, Millis) -> bool) {
         let now_ms = self.clock.now_ms();
         let mut roster = self.roster.lock();
-        roster.heard(now_ms);
+        roster.mark_store_available(now_ms);
         let before = roster.revision();
         if step(&mut roster, now_ms) {
             let directory = roster.directory();
@@ -279,7 +285,7 @@
                 .into_iter()
                 .filter_map(|change| match change {
                     Change::Put(configuration) => Some(configuration),
-                    Change::Gone(_) | Change::Unusable(_) => None,
+                    Change::Removed(_) | Change::Unusable(_) => None,
                 });
             puts.collect()
         }
--- a/crates/gateway/src/follower.rs
+++ b/crates/gateway/src/follower.rs
@@ -102,13 +102,13 @@
         let revision = heard.revision();
         gateway.hear_era(revision, format_args!("the store with {}", self.what));
         match (since, gateway.store_era.latest()) {
-            (None, Some(latest)) if revision.era < latest => Err(StoreError::EraOver {
-                heard: revision,
+            (None, Some(latest)) if revision.era < latest => Err(StoreError::StaleEra {
+                received: revision,
                 latest,
             }),
-            (Some(held), _) if revision.era != held.era => Err(StoreError::OtherEra {
-                held,
-                heard: revision,
+            (Some(held), _) if revision.era != held.era => Err(StoreError::EraChanged {
+                known: held,
+                received: revision,
             }),
             _ => Ok(heard),
         }
@@ -150,8 +150,8 @@
     match heard {
         Ok(_) => "ok",
         Err(StoreError::HistoryGone { .. }) => "history_gone",
-        Err(StoreError::OtherEra { .. }) => "other_era",
-        Err(StoreError::EraOver { .. }) => "era_over",
+        Err(StoreError::EraChanged { .. }) => "other_era",
+        Err(StoreError::StaleEra { .. }) => "era_over",
         Err(StoreError::Malformed { .. }) => "malformed",
         Err(StoreError::Unavailable { .. }) => "unavailable",
     }
--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -44,7 +44,7 @@
     /// Within this time a change of the configuration or of the upstreams has to be in force.
     pub change_bound_ms: Millis,
     /// The store removes an upstream's entry after so long of its silence.
-    pub lapse_ms: Millis,
+    pub registration_ttl_ms: Millis,
     /// Within this time an evacuated data centre has to get nothing more; `None` where the operator
     /// evacuates none, and nobody looks for it.
     pub evacuation_bound_ms: Option<Millis>,
@@ -115,7 +115,7 @@
             control,
             dialect,
             metadata,
-            roster: Mutex::new(Roster::new(settings.lapse_ms)),
+            roster: Mutex::new(Roster::new(settings.registration_ttl_ms)),
             evacuations: Mutex::default(),
             starts_home: StartsHome::default(),
             metrics: Metrics::default(),
@@ -267,7 +267,7 @@
         let hosts = self.fleet.host_count();
         let (upstreams_heard_ms, upstreams) = {
             let roster = self.roster.lock();
-            (roster.heard_ms(), roster.len())
+            (roster.last_update_ms(), roster.len())
         };
         let mut retries = self.retries.lock();
         let left = retries.iter_mut().map(|(service, window)| {
--- a/crates/gateway/src/instance.rs
+++ b/crates/gateway/src/instance.rs
@@ -57,7 +57,7 @@
     }
 
     pub(crate) fn is_start_of(&self, registration: &Registration) -> bool {
-        self.registration.born_ms == registration.born_ms
+        self.registration.started_at_ms == registration.started_at_ms
     }
 
     pub(crate) fn takes_work(&self) -> bool {
--- a/crates/gateway/src/join.rs
+++ b/crates/gateway/src/join.rs
@@ -240,7 +240,7 @@
         if !self.fleet.has_entry() && !self.write_entry().await {
             return;
         }
-        let Some(mut others) = self.named_hosts(Freshness::MayBeOld).await else {
+        let Some(mut others) = self.named_hosts(Freshness::MayBeStale).await else {
             return;
         };
         {
--- a/crates/gateway/src/key.rs
+++ b/crates/gateway/src/key.rs
@@ -7,8 +7,10 @@
 
 /// The key of an upstream's start.
 pub(crate) fn upstream_of(registration: &Registration) -> UpstreamKey {
-    match registration.born_ms {
-        Some(born_ms) => UpstreamKey::of(&format!("{}/{born_ms}", registration.instance)),
+    match registration.started_at_ms {
+        Some(started_at_ms) => {
+            UpstreamKey::of(&format!("{}/{started_at_ms}", registration.instance))
+        }
         None => UpstreamKey::of(&registration.instance),
     }
 }
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -37,7 +37,7 @@
 mod metrics;
 mod peer;
 mod poison;
-mod presence;
+mod presence_log;
 mod problem;
 mod record;
 mod recovery;
@@ -72,11 +72,11 @@
 };
 pub use metadata::{
     Change, Changes, CircuitRegistry, Collection, Freshness, HostRegistry, Metadata, Snapshot,
-    StoreError, StoredCircuit, Unusable,
+    StoreError, StoredCircuit, UnusableEntry,
 };
-pub use presence::{Presence, Present};
+pub use presence_log::{PresenceLog, PresentHosts};
 pub use problem::Problem;
 pub use record::{Dispatch, REQUEST_PREFIX, RequestRecord, Size};
 pub use roster::Roster;
 pub use serve::{Listen, ListenError, Listeners};
-pub use store_era::RETURN_PREFIX;
+pub use store_era::STORE_RESTORED_PREFIX;
--- a/crates/gateway/src/look.rs
+++ b/crates/gateway/src/look.rs
@@ -107,12 +107,12 @@
         let Some((known, heard_ms)) = known.zip(look.born_ms) else {
             return true;
         };
-        let Some(known_ms) = known.born_ms else {
+        let Some(known_ms) = known.started_at_ms else {
             return true;
         };
         if heard_ms > known_ms {
             let mut roster = self.roster.lock();
-            if roster.see_birth(&known.instance, heard_ms) {
+            if roster.observe_start(&known.instance, heard_ms) {
                 self.adopt_directory(&roster.directory());
             }
         }
--- a/crates/gateway/src/metadata.rs
+++ b/crates/gateway/src/metadata.rs
@@ -25,18 +25,18 @@
     },
     /// Asked for changes since a revision, the store answered in another era: list anew. What lies between
     /// isn't among them.
-    #[error("could not go on from revision {held}: the answer is of revision {heard}")]
-    OtherEra {
+    #[error("could not go on from revision {known}: the answer is of revision {received}")]
+    EraChanged {
         /// What was known.
-        held: Revision,
+        known: Revision,
         /// What the answer tells of.
-        heard: Revision,
+        received: Revision,
     },
     /// A list of an era that is over.
-    #[error("could not use a list of revision {heard}: era {latest} has begun")]
-    EraOver {
+    #[error("could not use a list of revision {received}: era {latest} has begun")]
+    StaleEra {
         /// The list's revision.
-        heard: Revision,
+        received: Revision,
         /// The latest era that is known.
         latest: u64,
     },
@@ -51,7 +51,7 @@
 impl StoreError {
     /// Whether the store may be away, rather than to be read anew.
     pub(crate) fn is_outage(&self) -> bool {
-        !matches!(self, Self::HistoryGone { .. } | Self::OtherEra { .. })
+        !matches!(self, Self::HistoryGone { .. } | Self::EraChanged { .. })
     }
 }
 
@@ -63,12 +63,12 @@
     /// The objects.
     pub items: Vec<T>,
     /// Objects among them that can't be used.
-    pub unusable: Vec<Unusable>,
+    pub unusable: Vec<UnusableEntry>,
 }
 
 /// An object that can't be read, or says what can't be.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Unusable {
+pub struct UnusableEntry {
     /// Its name, where that can be read.
     pub name: Option<String>,
     /// Why.
@@ -81,9 +81,9 @@
     /// It was created or replaced.
     Put(T),
     /// The object of this name is gone.
-    Gone(String),
+    Removed(String),
     /// It was created or replaced by what can't be used.
-    Unusable(Unusable),
+    Unusable(UnusableEntry),
 }
 
 /// What changed since a revision.
@@ -102,7 +102,7 @@
     Newest,
     /// It may be some seconds old, which costs the store a tenth. Its revision may be newer than
     /// what it lists, so nothing is watched from it.
-    MayBeOld,
+    MayBeStale,
 }
 
 /// Objects of one kind.
--- a/crates/gateway/src/presence.rs
+++ b/crates/gateway/src/presence_log.rs
@@ -15,12 +15,12 @@
 const NAMED: usize = 6;
 
 /// Other hosts that are believed present, by key, with their names.
-pub type Present = BTreeMap<HostKey, String>;
+pub type PresentHosts = BTreeMap<HostKey, String>;
 
 /// What has been told of the hosts that are present.
 #[derive(Debug, Clone, Default)]
-pub struct Presence {
-    told: Present,
+pub struct PresenceLog {
+    told: PresentHosts,
     burst: Option<Burst>,
 }
 
@@ -29,12 +29,12 @@
 struct Burst {
     since_ms: Millis,
     changed_ms: Millis,
-    last: Present,
+    last: PresentHosts,
 }
 
-impl Presence {
+impl PresenceLog {
     /// Sees who is present now; the line to write where one is due.
-    pub fn see(&mut self, now_ms: Millis, present: Present) -> Option<String> {
+    pub fn see(&mut self, now_ms: Millis, present: PresentHosts) -> Option<String> {
         match &mut self.burst {
             None if present == self.told => return None,
             None => {
@@ -72,7 +72,7 @@
     }
 }
 
-fn names<'a>(these: &'a Present, without: &Present) -> Vec<&'a str> {
+fn names<'a>(these: &'a PresentHosts, without: &PresentHosts) -> Vec<&'a str> {
     let those = these.iter().filter(|(key, _)| !without.contains_key(key));
     those.map(|(_, name)| name.as_str()).collect()
 }
--- a/crates/gateway/src/returns.rs
+++ b/crates/gateway/src/returns.rs
@@ -21,14 +21,14 @@
 pub(crate) struct Returns {
     held: HashMap<String, Returned>,
     /// How long an entry outlives its upstream's silence.
-    lapse_ms: Millis,
+    registration_ttl_ms: Millis,
 }
 
 impl Returns {
-    pub(crate) fn new(lapse_ms: Millis) -> Self {
+    pub(crate) fn new(registration_ttl_ms: Millis) -> Self {
         Self {
             held: HashMap::new(),
-            lapse_ms,
+            registration_ttl_ms,
         }
     }
 
@@ -40,7 +40,7 @@
     pub(crate) fn list(&mut self, now_ms: Millis, registration: Registration) {
         let name = registration.instance.clone();
         let held = self.held.get(&name).map(|held| held.until_ms);
-        let until_ms = held.unwrap_or(now_ms + self.lapse_ms + LAPSE_MARGIN_MS);
+        let until_ms = held.unwrap_or(now_ms + self.registration_ttl_ms + LAPSE_MARGIN_MS);
         let returned = Returned {
             registration,
             until_ms,
--- a/crates/gateway/src/roster.rs
+++ b/crates/gateway/src/roster.rs
@@ -16,7 +16,7 @@
 
 use crate::departures::Departures;
 use crate::directory::{Departure, Directory, DirectoryChange, RegisteredState, Registration};
-use crate::metadata::{Change, Changes, Snapshot, Unusable};
+use crate::metadata::{Change, Changes, Snapshot, UnusableEntry};
 use crate::returns::Returns;
 
 /// Upstreams that live are registered again within about two seconds of the store's return.
@@ -49,11 +49,11 @@
     revision: Revision,
     entries: HashMap<String, Entry>,
     /// When the store or a peer last told of it.
-    heard_ms: Millis,
-    lost_at_ms: Option<Millis>,
+    last_update_ms: Millis,
+    unavailable_since_ms: Option<Millis>,
     grace_until_ms: Millis,
     /// Services whose upstreams state when they were started.
-    stating_births: HashSet<String>,
+    services_with_start_time: HashSet<String>,
     /// Upstreams that went.
     departures: Departures,
     returns: Returns,
@@ -68,17 +68,17 @@
 }
 
 impl Roster {
-    /// Knows no upstream yet; the store removes an entry after `lapse_ms` of its upstream's silence.
-    pub fn new(lapse_ms: Millis) -> Self {
+    /// Knows no upstream yet; the store removes an entry after `registration_ttl_ms` of its upstream's silence.
+    pub fn new(registration_ttl_ms: Millis) -> Self {
         Self {
             revision: Revision::default(),
             entries: HashMap::new(),
-            heard_ms: 0,
-            lost_at_ms: None,
+            last_update_ms: 0,
+            unavailable_since_ms: None,
             grace_until_ms: 0,
-            stating_births: HashSet::new(),
+            services_with_start_time: HashSet::new(),
             departures: Departures::default(),
-            returns: Returns::new(lapse_ms),
+            returns: Returns::new(registration_ttl_ms),
             listed: Revision::default(),
         }
     }
@@ -89,8 +89,8 @@
     }
 
     /// When the store or a peer last told of it.
-    pub fn heard_ms(&self) -> Millis {
-        self.heard_ms
+    pub fn last_update_ms(&self) -> Millis {
+        self.last_update_ms
     }
 
     /// Upstreams that count as there.
@@ -104,23 +104,23 @@
     }
 
     /// A call to the store failed.
-    pub fn lost(&mut self, now_ms: Millis) {
-        self.lost_at_ms.get_or_insert(now_ms);
+    pub fn mark_store_unavailable(&mut self, now_ms: Millis) {
+        self.unavailable_since_ms.get_or_insert(now_ms);
     }
 
     /// Whether registrations can't tell who leaves: the store is away, or was until just now and
     /// upstreams have yet to register again. One that leaves then may never do so.
     pub fn is_uncertain(&self, now_ms: Millis) -> bool {
-        self.lost_at_ms.is_some() || now_ms < self.grace_until_ms
+        self.unavailable_since_ms.is_some() || now_ms < self.grace_until_ms
     }
 
     /// A call to the store succeeded.
-    pub fn heard(&mut self, now_ms: Millis) {
-        self.heard_ms = now_ms;
-        let Some(lost_at_ms) = self.lost_at_ms.take() else {
+    pub fn mark_store_available(&mut self, now_ms: Millis) {
+        self.last_update_ms = now_ms;
+        let Some(unavailable_since_ms) = self.unavailable_since_ms.take() else {
             return;
         };
-        if now_ms.saturating_sub(lost_at_ms) >= OUTAGE_MS {
+        if now_ms.saturating_sub(unavailable_since_ms) >= OUTAGE_MS {
             self.grace_until_ms = now_ms + RETURN_MS;
         }
     }
@@ -130,11 +130,11 @@
     /// Its own revision isn't taken: a list may be older than the revision that comes with it, and a
     /// host that believed itself up to date would never hear of what it lacks. Peers and a watch
     /// bring the whole.
-    pub fn begin(&mut self, now_ms: Millis, snapshot: Snapshot<Registration>) -> bool {
+    pub fn load_provisional(&mut self, now_ms: Millis, snapshot: Snapshot<Registration>) -> bool {
         if self.revision > Revision::default() || !self.entries.is_empty() {
             return false;
         }
-        self.heard_ms = now_ms;
+        self.last_update_ms = now_ms;
         if !snapshot.items.is_empty() {
             self.revision = Directory::PROVISIONAL;
         }
@@ -208,13 +208,13 @@
     /// centre's watchers cut the flow of changes at other revisions. A host that had once been told by
     /// a peer of another one stood between two cuts; while it took only news that began just where it
     /// stood, it was told of nothing any more but by whole lists.
-    pub fn apply_by_peer(&mut self, now_ms: Millis, change: DirectoryChange) -> bool {
-        self.heard_ms = now_ms;
+    pub fn apply_peer_change(&mut self, now_ms: Millis, change: DirectoryChange) -> bool {
+        self.last_update_ms = now_ms;
         if change.from_revision > self.revision || change.revision <= self.revision {
             return false;
         }
         let mut changed = false;
-        if change.is_whole() {
+        if change.is_complete() {
             changed = self.replace(
                 now_ms,
                 Snapshot {
@@ -306,7 +306,7 @@
         for change in changes.changes {
             changed |= match change {
                 Change::Put(registration) => self.put(now_ms, registration),
-                Change::Gone(name) => self.remove(now_ms, &name),
+                Change::Removed(name) => self.remove(now_ms, &name),
                 Change::Unusable(unusable) => self.drop_unusable(now_ms, &unusable),
             };
         }
@@ -335,7 +335,7 @@
     }
 
     fn drop_missing(&mut self, now_ms: Millis) -> bool {
-        if now_ms < self.grace_until_ms || self.lost_at_ms.is_some() {
+        if now_ms < self.grace_until_ms || self.unavailable_since_ms.is_some() {
             return false;
         }
         let missing = self.lapsed();
@@ -359,18 +359,18 @@
     /// An upstream says itself that it has started again; true where that was not known.
     ///
     /// Its entry may still be the one of before: what it says on a connection comes first.
-    pub fn see_birth(&mut self, instance: &str, born_ms: Millis) -> bool {
+    pub fn observe_start(&mut self, instance: &str, started_at_ms: Millis) -> bool {
         let Some(entry) = self.entries.get_mut(instance) else {
             return false;
         };
         if entry
             .registration
-            .born_ms
-            .is_none_or(|held| held >= born_ms)
+            .started_at_ms
+            .is_none_or(|held| held >= started_at_ms)
         {
             return false;
         }
-        entry.registration.born_ms = Some(born_ms);
+        entry.registration.started_at_ms = Some(started_at_ms);
         entry.registration.state = RegisteredState::Ready;
         entry.changed_at = self.revision.next();
         true
@@ -381,19 +381,26 @@
     /// start that said it leaves doesn't come back: an entry that says otherwise is a copy's.
     fn put(&mut self, now_ms: Millis, mut registration: Registration) -> bool {
         let name = registration.instance.clone();
-        match registration.born_ms {
-            Some(born_ms) => {
+        match registration.started_at_ms {
+            Some(started_at_ms) => {
                 let held = self.entries.get(&name);
-                let held_ms = held.and_then(|held| held.registration.born_ms);
-                if held_ms.is_some_and(|held_ms| born_ms < held_ms) {
+                let held_ms = held.and_then(|held| held.registration.started_at_ms);
+                if held_ms.is_some_and(|held_ms| started_at_ms < held_ms) {
                     return false;
                 }
-                if !self.stating_births.contains(&registration.service) {
-                    self.stating_births.insert(registration.service.clone());
+                if !self
+                    .services_with_start_time
+                    .contains(&registration.service)
+                {
+                    self.services_with_start_time
+                        .insert(registration.service.clone());
                 }
             }
             // Where upstreams state it, an entry without it is from another writer.
-            None if self.stating_births.contains(&registration.service) => {
+            None if self
+                .services_with_start_time
+                .contains(&registration.service) =>
+            {
                 return self.drop_entry(now_ms, &name, self.revision);
             }
             None => {}
@@ -426,7 +433,7 @@
 
     /// An entry that can't be used names no upstream, whatever it said before. It has not lapsed with
     /// the store's outage, so there is no grace.
-    fn drop_unusable(&mut self, now_ms: Millis, unusable: &Unusable) -> bool {
+    fn drop_unusable(&mut self, now_ms: Millis, unusable: &UnusableEntry) -> bool {
         let name = unusable.name.as_ref();
         name.is_some_and(|name| self.drop_entry(now_ms, name, self.revision))
     }
--- a/crates/gateway/src/spread.rs
+++ b/crates/gateway/src/spread.rs
@@ -268,7 +268,7 @@
         self.hear_era(change.revision, "a watcher");
         let mut roster = self.roster.lock();
         let before = roster.revision();
-        if roster.apply_by_peer(self.clock.now_ms(), change) {
+        if roster.apply_peer_change(self.clock.now_ms(), change) {
             self.adopt_directory(&roster.directory());
         }
         tell_of_return(before, &roster);
--- a/crates/gateway/src/store_era.rs
+++ b/crates/gateway/src/store_era.rs
@@ -15,7 +15,7 @@
 const SILENCE_MS: Millis = 1_000;
 
 /// What the payload begins with of the line that tells of a return from a copy; both eras follow.
-pub const RETURN_PREFIX: &str = "store: it came back from a copy: ";
+pub const STORE_RESTORED_PREFIX: &str = "store: it came back from a copy: ";
 
 /// The latest era that this host has heard of.
 #[derive(Debug, Default)]
@@ -69,7 +69,7 @@
         match self.store_era.hear(era) {
             EraNews::First => info!("store: era {era}, told by {source}"),
             EraNews::Return { before } => {
-                warn!("{RETURN_PREFIX}era {era} follows {before}, told by {source}");
+                warn!("{STORE_RESTORED_PREFIX}era {era} follows {before}, told by {source}");
                 self.fleet.forget_entry();
             }
             EraNews::Nothing => return,
--- a/crates/gateway/src/unusable.rs
+++ b/crates/gateway/src/unusable.rs
@@ -4,7 +4,7 @@
 use spdlog::warn;
 
 use crate::gateway::Gateway;
-use crate::metadata::{Change, Changes, Snapshot, Unusable};
+use crate::metadata::{Change, Changes, Snapshot, UnusableEntry};
 
 /// Between two lines of the log about entries that can't be used: whoever writes them may write
 /// several a second, and the counter has all of them.
@@ -20,12 +20,12 @@
     pub(crate) fn skip_of_changes<T>(&self, what: &'static str, changes: &Changes<T>) {
         let unusable = changes.changes.iter().filter_map(|change| match change {
             Change::Unusable(unusable) => Some(unusable),
-            Change::Put(_) | Change::Gone(_) => None,
+            Change::Put(_) | Change::Removed(_) => None,
         });
         self.skip(what, unusable);
     }
 
-    fn skip<'a>(&self, what: &'static str, unusable: impl Iterator<Item = &'a Unusable>) {
+    fn skip<'a>(&self, what: &'static str, unusable: impl Iterator<Item = &'a UnusableEntry>) {
         let mut first = None;
         let mut count = 0;
         for one in unusable {
--- a/crates/gateway/tests/directory.rs
+++ b/crates/gateway/tests/directory.rs
@@ -12,7 +12,7 @@
 fn registration(number: u64, state: RegisteredState) -> Registration {
     Registration {
         instance: format!("i-{number:010x}"),
-        born_ms: None,
+        started_at_ms: None,
         service: "lefi36a".to_owned(),
         address: SocketAddr::from(([10, 1, 67, 233], 8_007)),
         data_centre: "zrh-a".to_owned(),
@@ -42,7 +42,7 @@
         Change::Put(registration(1, RegisteredState::Draining)),
         Change::Put(registration(2, RegisteredState::Ready)),
         Change::Put(registration(100, RegisteredState::Ready)),
-        Change::Gone("i-0000000000".to_owned()),
+        Change::Removed("i-0000000000".to_owned()),
     ];
     let revision = Revision::new(1, 9);
     roster.apply(1, Changes { revision, changes });
--- a/crates/gateway/tests/eras.rs
+++ b/crates/gateway/tests/eras.rs
@@ -9,7 +9,7 @@
 fn registration(instance: &str, state: RegisteredState) -> Registration {
     Registration {
         instance: instance.to_owned(),
-        born_ms: None,
+        started_at_ms: None,
         service: "portal".to_owned(),
         address: SocketAddr::from(([127, 0, 0, 1], 1)),
         data_centre: "dc-a".to_owned(),
@@ -69,7 +69,7 @@
             roster.apply(now_ms, changes(Revision::new(*era, *number), change));
         }
         Removes(era, number, name) => {
-            let change = Change::Gone((*name).to_owned());
+            let change = Change::Removed((*name).to_owned());
             roster.apply(now_ms, changes(Revision::new(*era, *number), change));
         }
         Later(_) => {}
@@ -181,7 +181,7 @@
         hear(&mut peer, 0, &word);
     }
     let mut newcomer = Roster::default();
-    newcomer.apply_by_peer(0, peer.change_since(Revision::default()));
+    newcomer.apply_peer_change(0, peer.change_since(Revision::default()));
     hear(&mut newcomer, 0, &Lists(2, 42, &["a", "b"]));
     assert_eq!(ready(&newcomer), ["a"]);
 }
@@ -193,16 +193,16 @@
     let mut watcher = Roster::default();
     hear(&mut watcher, 0, &Lists(1, 50, &["a", "b"]));
     let mut behind = Roster::default();
-    behind.apply_by_peer(0, watcher.change_since(Revision::default()));
+    behind.apply_peer_change(0, watcher.change_since(Revision::default()));
     let mut late = Roster::default();
-    late.apply_by_peer(0, watcher.change_since(Revision::default()));
+    late.apply_peer_change(0, watcher.change_since(Revision::default()));
     hear(&mut late, 0, &Writes(1, 51, "c"));
     hear(&mut watcher, 0, &Lists(2, 40, &["a", "d"]));
     let news = watcher.change_since(behind.revision());
-    assert!(news.is_whole());
-    assert!(behind.apply_by_peer(0, news));
+    assert!(news.is_complete());
+    assert!(behind.apply_peer_change(0, news));
     assert_eq!(behind.revision(), Revision::new(2, 40));
-    assert!(!behind.apply_by_peer(0, late.change_since(Revision::default())));
+    assert!(!behind.apply_peer_change(0, late.change_since(Revision::default())));
     assert_eq!(
         ready(&behind),
         ["a", "b", "d"],
--- a/crates/gateway/tests/presence.rs
+++ b/crates/gateway/tests/presence_log.rs
@@ -1,10 +1,10 @@
 //! What the log tells of hosts that come and go.
 
-use fulmarpath_gateway::{Presence, Present};
+use fulmarpath_gateway::{PresenceLog, PresentHosts};
 use fulmarpath_policy::HostKey;
 
 /// Hosts of these numbers.
-fn present(numbers: impl IntoIterator<Item = u64>) -> Present {
+fn present(numbers: impl IntoIterator<Item = u64>) -> PresentHosts {
     let hosts = numbers.into_iter();
     hosts
         .map(|number| (HostKey(number), format!("h{number}")))
@@ -14,7 +14,7 @@
 struct Case {
     what: &'static str,
     /// When the log looks, and who is present then.
-    seen: Vec<(u64, Present)>,
+    seen: Vec<(u64, PresentHosts)>,
     lines: &'static [&'static str],
 }
 
@@ -70,7 +70,7 @@
         },
     ];
     for case in cases {
-        let mut presence = Presence::default();
+        let mut presence = PresenceLog::default();
         let seen = case.seen.into_iter();
         let lines: Vec<String> = seen
             .filter_map(|(now_ms, present)| presence.see(now_ms, present))
--- a/crates/gateway/tests/roster.rs
+++ b/crates/gateway/tests/roster.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 
 use fulmarpath_gateway::{
-    Change, Changes, Directory, RegisteredState, Registration, Roster, Snapshot, Unusable,
+    Change, Changes, Directory, RegisteredState, Registration, Roster, Snapshot, UnusableEntry,
 };
 use fulmarpath_policy::Revision;
 use rstest::rstest;
@@ -11,7 +11,7 @@
 fn registration(instance: &str, state: RegisteredState) -> Registration {
     Registration {
         instance: instance.to_owned(),
-        born_ms: None,
+        started_at_ms: None,
         service: "portal".to_owned(),
         address: SocketAddr::from(([127, 0, 0, 1], 1)),
         data_centre: "dc-a".to_owned(),
@@ -51,7 +51,7 @@
 fn gone(revision: u64, name: &str) -> Changes<Registration> {
     Changes {
         revision: at(revision),
-        changes: vec![Change::Gone(name.to_owned())],
+        changes: vec![Change::Removed(name.to_owned())],
     }
 }
 
@@ -78,8 +78,8 @@
 fn lapsed_registrations_have_a_grace(#[case] case: Outage) {
     let mut roster = Roster::default();
     roster.replace(500, snapshot(5, &["i-1", "i-2"]));
-    roster.lost(case.lost_ms);
-    roster.heard(case.back_ms);
+    roster.mark_store_unavailable(case.lost_ms);
+    roster.mark_store_available(case.back_ms);
     roster.replace(case.listed_ms, snapshot(9, &["i-1"]));
     let kept: &[&str] = if case.kept { &["i-1", "i-2"] } else { &["i-1"] };
     assert_eq!(names(&roster), kept);
@@ -98,10 +98,10 @@
     let mut roster = Roster::default();
     roster.replace(500, snapshot(5, &["i-1"]));
     if at_ms >= 1_000 {
-        roster.lost(1_000);
+        roster.mark_store_unavailable(1_000);
     }
     if at_ms >= 6_000 {
-        roster.heard(6_000);
+        roster.mark_store_available(6_000);
     }
     assert_eq!(roster.is_uncertain(at_ms), expected);
 }
@@ -119,8 +119,8 @@
             unusable: Vec::new(),
         },
     );
-    roster.lost(1_000);
-    roster.heard(6_000);
+    roster.mark_store_unavailable(1_000);
+    roster.mark_store_available(6_000);
     roster.replace(6_000, snapshot(9, &[]));
     assert!(names(&roster).is_empty());
 }
@@ -149,15 +149,18 @@
     let first = watcher.change_since(at(5));
     watcher.apply(2, put(8, "i-3"));
     let second = watcher.change_since(at(6));
-    assert!(!other.apply_by_peer(3, second.clone()), "it lacks a state");
+    assert!(
+        !other.apply_peer_change(3, second.clone()),
+        "it lacks a state"
+    );
     assert_eq!(other.revision(), at(5));
-    assert!(other.apply_by_peer(4, first));
-    assert!(other.apply_by_peer(5, second));
+    assert!(other.apply_peer_change(4, first));
+    assert!(other.apply_peer_change(5, second));
     assert_eq!(names(&other), ["i-2", "i-3"]);
     let mut late = Roster::default();
-    assert!(late.apply_by_peer(6, watcher.change_since(late.revision())));
+    assert!(late.apply_peer_change(6, watcher.change_since(late.revision())));
     assert_eq!(names(&late), ["i-2", "i-3"]);
-    assert!(!late.apply_by_peer(7, Roster::default().change_since(Revision::default())));
+    assert!(!late.apply_peer_change(7, Roster::default().change_since(Revision::default())));
     assert_eq!(names(&late), ["i-2", "i-3"]);
 }
 
@@ -172,14 +175,14 @@
     far.replace(0, snapshot(10, &["i-1", "i-2", "i-3"]));
     let mut host = Roster::default();
     far.apply(1, gone(13, "i-1"));
-    host.apply_by_peer(1, far.change_since(Revision::default()));
+    host.apply_peer_change(1, far.change_since(Revision::default()));
     assert_eq!((host.revision(), names(&host).len()), (at(13), 2));
     near.apply(2, gone(13, "i-1"));
     near.apply(2, put(15, "i-4"));
-    assert!(host.apply_by_peer(2, near.change_since(at(10))));
+    assert!(host.apply_peer_change(2, near.change_since(at(10))));
     assert_eq!(names(&host), ["i-2", "i-3", "i-4"]);
     near.apply(3, gone(18, "i-2"));
-    assert!(host.apply_by_peer(3, near.change_since(at(15))));
+    assert!(host.apply_peer_change(3, near.change_since(at(15))));
     assert_eq!(names(&host), names(&near));
 }
 
@@ -189,7 +192,7 @@
     seen: fn(&mut Roster),
     /// The revision that the asking host stands at.
     since: u64,
-    is_whole: bool,
+    is_complete: bool,
     put: &'static [&'static str],
     gone: &'static [&'static str],
 }
@@ -206,7 +209,7 @@
                 peer.apply(1, gone(14, "i-1"));
             },
             since: 10,
-            is_whole: false,
+            is_complete: false,
             put: &["i-3"],
             gone: &["i-1"],
         },
@@ -217,7 +220,7 @@
                 peer.apply(1, gone(14, "i-1"));
             },
             since: 13,
-            is_whole: false,
+            is_complete: false,
             put: &[],
             gone: &["i-1"],
         },
@@ -228,7 +231,7 @@
                 peer.apply(1, gone(14, "i-3"));
             },
             since: 12,
-            is_whole: false,
+            is_complete: false,
             put: &[],
             gone: &["i-3"],
         },
@@ -239,7 +242,7 @@
                 peer.apply(1, put(14, "i-1"));
             },
             since: 12,
-            is_whole: false,
+            is_complete: false,
             put: &["i-1"],
             gone: &[],
         },
@@ -249,7 +252,7 @@
                 peer.apply(1, put(12, "i-3"));
             },
             since: 9,
-            is_whole: true,
+            is_complete: true,
             put: &["i-1", "i-2", "i-3"],
             gone: &[],
         },
@@ -259,7 +262,7 @@
                 peer.replace(1, snapshot(20, &["i-1", "i-2"]));
             },
             since: 15,
-            is_whole: true,
+            is_complete: true,
             put: &["i-1", "i-2"],
             gone: &[],
         },
@@ -278,7 +281,7 @@
             .iter()
             .map(|one| one.instance.as_str())
             .collect();
-        assert_eq!(change.is_whole(), case.is_whole, "{}", case.what);
+        assert_eq!(change.is_complete(), case.is_complete, "{}", case.what);
         assert_eq!(
             (put.as_slice(), gone.as_slice()),
             (case.put, case.gone),
@@ -301,15 +304,15 @@
         peer.apply(1, gone(11 + place as u64, name));
     }
     let behind = peer.change_since(at(10));
-    assert!(behind.is_whole());
+    assert!(behind.is_complete());
     assert_eq!(behind.put.len(), 100);
     let up_to_date = peer.change_since(at(peer.revision().number - 3));
-    assert!(!up_to_date.is_whole());
+    assert!(!up_to_date.is_complete());
     assert_eq!(up_to_date.gone.len(), 3);
 }
 
-fn unusable(name: Option<&str>) -> Unusable {
-    Unusable {
+fn unusable(name: Option<&str>) -> UnusableEntry {
+    UnusableEntry {
         name: name.map(str::to_owned),
         reason: "not in our form".to_owned(),
     }
@@ -335,8 +338,8 @@
 fn what_cannot_be_used_names_no_upstream(#[case] case: Foreign) {
     let mut roster = Roster::default();
     roster.replace(500, snapshot(5, &["i-1", "i-2"]));
-    roster.lost(1_000);
-    roster.heard(6_000);
+    roster.mark_store_unavailable(1_000);
+    roster.mark_store_available(6_000);
     let foreign = unusable(case.name);
     if case.is_change {
         let changes = vec![Change::Unusable(foreign)];
@@ -357,9 +360,9 @@
     assert_eq!(names(&roster), case.left);
 }
 
-fn born(instance: &str, born_ms: Option<u64>) -> Registration {
+fn born(instance: &str, started_at_ms: Option<u64>) -> Registration {
     Registration {
-        born_ms,
+        started_at_ms,
         ..registration(instance, RegisteredState::Ready)
     }
 }
@@ -384,8 +387,8 @@
 #[case::states_never(Birth { held_ms: None, next_ms: None, known: Some(None) })]
 fn the_latest_start_counts(#[case] case: Birth) {
     let mut roster = Roster::default();
-    let put = |roster: &mut Roster, revision, born_ms| {
-        let changes = vec![Change::Put(born("i-1", born_ms))];
+    let put = |roster: &mut Roster, revision, started_at_ms| {
+        let changes = vec![Change::Put(born("i-1", started_at_ms))];
         roster.apply(
             revision,
             Changes {
@@ -397,7 +400,7 @@
     put(&mut roster, 1, case.held_ms);
     put(&mut roster, 2, case.next_ms);
     let registrations = roster.directory().registrations;
-    let known = registrations.first().map(|one| one.born_ms);
+    let known = registrations.first().map(|one| one.started_at_ms);
     assert_eq!(known, case.known);
 }
 
@@ -406,18 +409,18 @@
 #[test]
 fn its_own_word_comes_before_its_entry() {
     let mut roster = Roster::default();
-    let listed = |revision, born_ms| Snapshot {
+    let listed = |revision, started_at_ms| Snapshot {
         revision: at(revision),
-        items: vec![born("i-1", Some(born_ms))],
+        items: vec![born("i-1", Some(started_at_ms))],
         unusable: Vec::new(),
     };
     roster.replace(0, listed(1, 5));
-    assert!(roster.see_birth("i-1", 9));
-    assert!(!roster.see_birth("i-1", 9), "that is known");
-    assert!(!roster.see_birth("i-1", 5), "that was before");
-    assert!(!roster.see_birth("i-2", 9), "there is no such upstream");
+    assert!(roster.observe_start("i-1", 9));
+    assert!(!roster.observe_start("i-1", 9), "that is known");
+    assert!(!roster.observe_start("i-1", 5), "that was before");
+    assert!(!roster.observe_start("i-2", 9), "there is no such upstream");
     roster.replace(1, listed(2, 5));
-    assert_eq!(roster.directory().registrations[0].born_ms, Some(9));
+    assert_eq!(roster.directory().registrations[0].started_at_ms, Some(9));
 }
 
 /// A host has read a list that may be old. A watcher's first word names all there are: what it
@@ -430,10 +433,10 @@
         watcher.change_since(Directory::PROVISIONAL)
     };
     let mut roster = Roster::default();
-    roster.begin(0, snapshot(40, &["i-1", "i-old"]));
+    roster.load_provisional(0, snapshot(40, &["i-1", "i-old"]));
     assert_eq!(roster.revision(), Directory::PROVISIONAL);
-    assert!(roster.apply_by_peer(10, whole(50, &["i-1", "i-2"])));
-    assert!(!roster.apply_by_peer(20, whole(49, &["i-1"])));
+    assert!(roster.apply_peer_change(10, whole(50, &["i-1", "i-2"])));
+    assert!(!roster.apply_peer_change(20, whole(49, &["i-1"])));
     assert_eq!(roster.revision(), at(50));
     assert_eq!(names(&roster), ["i-1", "i-2"]);
 }
--- a/src/explain.rs
+++ b/src/explain.rs
@@ -2,7 +2,7 @@
 
 use std::fmt;
 
-use fulmarpath_gateway::{RETURN_PREFIX, RequestRecord};
+use fulmarpath_gateway::{RequestRecord, STORE_RESTORED_PREFIX};
 use serde::Deserialize;
 
 /// What hosts believe may be of before a return of the store from a copy for so long; their clocks differ
@@ -96,7 +96,7 @@
             || run.is_some_and(|run| payload.contains(run))
             || (is_evacuated && payload.starts_with("evacuations:"))
             || (is_held_back && payload.starts_with("backpressure:"))
-            || (payload.starts_with(RETURN_PREFIX) && is_near(line.timestamp))
+            || (payload.starts_with(STORE_RESTORED_PREFIX) && is_near(line.timestamp))
             || (on_content && content.is_some_and(|content| payload.contains(content)))
     };
     let mut traces: Vec<Trace> = all
--- a/tests/explain.rs
+++ b/tests/explain.rs
@@ -1,7 +1,7 @@
 //! From a request's id and hosts' logs to its cause.
 
 use fulmarpath::explain;
-use fulmarpath::gateway::{Dispatch, REQUEST_PREFIX, RETURN_PREFIX, RequestRecord};
+use fulmarpath::gateway::{Dispatch, REQUEST_PREFIX, RequestRecord, STORE_RESTORED_PREFIX};
 use fulmarpath_policy::Revision;
 use rstest::rstest;
 
@@ -170,7 +170,7 @@
 #[case::while_it_ran(Return { at_ms: 100_500, is_shown: true })]
 #[case::long_before(Return { at_ms: 20_000, is_shown: false })]
 fn shows_that_the_store_came_back_from_a_copy(#[case] case: Return) {
-    let told = format!("{RETURN_PREFIX}era 2 follows 1, told by a watcher");
+    let told = format!("{STORE_RESTORED_PREFIX}era 2 follows 1, told by a watcher");
     let told = line(case.at_ms, &told);
     let answered = request_line(101_000, &record("answered", 200, &["i-1"]));
     let text = [told, answered].join("\n");
--- a/tests/log_lines.rs
+++ b/tests/log_lines.rs
@@ -95,7 +95,7 @@
             window_ms: 10_000,
         },
         seeds: Vec::new(),
-        lapse_ms: 3_600,
+        registration_ttl_ms: 3_600,
         change_bound_ms: 2_000,
         grace_ms: 4_000,
         evacuation_bound_ms: None,
