--- a/crates/gateway/src/carry.rs
+++ b/crates/gateway/src/carry.rs
@@ -8,7 +8,7 @@
 use futures::future::BoxFuture;
 use tokio::sync::oneshot;
 
-use crate::control::{Copied, CopyError, EngineControl};
+use crate::control::{CompletedCopy, CopyError, EngineControl};
 use crate::instance::Destination;
 use crate::runs::CarryOrder;
 
@@ -40,7 +40,7 @@
     /// Names the copy at the destination, once there is one.
     copy: Option<String>,
     answer: oneshot::Sender<CarryAnswer>,
-    call: BoxFuture<'static, Result<Copied, CopyError>>,
+    call: BoxFuture<'static, Result<CompletedCopy, CopyError>>,
 }
 
 impl Carrying {
@@ -108,14 +108,16 @@
         tokio::spawn(async move {
             let copy = match copy {
                 Some(copy) => Ok(copy),
-                None => call.await.map(|copied| copied.copy),
+                None => call.await.map(|copied| copied.copy_id),
             };
             let is_free = match copy {
                 // What has that name there now is another generation's.
                 _ if to.is_lost() => true,
-                Ok(copy) => control.give_up(to.address, &copy).await,
-                Err(CopyError::NoRoom { .. } | CopyError::Busy | CopyError::NoSource) => true,
-                Err(CopyError::NotThere | CopyError::Unknown) => false,
+                Ok(copy) => control.discard_copy(to.address, &copy).await,
+                Err(CopyError::NoRoom { .. } | CopyError::Busy | CopyError::SourceUnreachable) => {
+                    true
+                }
+                Err(CopyError::NotFound | CopyError::Unknown) => false,
             };
             let _ = home.send(if is_free {
                 answer
@@ -137,32 +139,36 @@
         }
     }
 
-    fn copied_first(&mut self, answer: Result<Copied, CopyError>) -> Step {
+    fn copied_first(&mut self, answer: Result<CompletedCopy, CopyError>) -> Step {
         let copied = match answer {
             Ok(copied) => copied,
-            Err(CopyError::NotThere) => return Step::NotThere,
+            Err(CopyError::NotFound) => return Step::NotThere,
             Err(CopyError::NoRoom { .. }) => return Step::Refused,
-            Err(CopyError::Busy | CopyError::NoSource) => return Step::Stayed,
+            Err(CopyError::Busy | CopyError::SourceUnreachable) => return Step::Stayed,
             Err(CopyError::Unknown) => return Step::LeftBehind,
         };
-        self.copy = Some(copied.copy);
+        self.copy = Some(copied.copy_id);
         let (control, source) = (self.control.clone(), self.source);
         let (id, to) = (self.request_id.clone(), self.to.address);
         self.call = Box::pin(async move { control.stop_and_copy(source, &id, to).await });
         Step::Copied
     }
 
-    fn copied_last(&mut self, answer: Result<Copied, CopyError>, first: String) -> Step {
+    fn copied_last(&mut self, answer: Result<CompletedCopy, CopyError>, first: String) -> Step {
         match answer {
             Ok(copied) => Step::Stopped {
                 to: self.to.clone(),
-                copy: copied.copy,
+                copy: copied.copy_id,
             },
-            Err(CopyError::NotThere) => Step::NotThere,
-            Err(CopyError::NoRoom { copy: Some(copy) }) => Step::StoppedHere { copy },
-            Err(CopyError::Busy | CopyError::NoSource | CopyError::NoRoom { copy: None }) => {
-                Step::Stayed
-            }
+            Err(CopyError::NotFound) => Step::NotThere,
+            Err(CopyError::NoRoom {
+                copy_id: Some(copy),
+            }) => Step::StoppedHere { copy },
+            Err(
+                CopyError::Busy
+                | CopyError::SourceUnreachable
+                | CopyError::NoRoom { copy_id: None },
+            ) => Step::Stayed,
             // It may have been stopped: the first copy and the source's own memory are tried.
             Err(CopyError::Unknown) => Step::Stopped {
                 to: self.to.clone(),
--- a/crates/gateway/src/cells.rs
+++ b/crates/gateway/src/cells.rs
@@ -10,7 +10,7 @@
 use parking_lot::Mutex;
 
 use crate::configuration::{EngineTraits, InForce};
-use crate::control::EngineSight;
+use crate::control::EngineStatus;
 use crate::directory::{Directory, RegisteredState, Registration};
 use crate::key::{centre_of, name_of, upstream_of};
 use crate::layout::{self, CellsByEngine};
@@ -191,17 +191,17 @@
         now_ms: Millis,
         cell: CellKey,
         engine: UpstreamKey,
-        sight: EngineSight,
+        sight: EngineStatus,
     ) -> bool {
         let mut tables = self.tables.lock();
         let Some(table) = tables.get_mut(&cell) else {
             return false;
         };
         match sight {
-            EngineSight::There => table.cell.see_there(engine),
-            EngineSight::Leaving { left_ms } => table.cell.see_leaving(now_ms, engine, left_ms),
-            EngineSight::Gone => table.cell.see_gone(engine),
-            EngineSight::Unknown => false,
+            EngineStatus::There => table.cell.see_there(engine),
+            EngineStatus::Leaving { left_ms } => table.cell.see_leaving(now_ms, engine, left_ms),
+            EngineStatus::Gone => table.cell.see_gone(engine),
+            EngineStatus::Unknown => false,
         }
     }
 
--- a/crates/gateway/src/control.rs
+++ b/crates/gateway/src/control.rs
@@ -10,10 +10,10 @@
 pub enum CopyError {
     /// The engine doesn't run the generation, or no more.
     #[error("could not find the generation on the engine")]
-    NotThere,
+    NotFound,
     /// The engine that runs the generation can't be reached; nothing was asked of it.
     #[error("could not reach the engine that runs the generation")]
-    NoSource,
+    SourceUnreachable,
     /// Another copy of the generation is under way.
     #[error("could not copy while another copy is under way")]
     Busy,
@@ -22,7 +22,7 @@
     #[error("could not copy to the destination")]
     NoRoom {
         /// Names the memory at the source, where the generation was stopped.
-        copy: Option<String>,
+        copy_id: Option<String>,
     },
     /// No answer: the generation may have been stopped.
     #[error("could not learn what became of the copy")]
@@ -31,7 +31,7 @@
 
 /// How an engine is by its own word.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum EngineSight {
+pub enum EngineStatus {
     /// It is there and takes work.
     There,
     /// It leaves, and has said how long it will be there.
@@ -47,18 +47,18 @@
 
 /// What an engine says when it is asked how it is.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct EngineLook {
+pub struct ProbeResult {
     /// When the start that answers began, in Unix milliseconds by its own clock.
     pub born_ms: Option<Millis>,
     /// How it is.
-    pub sight: EngineSight,
+    pub status: EngineStatus,
 }
 
 /// A copy at its destination.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Copied {
+pub struct CompletedCopy {
     /// Names the copy.
-    pub copy: String,
+    pub copy_id: String,
     /// Events that the generation had made.
     pub events: u64,
 }
@@ -72,17 +72,17 @@
         source: SocketAddr,
         request_id: &str,
         to: SocketAddr,
-    ) -> Result<Copied, CopyError>;
+    ) -> Result<CompletedCopy, CopyError>;
     /// Stops a generation, then copies the rest of its memory.
     async fn stop_and_copy(
         &self,
         source: SocketAddr,
         request_id: &str,
         to: SocketAddr,
-    ) -> Result<Copied, CopyError>;
+    ) -> Result<CompletedCopy, CopyError>;
     /// Gives up a copy that nothing will use, at the engine that holds it; whether that is known to
     /// have succeeded.
-    async fn give_up(&self, holder: SocketAddr, copy: &str) -> bool;
+    async fn discard_copy(&self, holder: SocketAddr, copy_id: &str) -> bool;
     /// Asks an engine how it is, as of some hundred ms ago.
-    async fn look(&self, engine: SocketAddr) -> EngineLook;
+    async fn probe(&self, engine: SocketAddr) -> ProbeResult;
 }
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -62,7 +62,7 @@
     CallerLimits, Configuration, EngineTraits, InForce, Organisation, Route, RouteKind, Service,
     Share,
 };
-pub use control::{Copied, CopyError, EngineControl, EngineLook, EngineSight};
+pub use control::{CompletedCopy, CopyError, EngineControl, EngineStatus, ProbeResult};
 pub use directory::{
     Departure, Directory, DirectoryChange, HostRegistration, RegisteredState, Registration,
 };
--- a/crates/gateway/src/look.rs
+++ b/crates/gateway/src/look.rs
@@ -16,7 +16,7 @@
 use spdlog::{info, warn};
 use tokio::time::sleep;
 
-use crate::control::EngineLook;
+use crate::control::ProbeResult;
 use crate::gateway::Gateway;
 
 /// Between two looks at one engine for whatever reason. With the age of its reports a notice is heard so
@@ -89,11 +89,11 @@
         let Some(destination) = self.instances.find(engine) else {
             return;
         };
-        let look = self.control.look(destination.address).await;
+        let look = self.control.probe(destination.address).await;
         if !self.is_word_of(engine, look) {
             return;
         }
-        let sight = look.sight;
+        let sight = look.status;
         let now_ms = self.clock.now_ms();
         if self.cells.see(now_ms, cell, engine, sight) {
             info!("cells: {:016x} was looked at: {sight:?}", engine.0);
@@ -102,7 +102,7 @@
 
     /// Whether what was heard is of the start that was asked. A later one makes itself known by it; an
     /// earlier one's word was late.
-    fn is_word_of(&self, engine: UpstreamKey, look: EngineLook) -> bool {
+    fn is_word_of(&self, engine: UpstreamKey, look: ProbeResult) -> bool {
         let known = self.instances.registration(engine);
         let Some((known, heard_ms)) = known.zip(look.born_ms) else {
             return true;
