--- a/crates/gateway/src/cells.rs
+++ b/crates/gateway/src/cells.rs
@@ -9,7 +9,7 @@
 use fulmarpath_wire::{CellKey, Restatement};
 use parking_lot::Mutex;
 
-use crate::configuration::{EngineTraits, InForce};
+use crate::configuration::{ActiveConfiguration, EngineTraits};
 use crate::control::EngineStatus;
 use crate::directory::{Directory, RegisteredState, Registration};
 use crate::key::{centre_of, name_of, upstream_of};
@@ -45,7 +45,7 @@
     pub(crate) fn adopt(
         &self,
         now_ms: Millis,
-        in_force: &InForce,
+        in_force: &ActiveConfiguration,
         directory: &Directory,
         standing_of: impl Fn(UpstreamKey) -> Standing,
     ) -> bool {
--- a/crates/gateway/src/configuration.rs
+++ b/crates/gateway/src/configuration.rs
@@ -132,7 +132,7 @@
 
 /// A configuration, ready for look-ups.
 #[derive(Debug)]
-pub struct InForce {
+pub struct ActiveConfiguration {
     /// As the operator wrote it.
     pub configuration: Configuration,
     by_host: HashMap<String, HashMap<String, usize>>,
@@ -140,7 +140,7 @@
     by_service: HashMap<String, usize>,
 }
 
-impl InForce {
+impl ActiveConfiguration {
     /// Prepares look-ups.
     pub fn new(configuration: Configuration) -> Self {
         let mut by_host: HashMap<String, HashMap<String, usize>> = HashMap::new();
@@ -193,7 +193,7 @@
     }
 
     /// Whether requests of `route` must bear a key.
-    pub fn asks_key(&self, route: &Route) -> bool {
+    pub fn requires_key(&self, route: &Route) -> bool {
         !route.is_public && !self.configuration.organisations.is_empty()
     }
 }
--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -14,7 +14,7 @@
 use spdlog::info;
 
 use crate::cells::Cells;
-use crate::configuration::{Configuration, InForce};
+use crate::configuration::{ActiveConfiguration, Configuration};
 use crate::control::EngineControl;
 use crate::directory::{Directory, HostRegistration};
 use crate::fleet::Fleet;
@@ -78,7 +78,7 @@
     pub(crate) skipped: Spacing,
     pub(crate) store_era: StoreEra,
     pub(crate) control: Arc<dyn EngineControl>,
-    in_force: ArcSwapOption<InForce>,
+    in_force: ArcSwapOption<ActiveConfiguration>,
     retries: Mutex<HashMap<String, RetryWindow>>,
     retry_bound: Mutex<RetryBound>,
     /// When the configuration in force came.
@@ -130,7 +130,7 @@
     }
 
     /// The configuration in force here.
-    pub fn in_force(&self) -> Option<Arc<InForce>> {
+    pub fn in_force(&self) -> Option<Arc<ActiveConfiguration>> {
         self.in_force.load_full()
     }
 
@@ -146,7 +146,7 @@
     /// change that callers have seen; versions grow, so comparing them is enough.
     pub(crate) fn adopt(&self, configuration: Configuration, source: &str) -> bool {
         let version = configuration.version;
-        let newer = Arc::new(InForce::new(configuration));
+        let newer = Arc::new(ActiveConfiguration::new(configuration));
         let held = self.in_force.rcu(|held| match held {
             Some(held) if held.configuration.version >= version => Some(held.clone()),
             _ => Some(newer.clone()),
--- a/crates/gateway/src/intake.rs
+++ b/crates/gateway/src/intake.rs
@@ -14,7 +14,7 @@
 use tokio::time::timeout;
 use xxhash_rust::xxh3::Xxh3;
 
-use crate::configuration::{InForce, Route, RouteKind};
+use crate::configuration::{ActiveConfiguration, Route, RouteKind};
 use crate::gateway::Gateway;
 use crate::head::{GenerationHead, HeadError};
 use crate::hop;
@@ -102,7 +102,7 @@
         if let Some(generation) = &head.generation {
             journey.asks(generation);
         }
-        let holder = match in_force.asks_key(route) {
+        let holder = match in_force.requires_key(route) {
             true => {
                 let key = head.api_key.as_deref().ok_or(Problem::UnknownKey)?;
                 Some(in_force.organisation(key).ok_or(Problem::UnknownKey)?)
@@ -137,7 +137,7 @@
     }
 }
 
-fn find_route<'a>(in_force: &'a InForce, parts: &Parts) -> Option<&'a Route> {
+fn find_route<'a>(in_force: &'a ActiveConfiguration, parts: &Parts) -> Option<&'a Route> {
     let host = parts.headers.get(HOST)?.to_str().ok()?;
     in_force.route(host, parts.uri.path())
 }
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -59,8 +59,8 @@
 mod upstream_table;
 
 pub use configuration::{
-    CallerLimits, Configuration, EngineTraits, InForce, Organisation, Route, RouteKind, Service,
-    Share,
+    ActiveConfiguration, CallerLimits, Configuration, EngineTraits, Organisation, Route, RouteKind,
+    Service, Share,
 };
 pub use control::{CompletedCopy, CopyError, EngineControl, EngineStatus, ProbeResult};
 pub use directory::{
--- a/crates/gateway/src/standing.rs
+++ b/crates/gateway/src/standing.rs
@@ -4,7 +4,7 @@
 
 use fulmarpath_policy::{Cold, ColdBound, Millis};
 
-use crate::configuration::InForce;
+use crate::configuration::ActiveConfiguration;
 
 /// What the upstreams of one service bear while they are cold.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
@@ -23,7 +23,7 @@
 
 impl Allowances {
     /// By the operator's bound and each service's own figures.
-    pub(crate) fn of(bound: Option<ColdBound>, in_force: Option<&InForce>) -> Self {
+    pub(crate) fn of(bound: Option<ColdBound>, in_force: Option<&ActiveConfiguration>) -> Self {
         let Some((bound, in_force)) = bound.zip(in_force) else {
             return Self::default();
         };
