--- a/crates/gateway/src/attempt.rs
+++ b/crates/gateway/src/attempt.rs
@@ -13,7 +13,7 @@
 
 use crate::crashes::BrokenRun;
 use crate::gateway::Gateway;
-use crate::head::{AnswerHead, Continuation, Outbound};
+use crate::head::{Continuation, Outbound, ResponseHead};
 use crate::instance::Chosen;
 use crate::intake::Inquiry;
 use crate::journey::{ANSWERED, Flight, Journey};
@@ -30,7 +30,7 @@
 
 /// An upstream's answer whose body is still to come.
 pub(crate) struct Answer {
-    pub(crate) head: AnswerHead,
+    pub(crate) head: ResponseHead,
     pub(crate) response: Response<Incoming>,
     pub(crate) flight: Flight,
     /// Closed when dropped, whereupon the upstream gives the request up.
@@ -159,7 +159,9 @@
                 return Err(Failure::Overdue);
             }
         };
-        let head = self.dialect.answer(response.status(), response.headers());
+        let head = self
+            .dialect
+            .read_response(response.status(), response.headers());
         let now_ms = self.clock.now_ms();
         let is_stray = !head.is_not_run && head.id.as_deref() != Some(id);
         let is_other = response.status() == StatusCode::MISDIRECTED_REQUEST;
@@ -211,7 +213,8 @@
         *request.method_mut() = inquiry.method.clone();
         *request.uri_mut() = inquiry.uri.clone();
         *request.headers_mut() = inquiry.headers.clone();
-        self.dialect.outbound(request.headers_mut(), &outbound);
+        self.dialect
+            .write_outbound(request.headers_mut(), &outbound);
         request
     }
 }
--- a/crates/gateway/src/forward.rs
+++ b/crates/gateway/src/forward.rs
@@ -60,7 +60,7 @@
                 self.answer_whole(inquiry, journey).await
             }
         };
-        self.dialect.own_answer(reply.headers_mut(), &id);
+        self.dialect.write_own_response(reply.headers_mut(), &id);
         self.tell_to_leave(&mut reply);
         reply
     }
@@ -69,7 +69,8 @@
     pub(crate) fn decline(&self, mut journey: Journey, problem: Problem) -> Reply {
         journey.problem(problem);
         let mut reply = reply(problem);
-        self.dialect.own_answer(reply.headers_mut(), &journey.id);
+        self.dialect
+            .write_own_response(reply.headers_mut(), &journey.id);
         self.tell_to_leave(&mut reply);
         reply
     }
@@ -170,7 +171,7 @@
         match failed_answer {
             Some(whole) => Ok(whole),
             // A request that may have run must never be said not to have run.
-            None if runs > 0 && problem.says_not_run() => Err(Problem::Broken),
+            None if runs > 0 && problem.guarantees_not_run() => Err(Problem::Broken),
             None => Err(self.when_refused(problem, &inquiry.service)),
         }
     }
--- a/crates/gateway/src/head.rs
+++ b/crates/gateway/src/head.rs
@@ -64,7 +64,7 @@
     /// The engine that has the copy, or that stopped the generation.
     pub source: SocketAddr,
     /// Names the copy there.
-    pub copy: String,
+    pub copy_id: String,
 }
 
 /// What is told to an upstream beside the caller's own request.
@@ -86,7 +86,7 @@
 
 /// What the head of an upstream's answer says.
 #[derive(Debug, Clone, PartialEq)]
-pub struct AnswerHead {
+pub struct ResponseHead {
     /// The request that it answers.
     pub id: Option<String>,
     /// The upstream states that it has not run the request and never will.
@@ -107,13 +107,13 @@
     ///
     /// # Errors
     /// [`HeadError`]
-    fn request(&self, headers: &HeaderMap) -> Result<RequestHead, HeadError>;
+    fn read_request(&self, headers: &HeaderMap) -> Result<RequestHead, HeadError>;
     /// Takes from a caller's request what isn't the caller's to say, and adds what is ours.
-    fn outbound(&self, headers: &mut HeaderMap, outbound: &Outbound);
+    fn write_outbound(&self, headers: &mut HeaderMap, outbound: &Outbound);
     /// Reads an upstream's answer.
-    fn answer(&self, status: StatusCode, headers: &HeaderMap) -> AnswerHead;
+    fn read_response(&self, status: StatusCode, headers: &HeaderMap) -> ResponseHead;
     /// Names in an answer of our own the request that it answers.
-    fn own_answer(&self, headers: &mut HeaderMap, id: &str);
+    fn write_own_response(&self, headers: &mut HeaderMap, id: &str);
     /// The number of an event, where it bears one.
     fn event_number(&self, event: &[u8]) -> Option<u64>;
 }
--- a/crates/gateway/src/intake.rs
+++ b/crates/gateway/src/intake.rs
@@ -80,7 +80,7 @@
         journey: &mut Journey,
     ) -> Result<Inquiry, Problem> {
         let (parts, body) = request.into_parts();
-        let head = self.dialect.request(&parts.headers);
+        let head = self.dialect.read_request(&parts.headers);
         if let Ok(head) = &head {
             journey.id.clone_from(&head.id);
         }
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -68,7 +68,8 @@
 };
 pub use gateway::{Gateway, GatewaySettings};
 pub use head::{
-    AnswerHead, Continuation, Dialect, GenerationHead, HeadError, Outbound, PromptPart, RequestHead,
+    Continuation, Dialect, GenerationHead, HeadError, Outbound, PromptPart, RequestHead,
+    ResponseHead,
 };
 pub use metadata::{
     Change, Changes, CircuitRegistry, Collection, Freshness, HostRegistry, Metadata, Snapshot,
--- a/crates/gateway/src/problem.rs
+++ b/crates/gateway/src/problem.rs
@@ -44,7 +44,8 @@
         retry_after_ms: Millis,
     },
     /// Every upstream of the service that takes work asks for no more now, by a limit or for rest.
-    HeldBack {
+    #[serde(rename = "held_back")]
+    Throttled {
         /// When to come back.
         retry_after_ms: Millis,
     },
@@ -81,7 +82,7 @@
             | Self::Full { .. }
             | Self::Evacuated { .. }
             | Self::Cold { .. }
-            | Self::HeldBack { .. }
+            | Self::Throttled { .. }
             | Self::Quarantined { .. }
             | Self::Stopping
             | Self::TooLarge
@@ -93,7 +94,7 @@
     }
 
     /// Whether it promises that the request has not run and never will.
-    pub(crate) fn says_not_run(self) -> bool {
+    pub(crate) fn guarantees_not_run(self) -> bool {
         self.status() == StatusCode::SERVICE_UNAVAILABLE
     }
 
@@ -111,7 +112,7 @@
             Self::Full { .. } => "full",
             Self::Evacuated { .. } => "evacuated",
             Self::Cold { .. } => "cold",
-            Self::HeldBack { .. } => "held_back",
+            Self::Throttled { .. } => "held_back",
             Self::Quarantined { .. } => "quarantined",
             Self::Stopping => "stopping",
             Self::TooLarge => "too_large",
@@ -134,7 +135,7 @@
             Self::Full { retry_after_ms }
             | Self::Evacuated { retry_after_ms }
             | Self::Cold { retry_after_ms }
-            | Self::HeldBack { retry_after_ms }
+            | Self::Throttled { retry_after_ms }
             | Self::Quarantined { retry_after_ms } => Some(retry_after_ms),
             // Larger engines may come with another configuration, not sooner.
             Self::TooLarge => Some(30_000),
--- a/crates/gateway/src/recovery.rs
+++ b/crates/gateway/src/recovery.rs
@@ -191,7 +191,7 @@
             backup: backup.as_ref().map(|backup| backup.address),
             continuation: Some(Continuation {
                 source,
-                copy: copy.to_owned(),
+                copy_id: copy.to_owned(),
             }),
             last_event: self.last_event,
         };
--- a/crates/gateway/src/start.rs
+++ b/crates/gateway/src/start.rs
@@ -62,7 +62,7 @@
 
     /// What a caller may be told: a request that may have run must never be said not to have run.
     fn honest(&self, problem: Problem) -> Problem {
-        match self.runs > 0 && problem.says_not_run() {
+        match self.runs > 0 && problem.guarantees_not_run() {
             true => Problem::Broken,
             false => problem,
         }
--- a/crates/gateway/src/starts.rs
+++ b/crates/gateway/src/starts.rs
@@ -127,7 +127,7 @@
                     }
                 }
                 Found::Later { opens_ms } if opens_ms > until_ms => {
-                    return Err(Problem::HeldBack {
+                    return Err(Problem::Throttled {
                         retry_after_ms: opens_ms - now_ms,
                     });
                 }
@@ -185,7 +185,7 @@
     pub(crate) fn when_refused(&self, problem: Problem, service: &str) -> Problem {
         let now_ms = self.clock.now_ms();
         match (problem, self.instances.opens_ms(now_ms, service)) {
-            (Problem::AllRefused, Some(opens_ms)) => Problem::HeldBack {
+            (Problem::AllRefused, Some(opens_ms)) => Problem::Throttled {
                 retry_after_ms: opens_ms - now_ms,
             },
             _ => problem,
