--- a/crates/bench/src/slopes/bytes.rs
+++ b/crates/bench/src/slopes/bytes.rs
@@ -4,8 +4,8 @@
     Ask, AskId, Bounds, EngineLoad, HostKey, OrganisationKey, PermitKey, ServiceKey, UpstreamKey,
 };
 use fulmarpath_wire::{
-    AskAnswer, AskReply, ClaimAnswer, ClaimAsk, LimitAnswer, MemberNote, MemberState, PermitId,
-    Ping, Pong, Progress, ProgressReply, Rumour, RunState, SlotAsk, Versions,
+    ClaimAnswer, ClaimRequest, LimitAnswer, MemberInfo, MemberState, PermitAnswer, PermitId,
+    PermitReply, Ping, Pong, Progress, ProgressReply, Rumour, RunState, SlotRequest, Versions,
 };
 use serde::Serialize;
 use tarpc::tokio_serde::Serializer;
@@ -80,8 +80,8 @@
         epoch: u64::MAX,
         key: PermitKey::default(),
     };
-    let granted = AskReply {
-        answer: AskAnswer::Granted {
+    let granted = PermitReply {
+        answer: PermitAnswer::Granted {
             permit,
             priority: 1,
         },
@@ -95,7 +95,7 @@
     };
     let report = |count| (HostKey(u64::MAX), vec![progress; count]);
     let nothing = ProgressReply::default();
-    let slot = SlotAsk {
+    let slot = SlotRequest {
         organisation: OrganisationKey(u64::MAX),
         host: HostKey(u64::MAX),
         bounds: Bounds {
@@ -103,7 +103,7 @@
             concurrent: 400,
         },
     };
-    let claim = ClaimAsk {
+    let claim = ClaimRequest {
         key: u128::MAX,
         request_hash: u64::MAX,
         generation: "0123456789abcdef.0123456789abcdef.0123456789abcdef0123456789abcdef".into(),
@@ -133,7 +133,7 @@
 
 fn rumour() -> Rumour {
     Rumour {
-        member: MemberNote {
+        member: MemberInfo {
             name: "zrh-a-entry-117".into(),
             data_centre: "zrh-a".into(),
             address: ([10, 0, 0, 1], 7_080).into(),
--- a/crates/bench/src/slopes/cpu.rs
+++ b/crates/bench/src/slopes/cpu.rs
@@ -7,7 +7,7 @@
     Ask, AskId, Bounds, HostKey, OrganisationKey, PermitKey, ServiceKey, UpstreamKey,
 };
 use fulmarpath_wire::{
-    MemberNote, MemberState, PeerClient, PermitId, Ping, Progress, Rumour, RunState, SlotAsk,
+    MemberInfo, MemberState, PeerClient, PermitId, Ping, Progress, Rumour, RunState, SlotRequest,
     Versions,
 };
 use tarpc::client::Config;
@@ -73,7 +73,7 @@
         }
     })
     .await;
-    let slot = SlotAsk {
+    let slot = SlotRequest {
         organisation: OrganisationKey(1),
         host: HostKey(1),
         bounds: Bounds {
@@ -138,7 +138,7 @@
 fn ping(address: std::net::SocketAddr) -> Ping {
     Ping {
         from: Rumour {
-            member: MemberNote {
+            member: MemberInfo {
                 name: "host-1".into(),
                 data_centre: "zrh-b".into(),
                 address,
--- a/crates/bench/src/slopes/memory.rs
+++ b/crates/bench/src/slopes/memory.rs
@@ -9,7 +9,7 @@
     Ask, AskId, Home, HomeSettings, HostKey, Lengths, OrganisationKey, ServiceKey, Weights,
 };
 use fulmarpath_standin::EngineSpec;
-use fulmarpath_wire::MemberNote;
+use fulmarpath_wire::MemberInfo;
 use futures::future::join_all;
 
 use super::{Slope, fit};
@@ -69,7 +69,7 @@
 }
 
 fn members(count: u32) -> Members {
-    let note = |number: u32| MemberNote {
+    let note = |number: u32| MemberInfo {
         name: format!("zrh-a-entry-{number}"),
         data_centre: "zrh-a".into(),
         address: ([10, 0, (number >> 8) as u8, number as u8], 7_080).into(),
--- a/crates/cluster/src/claims.rs
+++ b/crates/cluster/src/claims.rs
@@ -10,7 +10,7 @@
 
 use bytes::Bytes;
 use fulmarpath_store::{ObjectApi, PlatformError};
-use fulmarpath_wire::{ClaimAnswer, ClaimAsk};
+use fulmarpath_wire::{ClaimAnswer, ClaimRequest};
 use parking_lot::Mutex;
 use serde::{Deserialize, Serialize};
 use spdlog::warn;
@@ -110,7 +110,7 @@
     folded: u64,
 }
 
-type Waiter = (ClaimAsk, oneshot::Sender<ClaimAnswer>);
+type Waiter = (ClaimRequest, oneshot::Sender<ClaimAnswer>);
 
 /// The shards that this host writes.
 pub struct ClaimLog {
@@ -139,7 +139,7 @@
     }
 
     /// Claims a key, or tells who holds it.
-    pub async fn claim(&self, ask: ClaimAsk) -> ClaimAnswer {
+    pub async fn claim(&self, ask: ClaimRequest) -> ClaimAnswer {
         let writer = self.writer(self.settings.shard(ask.key));
         let (sender, receiver) = oneshot::channel();
         if writer.try_send((ask, sender)).is_err() {
@@ -404,7 +404,7 @@
 }
 
 /// What a held record says to an ask; `None` where a new record is to be written.
-fn decide(held: &Record, ask: &ClaimAsk) -> Option<ClaimAnswer> {
+fn decide(held: &Record, ask: &ClaimRequest) -> Option<ClaimAnswer> {
     if held.generation == ask.generation {
         return Some(ClaimAnswer::Claimed);
     }
--- a/crates/cluster/src/crashes.rs
+++ b/crates/cluster/src/crashes.rs
@@ -6,7 +6,7 @@
 use async_trait::async_trait;
 use fulmarpath_policy::{Circuit, ContentKey, HostKey, Millis, ServiceKey, UpstreamKey};
 use fulmarpath_store::ListedState;
-use fulmarpath_wire::{MemberNote, NoAnswer, PeerClient};
+use fulmarpath_wire::{MemberInfo, NoAnswer, PeerClient};
 use spdlog::info;
 
 use crate::circuit_breakers::{CRASH_HOMES, CircuitBreakers};
@@ -32,7 +32,7 @@
         self.key
     }
 
-    fn crash_homes(&self, service: ServiceKey) -> Vec<(HostKey, MemberNote)> {
+    fn crash_homes(&self, service: ServiceKey) -> Vec<(HostKey, MemberInfo)> {
         self.members.lock().homes_of(service.0, CRASH_HOMES)
     }
 
--- a/crates/cluster/src/homes.rs
+++ b/crates/cluster/src/homes.rs
@@ -9,7 +9,7 @@
     Weights,
 };
 use fulmarpath_upstream::{EngineState, LoadReport};
-use fulmarpath_wire::{AskAnswer, AskReply, PermitId, Progress, ProgressReply, RunState};
+use fulmarpath_wire::{PermitAnswer, PermitId, PermitReply, Progress, ProgressReply, RunState};
 use futures::future::join_all;
 use parking_lot::Mutex;
 use spdlog::warn;
@@ -63,7 +63,7 @@
 struct Tables {
     entries: HashMap<UpstreamKey, Entry>,
     lengths: Lengths,
-    waiters: HashMap<AskId, oneshot::Sender<AskAnswer>>,
+    waiters: HashMap<AskId, oneshot::Sender<PermitAnswer>>,
     moves: HashMap<HostKey, Vec<PermitId>>,
 }
 
@@ -92,7 +92,7 @@
         upstream: UpstreamKey,
         settings: HomeSettings,
         ask: Ask,
-    ) -> AskReply {
+    ) -> PermitReply {
         let (sender, receiver) = oneshot::channel();
         {
             let mut tables = self.tables.lock();
@@ -106,9 +106,9 @@
                     epoch: self.epoch,
                     key,
                 };
-                let answer = AskAnswer::Granted { permit, priority };
+                let answer = PermitAnswer::Granted { permit, priority };
                 let load = entry.load();
-                return AskReply { answer, load };
+                return PermitReply { answer, load };
             }
             tables.waiters.insert(ask.id, sender);
             entry.home.ask(now_ms, ask, &tables.lengths);
@@ -119,8 +119,8 @@
         let mut tables = self.tables.lock();
         tables.waiters.remove(&ask.id);
         let load = tables.entries.get(&upstream).map(Entry::load);
-        AskReply {
-            answer: answer.unwrap_or(AskAnswer::Queued),
+        PermitReply {
+            answer: answer.unwrap_or(PermitAnswer::Queued),
             load: load.unwrap_or_default(),
         }
     }
@@ -143,7 +143,7 @@
                         epoch: self.epoch,
                         key: permit,
                     };
-                    (ask, AskAnswer::Granted { permit, priority })
+                    (ask, PermitAnswer::Granted { permit, priority })
                 }
                 Outcome::Refused {
                     ask,
@@ -151,7 +151,7 @@
                     retry_after_ms,
                     ..
                 } => {
-                    let answer = AskAnswer::Refused {
+                    let answer = PermitAnswer::Refused {
                         reason,
                         retry_after_ms,
                     };
@@ -230,10 +230,10 @@
             home.progress(now_ms, key, one.out_tokens);
             match one.state {
                 RunState::Running => {}
-                RunState::Whole => {
+                RunState::Complete => {
                     home.finish(now_ms, key, one.out_tokens, &mut tables.lengths);
                 }
-                RunState::Left => home.cancel(key),
+                RunState::Incomplete => home.cancel(key),
             }
             if one.state != RunState::Running {
                 self.step(now_ms, tables, one.upstream);
--- a/crates/cluster/src/members.rs
+++ b/crates/cluster/src/members.rs
@@ -6,7 +6,7 @@
 use std::collections::HashMap;
 
 use fulmarpath_policy::{HostKey, Millis, rank};
-use fulmarpath_wire::{MemberNote, MemberState, Rumour};
+use fulmarpath_wire::{MemberInfo, MemberState, Rumour};
 
 /// How long a suspect may refute before it counts as dead.
 const SUSPICION_MS: Millis = 1_500;
@@ -45,7 +45,7 @@
     ///
     /// `incarnation` must be higher than at any earlier start of the same name; the wall clock
     /// serves, and where it doesn't, the host refutes its own death and goes on from there.
-    pub fn new(me: MemberNote, incarnation: u64) -> Self {
+    pub fn new(me: MemberInfo, incarnation: u64) -> Self {
         let key = HostKey::of(&me.name);
         let rumour = Rumour {
             member: me,
@@ -80,7 +80,7 @@
     }
 
     /// Adds a member that the host list names and nobody has heard of.
-    pub fn seed(&mut self, now_ms: Millis, member: MemberNote) {
+    pub fn seed(&mut self, now_ms: Millis, member: MemberInfo) {
         let key = HostKey::of(&member.name);
         if self.known.contains_key(&key) {
             return;
@@ -206,7 +206,7 @@
 
     /// The next member to ping: each once in a round, in an order that `draw` shuffles. Where many stand
     /// near, most pings go to them.
-    pub fn next_target(&mut self, draw: u64) -> Option<MemberNote> {
+    pub fn next_target(&mut self, draw: u64) -> Option<MemberInfo> {
         self.pings = self.pings.wrapping_add(1);
         let is_far = self.pings.is_multiple_of(FAR_PERIOD);
         let data_centre = self.known[&self.me].rumour.member.data_centre.clone();
@@ -229,7 +229,7 @@
         round: &mut Vec<HostKey>,
         draw: u64,
         is_of_round: impl Fn(&Known) -> bool,
-    ) -> Option<MemberNote> {
+    ) -> Option<MemberInfo> {
         loop {
             if round.is_empty() {
                 let others = self.others().filter(|(_, known)| is_of_round(known));
@@ -248,7 +248,7 @@
     /// Members that answer, a few drawn at random, for a newcomer to ask: those of its data centre first;
     /// this host among those that may be drawn. Whoever had its address before is gone, though nobody
     /// may have noticed yet: it would ask itself.
-    pub fn sample(&self, newcomer: &MemberNote, draw: u64, count: usize) -> Vec<Rumour> {
+    pub fn sample(&self, newcomer: &MemberInfo, draw: u64, count: usize) -> Vec<Rumour> {
         let alive = self.known.iter();
         let mut alive: Vec<((bool, u64), &Known)> = alive
             .filter(|(_, known)| known.rumour.state == MemberState::Alive)
@@ -277,7 +277,7 @@
     }
 
     /// Members that may be asked to ping another one.
-    pub fn helpers(&self, target: HostKey, draw: u64, count: usize) -> Vec<MemberNote> {
+    pub fn helpers(&self, target: HostKey, draw: u64, count: usize) -> Vec<MemberInfo> {
         let mut others: Vec<(HostKey, &Known)> = self
             .others()
             .filter(|(key, known)| *key != target && known.rumour.state == MemberState::Alive)
@@ -290,7 +290,7 @@
     }
 
     /// Members that can be home of something; suspects still count, lest homes move at each hiccup.
-    pub fn homes(&self) -> impl Iterator<Item = (HostKey, &MemberNote)> {
+    pub fn homes(&self) -> impl Iterator<Item = (HostKey, &MemberInfo)> {
         self.known
             .iter()
             .filter(|(_, known)| {
@@ -303,7 +303,7 @@
     }
 
     /// The homes of a thing, best first.
-    pub fn homes_of(&self, thing: u64, count: usize) -> Vec<(HostKey, MemberNote)> {
+    pub fn homes_of(&self, thing: u64, count: usize) -> Vec<(HostKey, MemberInfo)> {
         best(thing, self.homes(), count)
     }
 
@@ -316,7 +316,7 @@
         thing: u64,
         data_centre: &str,
         count: usize,
-    ) -> Vec<(HostKey, MemberNote)> {
+    ) -> Vec<(HostKey, MemberInfo)> {
         let near = self
             .homes()
             .filter(|(_, note)| note.data_centre == data_centre);
@@ -385,10 +385,10 @@
 
 fn best<'a>(
     thing: u64,
-    members: impl Iterator<Item = (HostKey, &'a MemberNote)>,
+    members: impl Iterator<Item = (HostKey, &'a MemberInfo)>,
     count: usize,
-) -> Vec<(HostKey, MemberNote)> {
-    let mut ranked: Vec<(u64, HostKey, &MemberNote)> = members
+) -> Vec<(HostKey, MemberInfo)> {
+    let mut ranked: Vec<(u64, HostKey, &MemberInfo)> = members
         .map(|(key, note)| (rank(thing, key.0), key, note))
         .collect();
     ranked.sort_by_key(|(rank, _, _)| std::cmp::Reverse(*rank));
--- a/crates/cluster/src/node.rs
+++ b/crates/cluster/src/node.rs
@@ -13,8 +13,8 @@
 use fulmarpath_store::{HostEntry, HostList, HostListing, ListedState, ObjectApi, Role};
 use fulmarpath_upstream::Plain;
 use fulmarpath_wire::{
-    ClaimAnswer, ClaimAsk, Document, FetchAnswer, LimitAnswer, MemberNote, MemberState, PeerClient,
-    Peers, SlotAsk,
+    ClaimAnswer, ClaimRequest, Document, FetchAnswer, LimitAnswer, MemberInfo, MemberState,
+    PeerClient, Peers, SlotRequest,
 };
 use futures::future::join_all;
 use parking_lot::Mutex;
@@ -110,7 +110,7 @@
         host_list: Arc<dyn HostList>,
         engines: Arc<dyn Engines>,
     ) -> Result<Arc<Self>, StartError> {
-        let note = MemberNote {
+        let note = MemberInfo {
             name: settings.host.clone(),
             data_centre: settings.data_centre.clone(),
             address: settings.peer_address,
@@ -231,7 +231,7 @@
         organisation: OrganisationKey,
         bounds: Bounds,
     ) -> Result<(), Over> {
-        let ask = SlotAsk {
+        let ask = SlotRequest {
             organisation,
             host: self.key,
             bounds,
@@ -267,7 +267,7 @@
         }
     }
 
-    pub(crate) fn answer_slot(&self, ask: SlotAsk) -> LimitAnswer {
+    pub(crate) fn answer_slot(&self, ask: SlotRequest) -> LimitAnswer {
         let now_ms = self.clock.now_ms();
         let mut limits = self.limits.lock();
         match limits.take(now_ms, ask.organisation, ask.host, ask.bounds) {
@@ -322,7 +322,7 @@
     ///
     /// Which host writes is only a hint: a second one that believes to be home races on the
     /// conditional create, and one of the two loses.
-    pub async fn claim(&self, ask: ClaimAsk) -> ClaimAnswer {
+    pub async fn claim(&self, ask: ClaimRequest) -> ClaimAnswer {
         if !self.has(Safeguard::Claim) {
             return ClaimAnswer::Claimed;
         }
@@ -386,7 +386,7 @@
                 rumours: Vec::new(),
                 versions: self.versions(),
             };
-            let present: Vec<MemberNote> = members
+            let present: Vec<MemberInfo> = members
                 .present()
                 .filter(|rumour| rumour.state != MemberState::Leaving)
                 .map(|rumour| rumour.member.clone())
@@ -426,7 +426,7 @@
     async fn tidy_peers(self: Arc<Self>) {
         loop {
             tokio::time::sleep(TIDY_PERIOD).await;
-            self.peers.tidy();
+            self.peers.close_idle();
         }
     }
 }
@@ -434,12 +434,12 @@
 const TIDY_PERIOD: Duration = Duration::from_millis(1_000);
 
 /// The live entry hosts of a list.
-pub(crate) fn entry_hosts(listing: &HostListing) -> impl Iterator<Item = MemberNote> {
+pub(crate) fn entry_hosts(listing: &HostListing) -> impl Iterator<Item = MemberInfo> {
     listing
         .hosts
         .iter()
         .filter(|host| host.role == Role::Entry && host.state == ListedState::Live)
-        .map(|host| MemberNote {
+        .map(|host| MemberInfo {
             name: host.name.clone(),
             data_centre: host.data_centre.clone(),
             address: host.address,
--- a/crates/cluster/src/permits.rs
+++ b/crates/cluster/src/permits.rs
@@ -9,7 +9,9 @@
     UpstreamKey, pick,
 };
 use fulmarpath_upstream::Engine;
-use fulmarpath_wire::{AskAnswer, AskReply, MemberNote, PeerClient, PermitId, Progress, RunState};
+use fulmarpath_wire::{
+    MemberInfo, PeerClient, PermitAnswer, PermitId, PermitReply, Progress, RunState,
+};
 use futures::future::select_ok;
 use parking_lot::Mutex;
 use rand::Rng;
@@ -135,7 +137,7 @@
 
     /// The generation is whole.
     pub fn finish(mut self) {
-        self.end(RunState::Whole);
+        self.end(RunState::Complete);
     }
 
     fn end(&mut self, state: RunState) {
@@ -165,7 +167,7 @@
 
 impl Drop for Permit {
     fn drop(&mut self) {
-        self.end(RunState::Left);
+        self.end(RunState::Incomplete);
     }
 }
 
@@ -300,7 +302,7 @@
             unanswered = 0;
             self.loads.lock().insert(upstream, reply.load);
             match reply.answer {
-                AskAnswer::Granted { permit, priority } => {
+                PermitAnswer::Granted { permit, priority } => {
                     asking.granted = true;
                     return Ok(Grant {
                         upstream,
@@ -309,7 +311,7 @@
                         priority,
                     });
                 }
-                AskAnswer::Refused {
+                PermitAnswer::Refused {
                     reason,
                     retry_after_ms,
                 } => {
@@ -318,8 +320,8 @@
                         retry_after_ms,
                     });
                 }
-                AskAnswer::Queued => {}
-                AskAnswer::NotHome => tokio::time::sleep(REASK_PAUSE).await,
+                PermitAnswer::Queued => {}
+                PermitAnswer::NotHome => tokio::time::sleep(REASK_PAUSE).await,
             }
         }
     }
@@ -342,7 +344,7 @@
     }
 
     /// Asks the best home that answers.
-    async fn ask_home(&self, upstream: UpstreamKey, ask: Ask) -> Option<AskReply> {
+    async fn ask_home(&self, upstream: UpstreamKey, ask: Ask) -> Option<PermitReply> {
         for (key, note) in self.engine_homes(upstream, HOMES) {
             if key == self.key {
                 return self.answer_ask(upstream, ask).await;
@@ -359,7 +361,7 @@
     }
 
     /// Decides as the engine's home.
-    pub(crate) async fn answer_ask(&self, upstream: UpstreamKey, ask: Ask) -> Option<AskReply> {
+    pub(crate) async fn answer_ask(&self, upstream: UpstreamKey, ask: Ask) -> Option<PermitReply> {
         let settings = self.home_settings_of(upstream)?;
         let now_ms = self.clock.now_ms();
         Some(self.homes.ask(now_ms, upstream, settings, ask).await)
@@ -415,7 +417,7 @@
         &self,
         upstream: UpstreamKey,
         count: usize,
-    ) -> Vec<(HostKey, MemberNote)> {
+    ) -> Vec<(HostKey, MemberInfo)> {
         let listing = self.documents.listing();
         let listed = listing.engines.get(&upstream);
         let members = self.members.lock();
--- a/crates/cluster/src/poison.rs
+++ b/crates/cluster/src/poison.rs
@@ -10,7 +10,7 @@
 
 use async_trait::async_trait;
 use fulmarpath_policy::{Admission, Circuit, ContentKey, HostKey, Millis, ServiceKey, UpstreamKey};
-use fulmarpath_wire::{MemberNote, NoAnswer};
+use fulmarpath_wire::{MemberInfo, NoAnswer};
 use spdlog::{info, warn};
 use tokio::time::sleep;
 
@@ -34,7 +34,7 @@
     /// Its own key.
     fn key(&self) -> HostKey;
     /// The homes of a service's crashes.
-    fn crash_homes(&self, service: ServiceKey) -> Vec<(HostKey, MemberNote)>;
+    fn crash_homes(&self, service: ServiceKey) -> Vec<(HostKey, MemberInfo)>;
     /// Reports a crash to a home.
     async fn report_crash(
         &self,
--- a/crates/cluster/src/server.rs
+++ b/crates/cluster/src/server.rs
@@ -5,8 +5,8 @@
 
 use fulmarpath_policy::{Ask, AskId, Circuit, ContentKey, HostKey, OrganisationKey, UpstreamKey};
 use fulmarpath_wire::{
-    AskAnswer, AskReply, ClaimAnswer, ClaimAsk, Document, FetchAnswer, LimitAnswer, Peer,
-    PeerClient, PermitId, Ping, Pong, Progress, ProgressReply, SlotAsk, framed,
+    ClaimAnswer, ClaimRequest, Document, FetchAnswer, LimitAnswer, Peer, PeerClient, PermitAnswer,
+    PermitId, PermitReply, Ping, Pong, Progress, ProgressReply, SlotRequest, framed,
 };
 use futures::StreamExt;
 use tarpc::context::Context;
@@ -78,10 +78,10 @@
             .unwrap_or_default()
     }
 
-    async fn ask(self, _: Context, upstream: UpstreamKey, ask: Ask) -> AskReply {
+    async fn ask(self, _: Context, upstream: UpstreamKey, ask: Ask) -> PermitReply {
         let reply = self.node.answer_ask(upstream, ask).await;
-        reply.unwrap_or(AskReply {
-            answer: AskAnswer::NotHome,
+        reply.unwrap_or(PermitReply {
+            answer: PermitAnswer::NotHome,
             load: Default::default(),
         })
     }
@@ -105,7 +105,7 @@
         Some(homes.restore(now_ms, upstream, settings, ask))
     }
 
-    async fn take_slot(self, _: Context, ask: SlotAsk) -> LimitAnswer {
+    async fn take_slot(self, _: Context, ask: SlotRequest) -> LimitAnswer {
         self.node.answer_slot(ask)
     }
 
@@ -113,7 +113,7 @@
         self.node.hear_slots(host, &slots);
     }
 
-    async fn claim(self, _: Context, claim: ClaimAsk) -> ClaimAnswer {
+    async fn claim(self, _: Context, claim: ClaimRequest) -> ClaimAnswer {
         self.node.claims.claim(claim).await
     }
 
--- a/crates/cluster/src/spread.rs
+++ b/crates/cluster/src/spread.rs
@@ -8,7 +8,7 @@
 
 use fulmarpath_policy::{HostKey, rank};
 use fulmarpath_store::HostListing;
-use fulmarpath_wire::{Document, MemberNote, Versions};
+use fulmarpath_wire::{Document, MemberInfo, Versions};
 use futures::future::join_all;
 use rand::Rng;
 use spdlog::{info, warn};
@@ -226,7 +226,7 @@
             return Vec::new();
         }
         let mut targets = Vec::new();
-        let mut other_centres: HashMap<&str, Vec<(HostKey, &MemberNote)>> = HashMap::new();
+        let mut other_centres: HashMap<&str, Vec<(HostKey, &MemberInfo)>> = HashMap::new();
         for rumour in members.present() {
             let note = &rumour.member;
             if note.address == self.settings.peer_address {
--- a/crates/cluster/src/swim.rs
+++ b/crates/cluster/src/swim.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use fulmarpath_policy::HostKey;
-use fulmarpath_wire::{MemberNote, MemberState, PeerClient, Ping, Pong, Versions};
+use fulmarpath_wire::{MemberInfo, MemberState, PeerClient, Ping, Pong, Versions};
 use futures::future::join_all;
 use rand::Rng;
 use spdlog::{info, warn};
@@ -32,7 +32,7 @@
         }
     }
 
-    async fn probe(self: Arc<Self>, target: MemberNote) {
+    async fn probe(self: Arc<Self>, target: MemberInfo) {
         let ping = self.ping_message();
         if let Some(pong) = self.ping_once(target.address, ping.clone()).await {
             self.hear_pong(target.address, pong).await;
--- a/crates/cluster/tests/claims.rs
+++ b/crates/cluster/tests/claims.rs
@@ -6,7 +6,7 @@
 
 use common::Fake;
 use fulmarpath_cluster::{ClaimLog, ClaimSettings};
-use fulmarpath_wire::{ClaimAnswer, ClaimAsk};
+use fulmarpath_wire::{ClaimAnswer, ClaimRequest};
 use rstest::rstest;
 
 const SETTINGS: ClaimSettings = ClaimSettings {
@@ -20,8 +20,8 @@
     ClaimLog::new(api.clone(), SETTINGS)
 }
 
-fn ask(key: u128, generation: &str) -> ClaimAsk {
-    ClaimAsk {
+fn ask(key: u128, generation: &str) -> ClaimRequest {
+    ClaimRequest {
         key,
         request_hash: 1,
         generation: generation.to_owned(),
@@ -138,7 +138,7 @@
     let api = Arc::new(Fake::default());
     let log = log(&api);
     assert_eq!(log.claim(ask(3, "never-ran")).await, ClaimAnswer::Claimed);
-    let follow = |generation: &str| ClaimAsk {
+    let follow = |generation: &str| ClaimRequest {
         supersedes: Some("never-ran".to_owned()),
         ..ask(3, generation)
     };
--- a/crates/cluster/tests/members.rs
+++ b/crates/cluster/tests/members.rs
@@ -2,10 +2,10 @@
 
 use fulmarpath_cluster::Members;
 use fulmarpath_policy::HostKey;
-use fulmarpath_wire::{MemberNote, MemberState, Rumour};
+use fulmarpath_wire::{MemberInfo, MemberState, Rumour};
 
-fn note(name: &str) -> MemberNote {
-    MemberNote {
+fn note(name: &str) -> MemberInfo {
+    MemberInfo {
         name: name.to_owned(),
         data_centre: name.split('/').next().unwrap_or_default().to_owned(),
         address: ([127, 0, 0, 1], 1).into(),
@@ -215,10 +215,10 @@
         for name in near.chain(far) {
             members.learn(0, rumour(&name, MemberState::Alive, 1));
         }
-        let targets: Vec<MemberNote> = (0..360)
+        let targets: Vec<MemberInfo> = (0..360)
             .filter_map(|draw| members.next_target(draw))
             .collect();
-        let is_far = |note: &&MemberNote| note.data_centre == "zrh-b";
+        let is_far = |note: &&MemberInfo| note.data_centre == "zrh-b";
         let sent_far = targets.iter().filter(is_far).count();
         assert!(
             case.sent_far.contains(&sent_far),
@@ -237,8 +237,8 @@
     }
 }
 
-fn note_at(name: &str, port: u16) -> MemberNote {
-    MemberNote {
+fn note_at(name: &str, port: u16) -> MemberInfo {
+    MemberInfo {
         address: ([127, 0, 0, 1], port).into(),
         ..note(name)
     }
--- a/crates/entry/src/attach.rs
+++ b/crates/entry/src/attach.rs
@@ -82,7 +82,7 @@
                 }
                 match end {
                     None => {}
-                    Some(GenerationEnd::Whole { by_length }) => {
+                    Some(GenerationEnd::Complete { by_length }) => {
                         return Some(End::Whole(if by_length {
                             Finish::Length
                         } else {
--- a/crates/entry/src/registry.rs
+++ b/crates/entry/src/registry.rs
@@ -110,7 +110,7 @@
         FetchAnswer::Tokens {
             texts: piece.texts,
             end: piece.end.map(|end| match end {
-                End::Whole(finish) => GenerationEnd::Whole {
+                End::Whole(finish) => GenerationEnd::Complete {
                     by_length: finish == Finish::Length,
                 },
                 End::NotRun(_) => GenerationEnd::NotRun,
--- a/crates/entry/src/submit.rs
+++ b/crates/entry/src/submit.rs
@@ -5,7 +5,7 @@
 use fulmarpath_cluster::{InForce, PermitRequest};
 use fulmarpath_policy::{Bounds, HostKey, OrganisationKey, ServiceKey};
 use fulmarpath_settings::{Organisation, ServiceKind};
-use fulmarpath_wire::{ClaimAnswer, ClaimAsk};
+use fulmarpath_wire::{ClaimAnswer, ClaimRequest};
 use tracing::Instrument;
 use xxhash_rust::xxh3::xxh3_128;
 
@@ -95,7 +95,7 @@
     let name = new_name(entry.host(), organisation);
     let mut supersedes = None;
     loop {
-        let ask = ClaimAsk {
+        let ask = ClaimRequest {
             key: xxh3_128(format!("{}/{key}", checked.organisation.name).as_bytes()),
             request_hash: checked.wanted.hash,
             generation: name.clone(),
--- a/crates/gateway/src/backpressure.rs
+++ b/crates/gateway/src/backpressure.rs
@@ -1,7 +1,7 @@
 //! Takes what upstreams ask of their callers, and writes down what changes.
 
 use fulmarpath_policy::{Backpressure, Millis, Signals, UpstreamKey};
-use fulmarpath_wire::NamedLimit;
+use fulmarpath_wire::AdvertisedLimit;
 use spdlog::info;
 
 use crate::gateway::Gateway;
@@ -68,10 +68,14 @@
     }
 
     /// The limit that an upstream names, and how old its word is.
-    pub(crate) fn named_limit(&self, now_ms: Millis, upstream: UpstreamKey) -> Option<NamedLimit> {
+    pub(crate) fn named_limit(
+        &self,
+        now_ms: Millis,
+        upstream: UpstreamKey,
+    ) -> Option<AdvertisedLimit> {
         let table = self.table.lock();
         let asked = table.backpressure.get(&upstream)?;
-        Some(NamedLimit {
+        Some(AdvertisedLimit {
             per_s: asked.limit_per_s()?,
             age_ms: now_ms.saturating_sub(asked.heard_ms()),
         })
--- a/crates/gateway/src/carry.rs
+++ b/crates/gateway/src/carry.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-use fulmarpath_wire::CarryAnswer;
+use fulmarpath_wire::MigrationAnswer;
 use futures::future::BoxFuture;
 use tokio::sync::oneshot;
 
@@ -39,7 +39,7 @@
     to: Destination,
     /// Names the copy at the destination, once there is one.
     copy: Option<String>,
-    answer: oneshot::Sender<CarryAnswer>,
+    answer: oneshot::Sender<MigrationAnswer>,
     call: BoxFuture<'static, Result<CompletedCopy, CopyError>>,
 }
 
@@ -81,9 +81,9 @@
     }
 
     /// Tells the cell's home how it ended. A home that no longer waits learns it by statement.
-    pub(crate) fn answer(self, answer: CarryAnswer) {
+    pub(crate) fn answer(self, answer: MigrationAnswer) {
         match (answer, &self.copy) {
-            (CarryAnswer::Stayed | CarryAnswer::Over, Some(_)) => self.abandon(answer),
+            (MigrationAnswer::Stayed | MigrationAnswer::Over, Some(_)) => self.abandon(answer),
             _ => {
                 let _ = self.answer.send(answer);
             }
@@ -96,7 +96,7 @@
     /// A copy that is left at a destination holds its memory there for some 9 s. Its name comes
     /// with the answer to the call that makes it, so dropping the call, when a generation ends by
     /// itself, left a copy that nobody could give up.
-    pub(crate) fn abandon(self, answer: CarryAnswer) {
+    pub(crate) fn abandon(self, answer: MigrationAnswer) {
         let Self {
             control,
             to,
@@ -122,7 +122,7 @@
             let _ = home.send(if is_free {
                 answer
             } else {
-                CarryAnswer::LeftBehind
+                MigrationAnswer::LeftBehind
             });
         });
     }
--- a/crates/gateway/src/cells.rs
+++ b/crates/gateway/src/cells.rs
@@ -6,7 +6,7 @@
     Cell, CellEngine, Division, EngineFigures, HostKey, Migration, MigrationOutcome, Millis,
     Placement, PlacementRequest, RunEnd, RunKey, UpstreamKey, Verdict,
 };
-use fulmarpath_wire::{CellKey, Restatement};
+use fulmarpath_wire::{CellKey, RelayedRuns};
 use parking_lot::Mutex;
 
 use crate::configuration::{ActiveConfiguration, EngineTraits};
@@ -141,7 +141,7 @@
         }
     }
 
-    pub(crate) fn restate(&self, now_ms: Millis, restatement: &Restatement) {
+    pub(crate) fn restate(&self, now_ms: Millis, restatement: &RelayedRuns) {
         if let Some(table) = self.tables.lock().get_mut(&restatement.cell) {
             table
                 .cell
--- a/crates/gateway/src/encoding.rs
+++ b/crates/gateway/src/encoding.rs
@@ -5,7 +5,7 @@
 //! of the tree, and has to be in force everywhere within the operator's bound.
 
 use bincode::Options;
-use fulmarpath_wire::Holding;
+use fulmarpath_wire::ReplicatedState;
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 
@@ -20,18 +20,21 @@
     Binary(#[from] bincode::Error),
 }
 
-fn is_binary(holding: Holding) -> bool {
+fn is_binary(holding: ReplicatedState) -> bool {
     match holding {
-        Holding::Upstreams
-        | Holding::Configuration
-        | Holding::Members
-        | Holding::Circuits
-        | Holding::Evacuations => true,
-        Holding::Blindness => false,
+        ReplicatedState::Upstreams
+        | ReplicatedState::Configuration
+        | ReplicatedState::Members
+        | ReplicatedState::Circuits
+        | ReplicatedState::Evacuations => true,
+        ReplicatedState::StoreUnreadable => false,
     }
 }
 
-pub(crate) fn encode<T: Serialize>(holding: Holding, value: &T) -> Result<Vec<u8>, EncodingError> {
+pub(crate) fn encode<T: Serialize>(
+    holding: ReplicatedState,
+    value: &T,
+) -> Result<Vec<u8>, EncodingError> {
     match is_binary(holding) {
         true => Ok(bincode::DefaultOptions::new().serialize(value)?),
         false => Ok(serde_json::to_vec(value)?),
@@ -39,7 +42,7 @@
 }
 
 pub(crate) fn decode<T: DeserializeOwned>(
-    holding: Holding,
+    holding: ReplicatedState,
     bytes: &[u8],
 ) -> Result<T, EncodingError> {
     match is_binary(holding) {
--- a/crates/gateway/src/evacuations.rs
+++ b/crates/gateway/src/evacuations.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use fulmarpath_policy::{EvacuationChange, EvacuationState, Evacuations, Millis};
-use fulmarpath_wire::Holding;
+use fulmarpath_wire::ReplicatedState;
 use spdlog::{info, warn};
 use tokio::time::sleep;
 
@@ -94,7 +94,7 @@
 
     /// Takes a watcher's news.
     pub(crate) fn take_evacuations(&self, value: &[u8]) -> Result<(), EncodingError> {
-        self.hear_evacuations(decode(Holding::Evacuations, value)?, "a watcher");
+        self.hear_evacuations(decode(ReplicatedState::Evacuations, value)?, "a watcher");
         Ok(())
     }
 
@@ -139,7 +139,7 @@
     /// Passes on what the store has told this host.
     fn announce_evacuations(self: &Arc<Self>) {
         let state = self.evacuations.lock().state(self.clock.now_ms());
-        self.announce(Holding::Evacuations, &state, self.neighbours());
+        self.announce(ReplicatedState::Evacuations, &state, self.neighbours());
     }
 }
 
--- a/crates/gateway/src/fleet.rs
+++ b/crates/gateway/src/fleet.rs
@@ -13,8 +13,8 @@
 use fulmarpath_cluster::poison::exchange_circuits;
 use fulmarpath_policy::{Drift, HostKey, Join, Lag, Millis, Revision};
 use fulmarpath_wire::{
-    GatewayPeerClient, Holding, MemberNote, MemberState, MembersDigest, Peers, Ping, Pong, Rumour,
-    Versions,
+    GatewayPeerClient, MemberInfo, MemberState, MembersDigest, Peers, Ping, Pong, ReplicatedState,
+    Rumour, Versions,
 };
 use parking_lot::Mutex;
 use rand::Rng;
@@ -52,7 +52,7 @@
     drift: Mutex<Drift>,
     presence: Mutex<PresenceLog>,
     /// What is being fetched from a peer now.
-    fetching: Mutex<HashSet<Holding>>,
+    fetching: Mutex<HashSet<ReplicatedState>>,
     /// This start of the host has ever written its entry.
     has_written_entry: AtomicBool,
     has_entry: AtomicBool,
@@ -68,7 +68,7 @@
     /// is about, and clocks jump.
     pub(crate) fn new(now_ms: Millis, host: &HostRegistration, has_seeds: bool) -> Self {
         let start: u64 = rand::random();
-        let note = MemberNote {
+        let note = MemberInfo {
             name: format!("{}/{start:016x}", host.name),
             data_centre: host.data_centre.clone(),
             address: host.address,
@@ -177,14 +177,14 @@
             if let Some(target) = target {
                 tokio::spawn(self.clone().probe(target));
             }
-            self.fleet.peers.tidy();
+            self.fleet.peers.close_idle();
             if let Some(line) = self.fleet.presence_line(self.clock.now_ms()) {
                 info!("fleet: {line}");
             }
         }
     }
 
-    async fn probe(self: Arc<Self>, target: MemberNote) {
+    async fn probe(self: Arc<Self>, target: MemberInfo) {
         let (ping, digest) = self.fleet.ping_message(self.versions());
         let key = HostKey::of(&target.name);
         match self.ping_once(target.address, ping, digest).await {
@@ -203,7 +203,7 @@
         }
     }
 
-    fn bury(&self, gone: &MemberNote) {
+    fn bury(&self, gone: &MemberInfo) {
         let now_ms = self.clock.now_ms();
         let mut members = self.fleet.members.lock();
         let Some(known) = members.find(HostKey::of(&gone.name)).cloned() else {
@@ -336,7 +336,7 @@
     }
 
     async fn fetch_configuration(&self, peer: SocketAddr) -> Option<Configuration> {
-        let holding = Holding::Configuration;
+        let holding = ReplicatedState::Configuration;
         let call = |client: GatewayPeerClient, context| async move {
             client.holding(context, holding).await
         };
@@ -344,7 +344,7 @@
     }
 
     async fn fetch_evacuations(&self, peer: SocketAddr) {
-        let holding = Holding::Evacuations;
+        let holding = ReplicatedState::Evacuations;
         let call = |client: GatewayPeerClient, context| async move {
             client.holding(context, holding).await
         };
@@ -358,7 +358,7 @@
         let call = |client: GatewayPeerClient, context| async move {
             client.upstreams_since(context, since).await
         };
-        self.fetch(peer, Holding::Upstreams, call).await
+        self.fetch(peer, ReplicatedState::Upstreams, call).await
     }
 
     /// Asks a peer for what it holds, unless that is being asked of another one: pings of several
@@ -366,7 +366,7 @@
     async fn fetch<T, F>(
         &self,
         peer: SocketAddr,
-        holding: Holding,
+        holding: ReplicatedState,
         call: impl FnOnce(GatewayPeerClient, Context) -> F,
     ) -> Option<T>
     where
--- a/crates/gateway/src/homes.rs
+++ b/crates/gateway/src/homes.rs
@@ -7,7 +7,7 @@
 use fulmarpath_policy::{
     HostKey, Migration, MigrationOutcome, Placement, PlacementRequest, RunEnd, RunKey, UpstreamKey,
 };
-use fulmarpath_wire::{CarryAnswer, CellKey, GatewayPeerClient, MemberNote, Restatement};
+use fulmarpath_wire::{CellKey, GatewayPeerClient, MemberInfo, MigrationAnswer, RelayedRuns};
 use parking_lot::Mutex;
 use spdlog::{info, warn};
 
@@ -35,7 +35,7 @@
 }
 
 impl Gateway {
-    pub(crate) fn home_of(&self, cell: CellKey) -> Option<(HostKey, MemberNote)> {
+    pub(crate) fn home_of(&self, cell: CellKey) -> Option<(HostKey, MemberInfo)> {
         self.fleet.members.lock().homes_of(cell.0, 1).pop()
     }
 
@@ -64,7 +64,10 @@
                 client.place(context, cell, asked).await
             };
             let peers = &self.fleet.peers;
-            match peers.call_within(note.address, PLACE_BOUND, call).await {
+            match peers
+                .call_with_timeout(note.address, PLACE_BOUND, call)
+                .await
+            {
                 Ok(Some(placement)) => return placement,
                 Ok(None) => {}
                 Err(error) => warn!("cells: placed without a home: {error}"),
@@ -141,7 +144,7 @@
         }
     }
 
-    async fn restate(&self, restatement: Restatement) {
+    async fn restate(&self, restatement: RelayedRuns) {
         let cell = restatement.cell;
         self.cells.restate(self.clock.now_ms(), &restatement);
         let Some((key, note)) = self.home_of(cell) else {
@@ -230,7 +233,10 @@
             client.carry(context, run, to).await
         };
         let peers = &self.fleet.peers;
-        match peers.call_within(note.address, CARRY_BOUND, call).await {
+        match peers
+            .call_with_timeout(note.address, CARRY_BOUND, call)
+            .await
+        {
             Ok(answer) => end(answer),
             Err(error) => {
                 warn!("cells: a generation may not have moved: {error}");
@@ -240,9 +246,9 @@
     }
 
     /// Carries a generation that this host relays to another engine.
-    pub(crate) async fn carry_here(&self, run: RunKey, to: UpstreamKey) -> CarryAnswer {
+    pub(crate) async fn carry_here(&self, run: RunKey, to: UpstreamKey) -> MigrationAnswer {
         let Some(destination) = self.instances.destination(self.clock.now_ms(), to) else {
-            return CarryAnswer::Stayed;
+            return MigrationAnswer::Stayed;
         };
         self.runs.carry(run, destination).await
     }
@@ -259,12 +265,12 @@
     }
 }
 
-fn end(answer: CarryAnswer) -> MigrationOutcome {
+fn end(answer: MigrationAnswer) -> MigrationOutcome {
     match answer {
-        CarryAnswer::Moved => MigrationOutcome::Moved,
-        CarryAnswer::Stayed => MigrationOutcome::NotMoved,
-        CarryAnswer::Refused => MigrationOutcome::Refused,
-        CarryAnswer::LeftBehind => MigrationOutcome::Orphaned,
-        CarryAnswer::Over => MigrationOutcome::Ended,
+        MigrationAnswer::Moved => MigrationOutcome::Moved,
+        MigrationAnswer::Stayed => MigrationOutcome::NotMoved,
+        MigrationAnswer::Refused => MigrationOutcome::Refused,
+        MigrationAnswer::LeftBehind => MigrationOutcome::Orphaned,
+        MigrationAnswer::Over => MigrationOutcome::Ended,
     }
 }
--- a/crates/gateway/src/join.rs
+++ b/crates/gateway/src/join.rs
@@ -11,7 +11,7 @@
 use std::time::Duration;
 
 use fulmarpath_policy::{Absences, HostKey};
-use fulmarpath_wire::{GatewayPeerClient, Holding, Rumour};
+use fulmarpath_wire::{GatewayPeerClient, ReplicatedState, Rumour};
 use parking_lot::Mutex;
 use rand::seq::SliceRandom;
 use spdlog::{info, warn};
@@ -185,7 +185,7 @@
     }
 
     fn announce_members(self: &Arc<Self>, news: &[Rumour]) {
-        self.announce(Holding::Members, &news, self.everybody());
+        self.announce(ReplicatedState::Members, &news, self.everybody());
     }
 
     /// Tells all hosts of all that are known, where two parts of the fleet have just met by one host each.
--- a/crates/gateway/src/peer.rs
+++ b/crates/gateway/src/peer.rs
@@ -8,8 +8,8 @@
     Verdict,
 };
 use fulmarpath_wire::{
-    Announcement, CarryAnswer, CellKey, GatewayPeer, GatewayPeerClient, Holding, MembersDigest,
-    Ping, Pong, Restatement, Rumour, StartAnswer, StartAsk, framed,
+    Announcement, CellKey, GatewayPeer, GatewayPeerClient, MembersDigest, MigrationAnswer, Ping,
+    Pong, RelayedRuns, ReplicatedState, Rumour, StartAnswer, StartRequest, framed,
 };
 use futures::StreamExt;
 use tarpc::client::Config;
@@ -82,20 +82,21 @@
         self.gateway.answer_beliefs(&beliefs)
     }
 
-    async fn holding(self, _: Context, holding: Holding) -> Vec<u8> {
+    async fn holding(self, _: Context, holding: ReplicatedState) -> Vec<u8> {
         self.count("holding");
         let held = match holding {
-            Holding::Configuration => {
+            ReplicatedState::Configuration => {
                 let held = self.gateway.in_force();
                 held.map_or(Ok(Vec::new()), |held| encode(holding, &held.configuration))
             }
-            Holding::Evacuations => {
+            ReplicatedState::Evacuations => {
                 let now_ms = self.gateway.clock.now_ms();
                 encode(holding, &self.gateway.evacuations.lock().state(now_ms))
             }
-            Holding::Upstreams | Holding::Blindness | Holding::Members | Holding::Circuits => {
-                Ok(Vec::new())
-            }
+            ReplicatedState::Upstreams
+            | ReplicatedState::StoreUnreadable
+            | ReplicatedState::Members
+            | ReplicatedState::Circuits => Ok(Vec::new()),
         };
         written(held)
     }
@@ -103,7 +104,7 @@
     async fn upstreams_since(self, _: Context, revision: Revision) -> Vec<u8> {
         self.count("upstreams_since");
         let change = self.gateway.roster.lock().change_since(revision);
-        written(encode(Holding::Upstreams, &change))
+        written(encode(ReplicatedState::Upstreams, &change))
     }
 
     async fn announce(self, _: Context, announcement: Announcement) {
@@ -127,7 +128,7 @@
         self.gateway.cells.end(now_ms, cell, run, end);
     }
 
-    async fn restate(self, _: Context, restatement: Restatement) {
+    async fn restate(self, _: Context, restatement: RelayedRuns) {
         self.count("restate");
         let now_ms = self.gateway.clock.now_ms();
         self.gateway.cells.restate(now_ms, &restatement);
@@ -140,12 +141,12 @@
         }
     }
 
-    async fn carry(self, _: Context, run: RunKey, to: UpstreamKey) -> CarryAnswer {
+    async fn carry(self, _: Context, run: RunKey, to: UpstreamKey) -> MigrationAnswer {
         self.count("carry");
         self.gateway.carry_here(run, to).await
     }
 
-    async fn ask_start(self, _: Context, upstream: UpstreamKey, ask: StartAsk) -> StartAnswer {
+    async fn ask_start(self, _: Context, upstream: UpstreamKey, ask: StartRequest) -> StartAnswer {
         self.count("ask_start");
         self.gateway.grant_start(upstream, ask)
     }
--- a/crates/gateway/src/poison.rs
+++ b/crates/gateway/src/poison.rs
@@ -7,7 +7,7 @@
 use fulmarpath_cluster::poison::{self, CircuitHost};
 use fulmarpath_cluster::{CRASH_HOMES, CircuitBreakers};
 use fulmarpath_policy::{Admission, Circuit, ContentKey, HostKey, Millis, ServiceKey, UpstreamKey};
-use fulmarpath_wire::{GatewayPeerClient, Holding, MemberNote, NoAnswer};
+use fulmarpath_wire::{GatewayPeerClient, MemberInfo, NoAnswer, ReplicatedState};
 
 use crate::crashes::BrokenRun;
 use crate::encoding::{EncodingError, decode};
@@ -29,7 +29,7 @@
         self.host_key()
     }
 
-    fn crash_homes(&self, service: ServiceKey) -> Vec<(HostKey, MemberNote)> {
+    fn crash_homes(&self, service: ServiceKey) -> Vec<(HostKey, MemberInfo)> {
         let members = self.fleet.members.lock();
         members.homes_of(service.0, CRASH_HOMES)
     }
@@ -75,7 +75,7 @@
         for circuit in decided {
             self.store_circuit(circuit);
         }
-        self.announce(Holding::Circuits, &decided, self.everybody());
+        self.announce(ReplicatedState::Circuits, &decided, self.everybody());
     }
 }
 
@@ -95,7 +95,7 @@
 
     /// Takes a home's news.
     pub(crate) fn take_circuits(&self, value: &[u8]) -> Result<(), EncodingError> {
-        poison::adopt_circuits(self, decode(Holding::Circuits, value)?, "a home");
+        poison::adopt_circuits(self, decode(ReplicatedState::Circuits, value)?, "a home");
         Ok(())
     }
 
--- a/crates/gateway/src/recovery.rs
+++ b/crates/gateway/src/recovery.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 
 use fulmarpath_policy::{Millis, Verdict};
-use fulmarpath_wire::CarryAnswer;
+use fulmarpath_wire::MigrationAnswer;
 use spdlog::info;
 
 use crate::attempt::{Answer, Terms};
@@ -47,10 +47,10 @@
                 None => false,
             };
             if went_on {
-                carrying.answer(CarryAnswer::Moved);
+                carrying.answer(MigrationAnswer::Moved);
                 return true;
             }
-            carrying.abandon(CarryAnswer::Over);
+            carrying.abandon(MigrationAnswer::Over);
         }
         if let Some(backup) = self.backup.take() {
             let id = self.journey.id.clone();
@@ -159,8 +159,8 @@
         };
         let goes_on = has_moved || self.go_on(&here, here.address, &copy).await;
         self.end_carry(match has_moved {
-            true => CarryAnswer::Moved,
-            false => CarryAnswer::Stayed,
+            true => MigrationAnswer::Moved,
+            false => MigrationAnswer::Stayed,
         });
         goes_on
     }
--- a/crates/gateway/src/relay.rs
+++ b/crates/gateway/src/relay.rs
@@ -6,7 +6,7 @@
 use bytes::{Bytes, BytesMut};
 use fulmarpath_http::BodyBroken;
 use fulmarpath_policy::{CarryStep, Handover, Millis, Next, RunEnd, RunKey, StreamEnd, Verdict};
-use fulmarpath_wire::{CarryAnswer, CellKey};
+use fulmarpath_wire::{CellKey, MigrationAnswer};
 use spdlog::info;
 use tokio::sync::mpsc;
 use tokio::time::sleep;
@@ -290,11 +290,11 @@
                 self.stopped = Some(Stopped { to: None, copy });
                 return self.handover.step(CarryStep::Stopped);
             }
-            Step::Stayed => CarryAnswer::Stayed,
-            Step::Refused => CarryAnswer::Refused,
+            Step::Stayed => MigrationAnswer::Stayed,
+            Step::Refused => MigrationAnswer::Refused,
             // Before the first event it still waits inside its engine, and there is no copy.
-            Step::NotThere if self.journey.events == 0 => CarryAnswer::Stayed,
-            Step::NotThere | Step::LeftBehind => CarryAnswer::LeftBehind,
+            Step::NotThere if self.journey.events == 0 => MigrationAnswer::Stayed,
+            Step::NotThere | Step::LeftBehind => MigrationAnswer::LeftBehind,
         };
         let next = self.handover.step(CarryStep::NotStopped);
         let has_copy = self.carrying.as_ref().is_some_and(Carrying::has_copy);
@@ -306,7 +306,7 @@
         next
     }
 
-    pub(crate) fn end_carry(&mut self, answer: CarryAnswer) {
+    pub(crate) fn end_carry(&mut self, answer: MigrationAnswer) {
         if let Some(carrying) = self.carrying.take() {
             info!(
                 "moves: request {} to {}: {answer:?}",
@@ -322,7 +322,7 @@
     /// The generation is over, or its caller has left, while a copy of it is made.
     fn drop(&mut self) {
         if let Some(carrying) = self.carrying.take() {
-            carrying.abandon(CarryAnswer::Over);
+            carrying.abandon(MigrationAnswer::Over);
         }
     }
 }
--- a/crates/gateway/src/runs.rs
+++ b/crates/gateway/src/runs.rs
@@ -3,7 +3,7 @@
 use std::collections::HashMap;
 
 use fulmarpath_policy::{HostKey, RunKey, RunStatement, UpstreamKey};
-use fulmarpath_wire::{CarryAnswer, CellKey, Restatement};
+use fulmarpath_wire::{CellKey, MigrationAnswer, RelayedRuns};
 use parking_lot::Mutex;
 use tokio::sync::{mpsc, oneshot};
 
@@ -12,7 +12,7 @@
 /// An order to carry a generation to another engine.
 pub(crate) struct CarryOrder {
     pub(crate) to: Destination,
-    pub(crate) answer: oneshot::Sender<CarryAnswer>,
+    pub(crate) answer: oneshot::Sender<MigrationAnswer>,
 }
 
 #[derive(Debug)]
@@ -75,7 +75,7 @@
         &self,
         host: HostKey,
         cell_with: impl Fn(UpstreamKey) -> Option<CellKey>,
-    ) -> Vec<Restatement> {
+    ) -> Vec<RelayedRuns> {
         let mut by_cell: HashMap<CellKey, Vec<RunStatement>> = HashMap::new();
         for entry in self.entries.lock().values() {
             let cell = cell_with(entry.statement.engine).unwrap_or(entry.cell);
@@ -83,24 +83,24 @@
         }
         let cells = by_cell.into_iter();
         cells
-            .map(|(cell, runs)| Restatement { cell, host, runs })
+            .map(|(cell, runs)| RelayedRuns { cell, host, runs })
             .collect()
     }
 
     /// Has a generation carried to another engine.
-    pub(crate) async fn carry(&self, run: RunKey, to: Destination) -> CarryAnswer {
+    pub(crate) async fn carry(&self, run: RunKey, to: Destination) -> MigrationAnswer {
         let orders = match self.entries.lock().get(&run) {
             Some(entry) => entry.orders.clone(),
-            None => return CarryAnswer::Over,
+            None => return MigrationAnswer::Over,
         };
         // Before its first token there is nothing to carry.
         let Some(orders) = orders else {
-            return CarryAnswer::Stayed;
+            return MigrationAnswer::Stayed;
         };
         let (answer, answered) = oneshot::channel();
         if orders.send(CarryOrder { to, answer }).await.is_err() {
-            return CarryAnswer::Over;
+            return MigrationAnswer::Over;
         }
-        answered.await.unwrap_or(CarryAnswer::Over)
+        answered.await.unwrap_or(MigrationAnswer::Over)
     }
 }
--- a/crates/gateway/src/spread.rs
+++ b/crates/gateway/src/spread.rs
@@ -16,7 +16,7 @@
 use fulmarpath_policy::{
     HostKey, Listener, Millis, Revision, WatchArea, WatchCandidate, branches, parts,
 };
-use fulmarpath_wire::{Announcement, GatewayPeerClient, Holding, Rumour};
+use fulmarpath_wire::{Announcement, GatewayPeerClient, ReplicatedState, Rumour};
 use parking_lot::Mutex;
 use serde::Serialize;
 use spdlog::warn;
@@ -98,11 +98,15 @@
             }
             *told_ms = now_ms;
         }
-        self.announce(Holding::Blindness, &self.host_key(), self.neighbours());
+        self.announce(
+            ReplicatedState::StoreUnreadable,
+            &self.host_key(),
+            self.neighbours(),
+        );
     }
 
     fn hear_blindness(&self, value: &[u8]) -> Result<(), EncodingError> {
-        let host: HostKey = decode(Holding::Blindness, value)?;
+        let host: HostKey = decode(ReplicatedState::StoreUnreadable, value)?;
         let until_ms = self.clock.now_ms() + BLIND_MS;
         self.spread.blind.lock().insert(host, until_ms);
         Ok(())
@@ -113,7 +117,7 @@
         let Some(held) = self.in_force() else { return };
         if self.is_watcher() {
             let area = self.neighbours();
-            self.announce(Holding::Configuration, &held.configuration, area);
+            self.announce(ReplicatedState::Configuration, &held.configuration, area);
         }
     }
 
@@ -152,13 +156,13 @@
             }
             roster.change_since(before)
         };
-        self.announce(Holding::Upstreams, &change, self.neighbours());
+        self.announce(ReplicatedState::Upstreams, &change, self.neighbours());
     }
 
     /// Tells an audience, over a few of it.
     pub(crate) fn announce<T: Serialize>(
         self: &Arc<Self>,
-        holding: Holding,
+        holding: ReplicatedState,
         news: &T,
         audience: Vec<Vec<SocketAddr>>,
     ) {
@@ -194,7 +198,12 @@
     }
 
     /// Sends news to the first of each branch, with the rest of it to pass them on to.
-    fn pass_on(self: &Arc<Self>, holding: Holding, value: &[u8], branches: Vec<Vec<SocketAddr>>) {
+    fn pass_on(
+        self: &Arc<Self>,
+        holding: ReplicatedState,
+        value: &[u8],
+        branches: Vec<Vec<SocketAddr>>,
+    ) {
         for branch in branches {
             let Some((first, rest)) = branch.split_first() else {
                 continue;
@@ -212,7 +221,7 @@
     async fn tell(
         self: Arc<Self>,
         host: SocketAddr,
-        holding: Holding,
+        holding: ReplicatedState,
         value: Vec<u8>,
         rest: Vec<SocketAddr>,
     ) {
@@ -238,12 +247,12 @@
             audience,
         } = announcement;
         let taken = match holding {
-            Holding::Configuration => self.take_configuration(&value),
-            Holding::Upstreams => self.take_change(&value),
-            Holding::Blindness => self.hear_blindness(&value),
-            Holding::Members => self.take_members(&value),
-            Holding::Circuits => self.take_circuits(&value),
-            Holding::Evacuations => self.take_evacuations(&value),
+            ReplicatedState::Configuration => self.take_configuration(&value),
+            ReplicatedState::Upstreams => self.take_change(&value),
+            ReplicatedState::StoreUnreadable => self.hear_blindness(&value),
+            ReplicatedState::Members => self.take_members(&value),
+            ReplicatedState::Circuits => self.take_circuits(&value),
+            ReplicatedState::Evacuations => self.take_evacuations(&value),
         };
         if let Err(error) = taken {
             warn!("spread: could not read news: {error}");
@@ -253,18 +262,18 @@
     }
 
     fn take_members(&self, value: &[u8]) -> Result<(), EncodingError> {
-        let news: Vec<Rumour> = decode(Holding::Members, value)?;
+        let news: Vec<Rumour> = decode(ReplicatedState::Members, value)?;
         self.learn(&news);
         Ok(())
     }
 
     fn take_configuration(&self, value: &[u8]) -> Result<(), EncodingError> {
-        self.adopt(decode(Holding::Configuration, value)?, "a watcher");
+        self.adopt(decode(ReplicatedState::Configuration, value)?, "a watcher");
         Ok(())
     }
 
     fn take_change(&self, value: &[u8]) -> Result<(), EncodingError> {
-        let change: DirectoryChange = decode(Holding::Upstreams, value)?;
+        let change: DirectoryChange = decode(ReplicatedState::Upstreams, value)?;
         self.hear_era(change.revision, "a watcher");
         let mut roster = self.roster.lock();
         let before = roster.revision();
--- a/crates/gateway/src/starts.rs
+++ b/crates/gateway/src/starts.rs
@@ -9,7 +9,9 @@
 use std::time::Duration;
 
 use fulmarpath_policy::{ColdStarts, Millis, Pacer, UpstreamKey};
-use fulmarpath_wire::{GatewayPeerClient, MemberNote, NamedLimit, NoAnswer, StartAnswer, StartAsk};
+use fulmarpath_wire::{
+    AdvertisedLimit, GatewayPeerClient, MemberInfo, NoAnswer, StartAnswer, StartRequest,
+};
 use parking_lot::Mutex;
 use spdlog::warn;
 use tokio::time::{sleep, timeout};
@@ -209,8 +211,8 @@
     ///
     /// # Errors
     /// How long to wait before the next question, in ms.
-    async fn ask_start(&self, upstream: UpstreamKey, ask: StartAsk) -> Result<(), Millis> {
-        if ask == StartAsk::default() {
+    async fn ask_start(&self, upstream: UpstreamKey, ask: StartRequest) -> Result<(), Millis> {
+        if ask == StartRequest::default() {
             return Ok(());
         }
         let answer = match self.home_of_starts(upstream) {
@@ -228,7 +230,7 @@
     }
 
     /// The host that hands out an upstream's starts; `None` where it is this one.
-    fn home_of_starts(&self, upstream: UpstreamKey) -> Option<MemberNote> {
+    fn home_of_starts(&self, upstream: UpstreamKey) -> Option<MemberInfo> {
         let members = self.fleet.members.lock();
         let (key, note) = members.homes_of(upstream.0, 1).pop()?;
         (key != members.my_key()).then_some(note)
@@ -236,15 +238,15 @@
 
     async fn ask_home(
         &self,
-        home: &MemberNote,
+        home: &MemberInfo,
         upstream: UpstreamKey,
-        ask: StartAsk,
+        ask: StartRequest,
     ) -> StartAnswer {
         let call = |client: GatewayPeerClient, context| async move {
             client.ask_start(context, upstream, ask).await
         };
         let peers = &self.fleet.peers;
-        let asked = peers.call_within(home.address, ASK_BOUND, call);
+        let asked = peers.call_with_timeout(home.address, ASK_BOUND, call);
         let no_answer = NoAnswer {
             address: home.address,
         };
@@ -270,7 +272,7 @@
     }
 
     /// What this host may use of a limit by itself.
-    fn share_of(&self, limit: NamedLimit) -> Pace {
+    fn share_of(&self, limit: AdvertisedLimit) -> Pace {
         Pace::Share {
             per_s: limit.per_s * SHARE_WITHOUT_HOME,
             hosts: self.fleet.host_count().max(1),
@@ -281,7 +283,7 @@
     ///
     /// A host that is cut off takes itself for the home of everything: one that has not heard another
     /// just now hands out none at a cold upstream, and its own share of a limit.
-    pub(crate) fn grant_start(&self, upstream: UpstreamKey, ask: StartAsk) -> StartAnswer {
+    pub(crate) fn grant_start(&self, upstream: UpstreamKey, ask: StartRequest) -> StartAnswer {
         let now_ms = self.clock.now_ms();
         if let Some(limit) = ask.limit {
             let heard_ms = now_ms.saturating_sub(limit.age_ms);
@@ -311,7 +313,7 @@
     /// # Errors
     /// How long to wait before the next question, in ms.
     pub(crate) async fn ask_if_cold(&self, upstream: UpstreamKey) -> Result<(), Millis> {
-        let ask = StartAsk {
+        let ask = StartRequest {
             is_cold: self.is_cold(upstream),
             limit: None,
         };
@@ -320,7 +322,7 @@
 
     /// Asks for a start where the upstream is cold or names a limit.
     async fn ask_if_bounded(&self, upstream: UpstreamKey) -> Result<(), Millis> {
-        let ask = StartAsk {
+        let ask = StartRequest {
             is_cold: self.is_cold(upstream),
             limit: self.instances.named_limit(self.clock.now_ms(), upstream),
         };
@@ -335,7 +337,7 @@
     /// Whether the limit that an upstream names leaves no start for this host now. No other request
     /// asks for one there before the home has said that there may be one.
     pub(crate) async fn is_held_back(&self, upstream: UpstreamKey) -> bool {
-        let ask = StartAsk {
+        let ask = StartRequest {
             is_cold: false,
             limit: self.instances.named_limit(self.clock.now_ms(), upstream),
         };
--- a/crates/gateway/src/stored_circuits.rs
+++ b/crates/gateway/src/stored_circuits.rs
@@ -12,7 +12,7 @@
 use fulmarpath_cluster::Clock;
 use fulmarpath_cluster::poison::adopt_circuits;
 use fulmarpath_policy::{Circuit, CircuitState, ContentKey, Millis, Restoration};
-use fulmarpath_wire::Holding;
+use fulmarpath_wire::ReplicatedState;
 use spdlog::{info, warn};
 use tokio::time::sleep;
 
@@ -97,7 +97,7 @@
                 let (old, circuits) = circuits.partition(Circuit::is_forgotten);
                 let news = adopt_circuits(self.as_ref(), circuits, "the store");
                 if !news.is_empty() {
-                    self.announce(Holding::Circuits, &news, self.neighbours());
+                    self.announce(ReplicatedState::Circuits, &news, self.neighbours());
                 }
                 self.remove_old(old).await;
                 self.restore_circuits(&stored);
--- a/crates/wire/src/gateway.rs
+++ b/crates/wire/src/gateway.rs
@@ -10,134 +10,138 @@
 
 use crate::message::{Ping, Pong, Rumour};
 
-/// What every gateway holds a copy of.
+/// The kinds of state that are replicated to every gateway.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub enum Holding {
+pub enum ReplicatedState {
     /// The operator's configuration.
     Configuration,
     /// The upstreams' registrations.
     Upstreams,
-    /// Nothing is held of it: the host that announces it can't read the store.
-    Blindness,
-    /// Members that have come or leave.
+    /// Announces that the sender can't read the store; no state is held of this kind.
+    #[serde(rename = "Blindness")]
+    StoreUnreadable,
+    /// Members that have joined or are leaving.
     Members,
-    /// The circuits of contents that ended upstreams.
+    /// The circuits of contents that crashed upstreams.
     Circuits,
     /// The evacuated data centres.
     Evacuations,
 }
 
-/// A hash of the members that a gateway believes present, in no order.
+/// An order-independent hash of the members that a gateway considers present.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct MembersDigest(pub u64);
 
-/// Engines of one service that one host places generations on; a hash of the cell's name.
+/// Key of a cell, the engines of one service on which one host places generations: a hash of the
+/// cell's name.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct CellKey(pub u64);
 
 /// The generations of one cell that one host relays.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Restatement {
-    /// The cell.
+pub struct RelayedRuns {
+    /// Cell of the generations.
     pub cell: CellKey,
-    /// The host.
+    /// Relaying host.
     pub host: HostKey,
-    /// All of them.
+    /// All generations of the cell that the host relays.
     pub runs: Vec<RunStatement>,
 }
 
-/// News of what every gateway holds, passed on from host to host.
+/// An update of replicated state, forwarded from host to host.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Announcement {
-    /// What it is news of.
-    pub holding: Holding,
-    /// The news, in the form that its holding has.
+    /// Kind of state that the update is for.
+    pub holding: ReplicatedState,
+    /// The update, in the encoding of its kind.
     pub value: Vec<u8>,
-    /// The hosts that the receiver passes it on to.
+    /// Hosts that the receiver forwards the update to.
     pub audience: Vec<SocketAddr>,
 }
 
-/// How a host's try to carry a generation to another engine ended.
+/// How a host's attempt to migrate a generation to another engine ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub enum CarryAnswer {
-    /// It goes on at the destination.
+pub enum MigrationAnswer {
+    /// It continues at the destination.
     Moved,
-    /// It still runs where it was.
+    /// It still runs at the source.
     Stayed,
-    /// It still runs where it was; the destination had no room for it.
+    /// It still runs at the source; the destination had no room for it.
     Refused,
-    /// The transfer was cut, and a part of the memory stays at the destination for a while.
+    /// The transfer was cut, and an orphaned partial copy of the KV cache stays at the destination
+    /// for a while.
     LeftBehind,
-    /// It is over, or the host doesn't relay it.
+    /// It has ended, or the host doesn't relay it.
     Over,
 }
 
-/// A limit that an upstream has named to a host.
+/// A rate limit that an upstream has advertised to a host.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
-pub struct NamedLimit {
-    /// Requests a second from all hosts together.
+pub struct AdvertisedLimit {
+    /// Requests per second from all hosts together.
     pub per_s: f32,
-    /// How long ago the host was told.
+    /// Time since the upstream advertised it.
     pub age_ms: Millis,
 }
 
-/// Why a host asks before it sends to an upstream.
+/// Asks for a start at a throttled upstream, and says why the host throttles it.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Serialize, Deserialize)]
-pub struct StartAsk {
-    /// The upstream is cold.
+pub struct StartRequest {
+    /// Whether the upstream is cold.
     pub is_cold: bool,
-    /// The upstream has named a limit.
-    pub limit: Option<NamedLimit>,
+    /// Limit that the upstream has advertised.
+    pub limit: Option<AdvertisedLimit>,
 }
 
-/// The answer to a request to start something at an upstream that bears a few only.
+/// The answer to a request for a start at a throttled upstream.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum StartAnswer {
-    /// It may start at once.
+    /// The request may start at once.
     Now,
-    /// It may ask again after so long.
+    /// The host may ask again after a wait.
     Later {
-        /// The wait.
+        /// Wait before the next attempt.
         wait_ms: Millis,
     },
 }
 
-/// What one gateway may ask of another.
+/// The calls that a gateway answers.
 #[tarpc::service]
 pub trait GatewayPeer {
-    /// Liveness, rumours of other members and the versions held; `root` is the configuration's.
+    /// Probes liveness, and exchanges rumours of other members and the versions held; `root` is the
+    /// version of the configuration.
     async fn ping(ping: Ping, members: MembersDigest) -> (Pong, MembersDigest);
-    /// A host that has just started makes itself known; answers with a few members to ask for all
-    /// else, drawn anew each time.
-    async fn join(newcomer: Rumour) -> Vec<Rumour>;
-    /// All that the sender believes of members, for all that the receiver believes.
-    async fn exchange_members(beliefs: Vec<Rumour>) -> Vec<Rumour>;
-    /// What has changed of the upstreams since a revision, in the form that news of them have.
+    /// Announces a host that has just started. The answer is a random sample of members from which
+    /// the host can fetch all other state.
+    async fn join(joining: Rumour) -> Vec<Rumour>;
+    /// Exchanges the member table of the sender for that of the receiver.
+    async fn exchange_members(members: Vec<Rumour>) -> Vec<Rumour>;
+    /// Returns the changes of the upstreams since a revision, encoded as in an announcement.
     async fn upstreams_since(revision: Revision) -> Vec<u8>;
-    /// What the receiver holds, in the form that the holding has; empty where it holds none.
-    async fn holding(holding: Holding) -> Vec<u8>;
-    /// Takes news and passes it on.
+    /// Returns the receiver's copy of a kind of state in its encoding; empty where it has none.
+    async fn holding(state: ReplicatedState) -> Vec<u8>;
+    /// Applies an update and forwards it.
     async fn announce(announcement: Announcement);
-    /// Asks the home of a cell for an engine; `None` where the receiver isn't the home.
+    /// Requests an engine from the home of a cell; `None` where the receiver isn't the home.
     async fn place(cell: CellKey, request: PlacementRequest) -> Option<Placement>;
-    /// A generation is over.
+    /// Reports that a generation has ended.
     async fn ended(cell: CellKey, run: RunKey, end: RunEnd);
-    /// What the sender relays; what it relayed before and doesn't name is over.
-    async fn restate(restatement: Restatement);
-    /// Tells the home of a cell that the sender has reason to doubt an engine, and what became of what
-    /// it had sent there.
+    /// States all generations that the sender relays; those it named before and omits have ended.
+    async fn restate(relayed: RelayedRuns);
+    /// Reports to the home of a cell that an engine may be failing, with the outcome of what the
+    /// sender had sent there.
     async fn doubt(cell: CellKey, engine: UpstreamKey, verdict: Verdict);
-    /// The home of a cell asks the relaying host to carry a generation to another engine.
-    async fn carry(run: RunKey, to: UpstreamKey) -> CarryAnswer;
-    /// Asks the home of an upstream that bears a few requests only for a start there.
-    async fn ask_start(upstream: UpstreamKey, ask: StartAsk) -> StartAnswer;
-    /// Tells a home of a service that a request of this content had just begun on an upstream that
-    /// ended.
+    /// Asks the relaying host, as the home of a cell, to migrate a generation to another engine.
+    async fn carry(run: RunKey, to: UpstreamKey) -> MigrationAnswer;
+    /// Asks the home of a throttled upstream for permission to start a request there.
+    async fn ask_start(upstream: UpstreamKey, request: StartRequest) -> StartAnswer;
+    /// Reports to a home of a service that a request of this content had just begun on an upstream
+    /// that crashed.
     async fn report_crash(content: ContentKey, upstream: UpstreamKey);
-    /// Asks a home whether a request of this content may be the one that runs.
+    /// Asks a home whether a request of this content may run as the circuit's probe.
     async fn may_probe(content: ContentKey) -> bool;
-    /// Tells a home that a request of this content was answered whole.
+    /// Reports to a home that a request of this content was answered completely.
     async fn report_success(content: ContentKey);
-    /// All circuits that the sender knows, for all that the receiver knows.
+    /// Exchanges all circuits that the sender knows for all that the receiver knows.
     async fn exchange_circuits(circuits: Vec<Circuit>) -> Vec<Circuit>;
 }
--- a/crates/wire/src/lib.rs
+++ b/crates/wire/src/lib.rs
@@ -1,8 +1,8 @@
-//! The protocols between our own hosts: a tarpc service each for entry hosts and for gateways,
-//! and their messages.
+//! The protocols between the hosts of the system: one tarpc service for entry hosts, one for
+//! gateways, and their messages.
 //!
-//! Every call is short: what takes long is asked for again, so that a connection that went silent
-//! is noticed by the first call that outlives its bound and is replaced by a new one.
+//! Every call is short, and long operations are polled. A connection that went silent is thereby
+//! detected by the first call that exceeds its timeout, and is replaced by a new one.
 
 mod gateway;
 mod message;
@@ -10,13 +10,13 @@
 mod service;
 
 pub use gateway::{
-    Announcement, CarryAnswer, CellKey, GatewayPeer, GatewayPeerClient, Holding, MembersDigest,
-    NamedLimit, Restatement, StartAnswer, StartAsk,
+    AdvertisedLimit, Announcement, CellKey, GatewayPeer, GatewayPeerClient, MembersDigest,
+    MigrationAnswer, RelayedRuns, ReplicatedState, StartAnswer, StartRequest,
 };
 pub use message::{
-    AskAnswer, AskReply, ClaimAnswer, ClaimAsk, Document, FetchAnswer, GenerationEnd, LimitAnswer,
-    MemberNote, MemberState, PermitId, Ping, Pong, Progress, ProgressReply, Rumour, RunState,
-    SlotAsk, Versions,
+    ClaimAnswer, ClaimRequest, Document, FetchAnswer, GenerationEnd, LimitAnswer, MemberInfo,
+    MemberState, PermitAnswer, PermitId, PermitReply, Ping, Pong, Progress, ProgressReply, Rumour,
+    RunState, SlotRequest, Versions,
 };
 pub use peers::{NoAnswer, Peers, framed};
 pub use service::{Peer, PeerClient};
--- a/crates/wire/src/message.rs
+++ b/crates/wire/src/message.rs
@@ -8,42 +8,42 @@
 };
 use serde::{Deserialize, Serialize};
 
-/// What is believed of a member.
+/// The state of a member as far as the sender knows.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum MemberState {
-    /// It answers.
+    /// It answers pings.
     Alive,
-    /// It didn't answer; it may refute that.
+    /// It missed a ping, and may still refute the suspicion.
     Suspect,
-    /// It finishes what runs and is home of nothing.
+    /// It completes running requests and is no home for any engine or cell.
     Leaving,
-    /// It is gone.
+    /// It has left or failed.
     Dead,
 }
 
-/// One member as it introduces itself.
+/// A member, as it describes itself.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct MemberNote {
-    /// Its name.
+pub struct MemberInfo {
+    /// Unique name.
     pub name: String,
-    /// Its data centre.
+    /// Data centre.
     pub data_centre: String,
-    /// Where its peers reach it.
+    /// Address that peers connect to.
     pub address: SocketAddr,
 }
 
-/// A belief about a member, passed on.
+/// The state of a member, passed on between hosts.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Rumour {
     /// The member.
-    pub member: MemberNote,
-    /// Its state.
+    pub member: MemberInfo,
+    /// Reported state.
     pub state: MemberState,
-    /// Raised by the member itself alone; a higher one goes before.
+    /// Raised only by the member itself; the higher incarnation takes precedence.
     pub incarnation: u64,
 }
 
-/// A document that every host holds.
+/// A document that is replicated to every host.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Document {
     /// The root of the configuration.
@@ -52,14 +52,14 @@
     HostList,
 }
 
-/// The versions that a host holds; 0 for none.
+/// The versions of the replicated state that a host holds; 0 for none.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Versions {
     /// Of the configuration's root.
     pub root: u64,
     /// Of the host list.
     pub host_list: u64,
-    /// Of the circuits of contents that ended upstreams: a hash of them in no order.
+    /// Of the circuits of contents that crashed upstreams: an order-independent hash of them.
     pub circuits: u64,
     /// Of the upstreams' registrations.
     pub upstreams: Revision,
@@ -67,10 +67,10 @@
     pub evacuations: Revision,
 }
 
-/// A permit, wherever it is.
+/// Identifies a permit across all homes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct PermitId {
-    /// The home's own incarnation: another home's arena may use the same key for another permit.
+    /// The home's incarnation. Another home's arena may use the same key for another permit.
     pub epoch: u64,
     /// The key in that home's arena.
     pub key: PermitKey,
@@ -81,9 +81,9 @@
 pub struct Ping {
     /// The sender.
     pub from: Rumour,
-    /// What the sender heard lately.
+    /// Recent rumours.
     pub rumours: Vec<Rumour>,
-    /// The sender's versions of the spread documents.
+    /// The sender's versions of the replicated state.
     pub versions: Versions,
 }
 
@@ -92,131 +92,133 @@
 pub struct Pong {
     /// The answering member.
     pub from: Rumour,
-    /// What it heard lately.
+    /// Recent rumours.
     pub rumours: Vec<Rumour>,
-    /// Its versions of the spread documents.
+    /// The answering member's versions of the replicated state.
     pub versions: Versions,
 }
 
-/// The answer to an ask.
+/// The answer to a permit request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub enum AskAnswer {
+pub enum PermitAnswer {
     /// The generation may start.
     Granted {
         /// The permit.
         permit: PermitId,
-        /// The engine's priority for it.
+        /// The priority to give the generation at the engine.
         priority: i32,
     },
-    /// Still in the queue: ask again.
+    /// Still in the queue: poll again.
     Queued,
-    /// It may not start here.
+    /// The generation may not start on this engine.
     Refused {
-        /// Why.
+        /// Reason of the refusal.
         reason: RefusalReason,
-        /// When to come back.
+        /// When to retry.
         retry_after_ms: Millis,
     },
     /// The receiver isn't the engine's home.
     NotHome,
 }
 
-/// The answer to an ask, with what the home knows of its engine.
+/// The answer to a permit request, with the engine's load.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub struct AskReply {
+pub struct PermitReply {
     /// The answer.
-    pub answer: AskAnswer,
-    /// The engine's load as its home counts it.
+    pub answer: PermitAnswer,
+    /// The engine's load, as its home counts it.
     pub load: EngineLoad,
 }
 
-/// The answer to a report of progress.
+/// The answer to a progress report.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ProgressReply {
-    /// Permits that had better move to another engine.
+    /// Permits whose generations should move to another engine.
     pub moves: Vec<PermitId>,
-    /// Permits that this home doesn't know; the host is to restore them.
+    /// Permits that this home doesn't know; the host has to restore them.
     pub unknown: Vec<PermitId>,
 }
 
-/// What became of a permit since the last report.
+/// The state of a permitted generation since the last report.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum RunState {
-    /// It goes on.
+    /// It is still generating.
     Running,
-    /// It is whole.
-    Whole,
-    /// It left the engine before it was whole.
-    Left,
+    /// It completed.
+    #[serde(rename = "Whole")]
+    Complete,
+    /// It left the engine before completion.
+    #[serde(rename = "Left")]
+    Incomplete,
 }
 
-/// How far a permit is.
+/// The progress of one permitted generation.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Progress {
     /// The engine.
     pub upstream: UpstreamKey,
     /// The permit.
     pub permit: PermitId,
-    /// Tokens out.
+    /// Tokens generated so far.
     pub out_tokens: u32,
-    /// What became of it.
+    /// State of the generation.
     pub state: RunState,
 }
 
 /// A request for a slot under an organisation's limits.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
-pub struct SlotAsk {
+pub struct SlotRequest {
     /// The organisation.
     pub organisation: OrganisationKey,
-    /// The host that asks.
+    /// The requesting host.
     pub host: HostKey,
-    /// Its declared limits.
+    /// The organisation's declared limits.
     pub bounds: Bounds,
 }
 
 /// The answer to a request for a slot.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum LimitAnswer {
-    /// The request may go on.
+    /// The slot is taken and the request may proceed.
     Taken,
-    /// Too many requests a second.
+    /// Too many requests per second.
     OverRate {
-        /// When to come back.
+        /// When to retry.
         retry_after_ms: Millis,
     },
-    /// Too many requests at once.
+    /// Too many concurrent requests.
     OverConcurrency {
-        /// When to come back.
+        /// When to retry.
         retry_after_ms: Millis,
     },
 }
 
 /// A request to claim an idempotency key.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct ClaimAsk {
-    /// The organisation and its key, hashed.
+pub struct ClaimRequest {
+    /// Hash of the organisation and its idempotency key.
     pub key: u128,
-    /// Hash of the request, so that the same key with another request is noticed.
+    /// Hash of the request, which detects a key reused for another request.
     pub request_hash: u64,
-    /// The generation that would run.
+    /// The generation to run.
     pub generation: String,
-    /// A generation that its own host has declared as never dispatched, and that this one follows.
+    /// An earlier generation that this one replaces; its host declared it as never dispatched.
     pub supersedes: Option<String>,
 }
 
-/// The answer to a request to claim.
+/// The answer to a claim request.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ClaimAnswer {
-    /// The claim is durable: this generation alone may be dispatched.
+    /// The claim is durable: only this generation may be dispatched.
     Claimed,
     /// The key was claimed before.
     Taken {
         /// The generation that holds it.
         generation: String,
-        /// Whether that was the same request.
+        /// Whether it was claimed for the same request.
         same_request: bool,
     },
-    /// Nothing was learnt; the key may or may not be claimed for this generation.
+    /// The outcome is unknown; the key may or may not be claimed for this generation.
     Unsure,
     /// The claim was certainly not made.
     NotClaimed,
@@ -225,25 +227,26 @@
 /// How a generation ended.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum GenerationEnd {
-    /// The answer is whole; `true` where the bound on output ended it.
-    Whole {
-        /// Whether the bound on output ended it.
+    /// The answer is complete.
+    #[serde(rename = "Whole")]
+    Complete {
+        /// Whether the output limit ended it.
         by_length: bool,
     },
     /// It certainly never ran.
     NotRun,
-    /// It may have run and can't be finished.
+    /// It may have run and can't be completed.
     OutcomeUnknown,
 }
 
-/// Tokens of a generation.
+/// The answer to a request for the tokens of a generation.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum FetchAnswer {
-    /// What came since the index asked for.
+    /// Tokens from the requested index on.
     Tokens {
-        /// In order.
+        /// Texts of the tokens, in order.
         texts: Vec<String>,
-        /// How it ended, behind these tokens.
+        /// How the generation ended after these tokens, if it has.
         end: Option<GenerationEnd>,
     },
     /// The host doesn't hold such a generation of that organisation.
--- a/crates/wire/src/peers.rs
+++ b/crates/wire/src/peers.rs
@@ -1,4 +1,4 @@
-//! Connections to peers, for any service of this package.
+//! Client connections to peers, for both services of this package.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -11,49 +11,49 @@
 use tokio::net::TcpStream;
 use tokio::time::timeout;
 
-const CONNECT_BOUND: Duration = Duration::from_millis(300);
-/// The bound on a call; whatever takes longer is asked for again.
-const CALL_BOUND: Duration = Duration::from_millis(700);
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
+/// Longer operations are polled.
+const CALL_TIMEOUT: Duration = Duration::from_millis(700);
 
-/// A call to a peer that got no answer. The peer may have carried it out.
+/// A call got no answer from a peer, which may have executed it all the same.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 #[error("could not get an answer from peer {address}")]
 pub struct NoAnswer {
-    /// The peer.
+    /// Address of the peer.
     pub address: SocketAddr,
 }
 
-/// A connection that nothing has used for so long is closed. Pings go to every member in turn, so
-/// without this each host of a large fleet would hold a connection to each other.
-const IDLE_BOUND: Duration = Duration::from_millis(3_000);
+/// Unused connections are closed after this time. Pings go to every member in turn; without the
+/// timeout each host of a large fleet would keep a connection to every other.
+const IDLE_TIMEOUT: Duration = Duration::from_millis(3_000);
 
 #[derive(Debug)]
-struct Open<C> {
+struct Connection<C> {
     client: C,
     used_at: Instant,
 }
 
-/// Connections to the peers that this host speaks to, opened when needed.
+/// A pool of connections to peers, opened on demand.
 #[derive(Debug)]
 pub struct Peers<C> {
-    clients: Mutex<HashMap<SocketAddr, Open<C>>>,
-    open: fn(TcpStream) -> C,
+    connections: Mutex<HashMap<SocketAddr, Connection<C>>>,
+    connect: fn(TcpStream) -> C,
 }
 
 impl<C: Clone> Peers<C> {
-    /// No connection yet; `open` makes a client of a new one.
-    pub fn new(open: fn(TcpStream) -> C) -> Self {
+    /// Creates an empty pool; `connect` makes a client from a new socket.
+    pub fn new(connect: fn(TcpStream) -> C) -> Self {
         Self {
-            clients: Mutex::default(),
-            open,
+            connections: Mutex::default(),
+            connect,
         }
     }
 
     /// Calls a peer once.
     ///
-    /// A call that fails or outlives its bound closes the connection. One that a middle box has
-    /// forgotten stays silent for good while new ones work: its symptom is a first call without an
-    /// answer, and every call has a bound, so none is used again after that.
+    /// A call that fails or times out closes the connection. A connection whose state a middlebox
+    /// has dropped stays silent for good while new ones work. The first call on it times out, and
+    /// the connection is not used again after that.
     ///
     /// # Errors
     /// [`NoAnswer`]
@@ -65,17 +65,17 @@
     where
         F: Future<Output = Result<T, RpcError>>,
     {
-        self.call_within(address, CALL_BOUND, call).await
+        self.call_with_timeout(address, CALL_TIMEOUT, call).await
     }
 
-    /// Calls a peer once, with a bound of its own.
+    /// Calls a peer once, with a timeout other than the default.
     ///
     /// # Errors
     /// [`NoAnswer`]
-    pub async fn call_within<T, F>(
+    pub async fn call_with_timeout<T, F>(
         &self,
         address: SocketAddr,
-        bound: Duration,
+        limit: Duration,
         call: impl FnOnce(C, Context) -> F,
     ) -> Result<T, NoAnswer>
     where
@@ -83,45 +83,45 @@
     {
         let client = self.client(address).await?;
         let mut context = tarpc::context::current();
-        context.deadline = Instant::now() + bound;
-        match timeout(bound, call(client, context)).await {
+        context.deadline = Instant::now() + limit;
+        match timeout(limit, call(client, context)).await {
             Ok(Ok(answer)) => Ok(answer),
             _ => {
-                self.clients.lock().remove(&address);
+                self.connections.lock().remove(&address);
                 Err(NoAnswer { address })
             }
         }
     }
 
     async fn client(&self, address: SocketAddr) -> Result<C, NoAnswer> {
-        if let Some(open) = self.clients.lock().get_mut(&address) {
-            open.used_at = Instant::now();
-            return Ok(open.client.clone());
+        if let Some(connection) = self.connections.lock().get_mut(&address) {
+            connection.used_at = Instant::now();
+            return Ok(connection.client.clone());
         }
-        let Ok(Ok(socket)) = timeout(CONNECT_BOUND, TcpStream::connect(address)).await else {
+        let Ok(Ok(socket)) = timeout(CONNECT_TIMEOUT, TcpStream::connect(address)).await else {
             return Err(NoAnswer { address });
         };
         let _ = socket.set_nodelay(true);
-        let client = (self.open)(socket);
-        let open = Open {
+        let client = (self.connect)(socket);
+        let connection = Connection {
             client: client.clone(),
             used_at: Instant::now(),
         };
-        self.clients.lock().insert(address, open);
+        self.connections.lock().insert(address, connection);
         Ok(client)
     }
 
-    /// Closes idle connections.
-    pub fn tidy(&self) {
-        let mut clients = self.clients.lock();
-        clients.retain(|_, open| open.used_at.elapsed() < IDLE_BOUND);
+    /// Closes connections that have been unused for the idle timeout.
+    pub fn close_idle(&self) {
+        let mut connections = self.connections.lock();
+        connections.retain(|_, connection| connection.used_at.elapsed() < IDLE_TIMEOUT);
     }
 }
 
-/// The longest message: a part of the configuration with its framing.
+/// The largest message is a part of the configuration with its framing.
 const FRAME_LIMIT_BYTES: usize = 4 * 1024 * 1024;
 
-/// Cuts a connection into messages; both ends use it.
+/// Splits a connection into length-delimited messages; both ends use it.
 pub fn framed(socket: TcpStream) -> Framed<TcpStream, LengthDelimitedCodec> {
     LengthDelimitedCodec::builder()
         .max_frame_length(FRAME_LIMIT_BYTES)
