--- a/crates/gateway/src/attempt.rs
+++ b/crates/gateway/src/attempt.rs
@@ -14,11 +14,11 @@
 use crate::crashes::BrokenRun;
 use crate::gateway::Gateway;
 use crate::head::{Continuation, Outbound, ResponseHead};
+use crate::inbound::InboundRequest;
 use crate::instance::Chosen;
-use crate::intake::Inquiry;
-use crate::journey::{ANSWERED, Flight, Journey};
 use crate::problem::Problem;
 use crate::record::Dispatch;
+use crate::tracker::{ANSWERED, InFlightRequest, RequestTracker};
 
 /// Time to connect: some ways there and back between data centres, and an upstream's handshake.
 /// A lost opening packet is sent again only after a second, by when another upstream has answered.
@@ -32,14 +32,14 @@
 pub(crate) struct Answer {
     pub(crate) head: ResponseHead,
     pub(crate) response: Response<Incoming>,
-    pub(crate) flight: Flight,
+    pub(crate) in_flight: InFlightRequest,
     /// Closed when dropped, whereupon the upstream gives the request up.
     pub(crate) connection: Connection,
 }
 
 /// What a dispatch is sent with, beside the caller's own request.
 #[derive(Debug, Clone, Default)]
-pub(crate) struct Terms {
+pub(crate) struct DispatchOptions {
     /// Until when the head of the answer is waited for.
     pub(crate) until_ms: Millis,
     /// The engine that keeps a running copy.
@@ -93,69 +93,69 @@
     /// Sends a request to the chosen upstream and waits for the head of its answer.
     pub(crate) async fn dispatch(
         self: &Arc<Self>,
-        inquiry: &Inquiry,
-        journey: &mut Journey,
+        inbound: &InboundRequest,
+        tracker: &mut RequestTracker,
         chosen: Chosen,
-        terms: Terms,
+        options: DispatchOptions,
     ) -> Result<Answer, Failure> {
-        journey.dispatched(Dispatch {
+        tracker.begin_dispatch(Dispatch {
             instance: chosen.instance.clone(),
-            at_ms: self.clock.now_ms().saturating_sub(journey.arrived_ms),
+            at_ms: self.clock.now_ms().saturating_sub(tracker.arrived_ms),
             outcome: "sent".to_owned(),
         });
-        let answer = self.exchange(inquiry, chosen, terms, &journey.id).await;
+        let answer = self.exchange(inbound, chosen, options, &tracker.id).await;
         match &answer {
-            Ok(answer) => journey.dispatch_ended(if answer.response.status().is_success() {
+            Ok(answer) => tracker.end_dispatch(if answer.response.status().is_success() {
                 ANSWERED
             } else {
                 "failed"
             }),
-            Err(failure) => journey.dispatch_ended(failure.name()),
+            Err(failure) => tracker.end_dispatch(failure.name()),
         }
         answer
     }
 
     async fn exchange(
         self: &Arc<Self>,
-        inquiry: &Inquiry,
+        inbound: &InboundRequest,
         chosen: Chosen,
-        terms: Terms,
+        options: DispatchOptions,
         id: &str,
     ) -> Result<Answer, Failure> {
         let (address, key) = (chosen.address, chosen.key);
-        let mut flight = Flight::new(self.clone(), chosen);
+        let mut in_flight = InFlightRequest::new(self.clone(), chosen);
         let started_ms = self.clock.now_ms();
-        let connect_ms = terms.until_ms.saturating_sub(started_ms).min(CONNECT_MS);
+        let connect_ms = options.until_ms.saturating_sub(started_ms).min(CONNECT_MS);
         let opened = Connection::open(address, Duration::from_millis(connect_ms)).await;
         let Ok(mut connection) = opened else {
             self.instances.unreachable(self.clock.now_ms(), key);
             return Err(Failure::Unsent);
         };
-        let request = self.outbound(inquiry, &flight.chosen, &terms);
-        let left_ms = terms.until_ms.saturating_sub(self.clock.now_ms());
-        let lost = flight.chosen.lost.clone();
+        let request = self.outbound(inbound, &in_flight.chosen, &options);
+        let left_ms = options.until_ms.saturating_sub(self.clock.now_ms());
+        let lost = in_flight.chosen.lost.clone();
         let exchange = timeout(Duration::from_millis(left_ms), connection.exchange(request));
         let exchanged = tokio::select! {
             exchanged = exchange => exchanged,
             () = lost.cancelled() => {
-                flight.note(Verdict::Unheard);
-                self.note_broken(BrokenRun::new(&flight.chosen, inquiry, id, None));
+                in_flight.note(Verdict::Unheard);
+                self.note_broken(BrokenRun::new(&in_flight.chosen, inbound, id, None));
                 return Err(Failure::Unknown);
             }
         };
         let response = match exchanged {
             Ok(Ok(response)) => response,
             Ok(Err(HttpError::Unreachable { .. })) => {
-                flight.note(Verdict::Failed);
+                in_flight.note(Verdict::Failed);
                 return Err(Failure::Unsent);
             }
             Ok(Err(_)) => {
-                flight.note(Verdict::Failed);
-                self.note_broken(BrokenRun::new(&flight.chosen, inquiry, id, None));
+                in_flight.note(Verdict::Failed);
+                self.note_broken(BrokenRun::new(&in_flight.chosen, inbound, id, None));
                 return Err(Failure::Unknown);
             }
             Err(_) => {
-                flight.note(Verdict::Failed);
+                in_flight.note(Verdict::Failed);
                 return Err(Failure::Overdue);
             }
         };
@@ -166,23 +166,23 @@
         let is_stray = !head.is_not_run && head.id.as_deref() != Some(id);
         let is_other = response.status() == StatusCode::MISDIRECTED_REQUEST;
         if !is_stray && !is_other {
-            self.hear_signals(&flight.chosen, head.signals);
+            self.hear_signals(&in_flight.chosen, head.signals);
         }
         if head.is_not_run {
-            flight.note(Verdict::Shed);
-            self.instances.spare_until(now_ms + FULL_MS, key);
+            in_flight.note(Verdict::Shed);
+            self.instances.penalise_until(now_ms + FULL_MS, key);
             if is_other {
-                self.instances.leave(key);
+                self.instances.mark_leaving(key);
             }
             return Err(Failure::Shed);
         }
         // An upstream may send one answer too many; its id tells which request it belongs to.
         if is_stray {
-            flight.note(Verdict::Failed);
+            in_flight.note(Verdict::Failed);
             return Err(Failure::Unknown);
         }
         if head.is_closing {
-            self.instances.spare_until(now_ms + CLOSING_MS, key);
+            self.instances.penalise_until(now_ms + CLOSING_MS, key);
         }
         let latency_ms = now_ms.saturating_sub(started_ms);
         self.instances.answered(now_ms, key, latency_ms, head.load);
@@ -190,29 +190,29 @@
         Ok(Answer {
             head,
             response,
-            flight,
+            in_flight,
             connection,
         })
     }
 
     fn outbound(
         &self,
-        inquiry: &Inquiry,
+        inbound: &InboundRequest,
         chosen: &Chosen,
-        terms: &Terms,
+        options: &DispatchOptions,
     ) -> Request<Full<bytes::Bytes>> {
         let outbound = Outbound {
-            time_left_ms: inquiry.deadline_ms.saturating_sub(self.clock.now_ms()),
+            time_left_ms: inbound.deadline_ms.saturating_sub(self.clock.now_ms()),
             instance: chosen.instance.clone(),
-            organisation: inquiry.organisation.clone(),
-            backup: terms.backup,
-            continuation: terms.continuation.clone(),
-            last_event: terms.last_event,
+            organisation: inbound.organisation.clone(),
+            backup: options.backup,
+            continuation: options.continuation.clone(),
+            last_event: options.last_event,
         };
-        let mut request = Request::new(Full::new(inquiry.body.clone()));
-        *request.method_mut() = inquiry.method.clone();
-        *request.uri_mut() = inquiry.uri.clone();
-        *request.headers_mut() = inquiry.headers.clone();
+        let mut request = Request::new(Full::new(inbound.body.clone()));
+        *request.method_mut() = inbound.method.clone();
+        *request.uri_mut() = inbound.uri.clone();
+        *request.headers_mut() = inbound.headers.clone();
         self.dialect
             .write_outbound(request.headers_mut(), &outbound);
         request
--- a/crates/gateway/src/standing.rs
+++ b/crates/gateway/src/availability.rs
@@ -8,7 +8,7 @@
 
 /// What the upstreams of one service bear while they are cold.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub(crate) struct Allowance {
+pub(crate) struct ColdLimit {
     /// How long one is cold after its start.
     pub(crate) cold_ms: Millis,
     /// Starts that one host may hand out in any one second meanwhile.
@@ -17,11 +17,11 @@
 
 /// What each service's upstreams bear; services whose upstreams are never cold are left out.
 #[derive(Debug, Default)]
-pub(crate) struct Allowances {
-    by_service: HashMap<String, Allowance>,
+pub(crate) struct ColdLimits {
+    by_service: HashMap<String, ColdLimit>,
 }
 
-impl Allowances {
+impl ColdLimits {
     /// By the operator's bound and each service's own figures.
     pub(crate) fn of(bound: Option<ColdBound>, in_force: Option<&ActiveConfiguration>) -> Self {
         let Some((bound, in_force)) = bound.zip(in_force) else {
@@ -30,25 +30,25 @@
         let services = in_force.configuration.services.iter();
         let cold = services.filter(|one| one.cold_ms > 0);
         let by_service = cold.map(|one| {
-            let allowance = Allowance {
+            let cold_limit = ColdLimit {
                 cold_ms: one.cold_ms,
                 starts: bound.starts(one.cold_per_second),
             };
-            (one.name.clone(), allowance)
+            (one.name.clone(), cold_limit)
         });
         Self {
             by_service: by_service.collect(),
         }
     }
 
-    pub(crate) fn get(&self, service: &str) -> Option<Allowance> {
+    pub(crate) fn get(&self, service: &str) -> Option<ColdLimit> {
         self.by_service.get(service).copied()
     }
 }
 
 /// Whether an upstream may get work.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub(crate) struct Standing {
+pub(crate) struct Availability {
     /// Its data centre is evacuated: it gets nothing.
     pub(crate) is_evacuated: bool,
     /// Set while it bears a few new requests a second only.
--- a/crates/gateway/src/cells.rs
+++ b/crates/gateway/src/cells.rs
@@ -9,12 +9,12 @@
 use fulmarpath_wire::{CellKey, RelayedRuns};
 use parking_lot::Mutex;
 
+use crate::availability::Availability;
 use crate::configuration::{ActiveConfiguration, EngineTraits};
 use crate::control::EngineStatus;
 use crate::directory::{Directory, RegisteredState, Registration};
 use crate::key::{centre_of, name_of, upstream_of};
 use crate::layout::{self, CellsByEngine};
-use crate::standing::Standing;
 
 /// One cell and the service that it is of.
 struct Table {
@@ -47,7 +47,7 @@
         now_ms: Millis,
         in_force: &ActiveConfiguration,
         directory: &Directory,
-        standing_of: impl Fn(UpstreamKey) -> Standing,
+        availability_of: impl Fn(UpstreamKey) -> Availability,
     ) -> bool {
         let mut by_service: HashMap<&str, Vec<&Registration>> = HashMap::new();
         for one in &directory.registrations {
@@ -77,8 +77,8 @@
             }
             for (cell, engines) in by_cell {
                 let engines = engines.iter().map(|one| {
-                    let standing = standing_of(upstream_of(one));
-                    engine(one, traits, standing)
+                    let availability = availability_of(upstream_of(one));
+                    engine(one, traits, availability)
                 });
                 let engines: Vec<CellEngine> = engines.collect();
                 by_engine.extend(engines.iter().map(|one| (one.key, cell)));
@@ -238,14 +238,18 @@
     }
 }
 
-fn engine(registration: &Registration, traits: &EngineTraits, standing: Standing) -> CellEngine {
+fn engine(
+    registration: &Registration,
+    traits: &EngineTraits,
+    availability: Availability,
+) -> CellEngine {
     CellEngine {
         key: upstream_of(registration),
         name: name_of(registration),
         data_centre: centre_of(&registration.data_centre),
         is_draining: registration.state == RegisteredState::Draining,
-        is_evacuated: standing.is_evacuated,
-        cold: standing.cold,
+        is_evacuated: availability.is_evacuated,
+        cold: availability.cold,
         figures: EngineFigures {
             memory_tokens: traits.memory_tokens,
             slots: traits.slots,
--- a/crates/gateway/src/crashes.rs
+++ b/crates/gateway/src/crashes.rs
@@ -9,8 +9,8 @@
 use tokio::time::timeout;
 
 use crate::gateway::Gateway;
+use crate::inbound::InboundRequest;
 use crate::instance::Chosen;
-use crate::intake::Inquiry;
 
 /// An upstream that takes connections may have started again in its place already: its registration
 /// says so within this time.
@@ -30,15 +30,15 @@
 impl BrokenRun {
     pub(crate) fn new(
         chosen: &Chosen,
-        inquiry: &Inquiry,
+        inbound: &InboundRequest,
         request: &str,
         ran_ms: Option<Millis>,
     ) -> Self {
         Self {
             chosen: chosen.clone(),
             request: request.to_owned(),
-            content: inquiry.content,
-            service: inquiry.service.clone(),
+            content: inbound.content,
+            service: inbound.service.clone(),
             ran_ms,
         }
     }
--- a/crates/gateway/src/source.rs
+++ b/crates/gateway/src/engine_stream.rs
@@ -10,13 +10,13 @@
 use tokio::time::timeout;
 
 use crate::attempt::Answer;
-use crate::events::Events;
+use crate::events::EventBuffer;
 use crate::gateway::Gateway;
 use crate::instance::Destination;
-use crate::journey::Flight;
+use crate::tracker::InFlightRequest;
 
 /// What came from an engine.
-pub(crate) enum Heard {
+pub(crate) enum StreamRead {
     Bytes,
     End,
     Broken,
@@ -24,8 +24,8 @@
 }
 
 /// The stream of the engine that makes the generation now.
-pub(crate) struct Source {
-    pub(crate) flight: Flight,
+pub(crate) struct EngineStream {
+    pub(crate) in_flight: InFlightRequest,
     /// When its answer began.
     pub(crate) since_ms: Millis,
     /// When the first bytes of its stream came.
@@ -34,49 +34,49 @@
     _connection: Connection,
 }
 
-impl Source {
+impl EngineStream {
     pub(crate) fn new(now_ms: Millis, answer: Answer) -> Self {
         Self {
             since_ms: now_ms,
             begun_ms: None,
-            flight: answer.flight,
+            in_flight: answer.in_flight,
             body: answer.response.into_body(),
             _connection: answer.connection,
         }
     }
 
     pub(crate) fn address(&self) -> SocketAddr {
-        self.flight.chosen.address
+        self.in_flight.chosen.address
     }
 
     /// The engine, as one that the generation may go on at.
     pub(crate) fn engine(&self) -> Destination {
-        self.flight.chosen.destination()
+        self.in_flight.chosen.destination()
     }
 
     /// Waits for more of the stream.
-    pub(crate) async fn hear(
+    pub(crate) async fn read(
         &mut self,
-        events: &mut Events,
+        events: &mut EventBuffer,
         until_ms: Millis,
         gateway: &Gateway,
-    ) -> Heard {
+    ) -> StreamRead {
         let left_ms = until_ms.saturating_sub(gateway.clock.now_ms());
         let frame = timeout(Duration::from_millis(left_ms), self.body.frame()).await;
         match frame {
             Ok(Some(Ok(frame))) => {
                 push(events, &frame);
                 self.begun_ms.get_or_insert_with(|| gateway.clock.now_ms());
-                Heard::Bytes
+                StreamRead::Bytes
             }
-            Ok(None) => Heard::End,
-            Ok(Some(Err(_))) => Heard::Broken,
-            Err(_) => Heard::Overdue,
+            Ok(None) => StreamRead::End,
+            Ok(Some(Err(_))) => StreamRead::Broken,
+            Err(_) => StreamRead::Overdue,
         }
     }
 }
 
-fn push(events: &mut Events, frame: &Frame<Bytes>) {
+fn push(events: &mut EventBuffer, frame: &Frame<Bytes>) {
     if let Some(data) = frame.data_ref() {
         events.push(data);
     }
--- a/crates/gateway/src/events.rs
+++ b/crates/gateway/src/events.rs
@@ -4,24 +4,24 @@
 
 /// Collects bytes until they end an event.
 #[derive(Debug, Default)]
-pub(crate) struct Events {
+pub(crate) struct EventBuffer {
     buffer: BytesMut,
 }
 
-impl Events {
+impl EventBuffer {
     /// Takes in bytes as they came.
     pub(crate) fn push(&mut self, bytes: &[u8]) {
         self.buffer.extend_from_slice(bytes);
     }
 
     /// All events that are whole, in one piece; `None` where there is none.
-    pub(crate) fn take_whole(&mut self) -> Option<Bytes> {
+    pub(crate) fn take_complete(&mut self) -> Option<Bytes> {
         let end = end_of_last(&self.buffer)?;
         Some(self.buffer.split_to(end).freeze())
     }
 
     /// What is left after the last whole event.
-    pub(crate) fn take_rest(&mut self) -> Option<Bytes> {
+    pub(crate) fn take_remainder(&mut self) -> Option<Bytes> {
         let rest = self.buffer.split().freeze();
         (!rest.is_empty()).then_some(rest)
     }
--- a/crates/gateway/src/forward.rs
+++ b/crates/gateway/src/forward.rs
@@ -12,15 +12,15 @@
 use hyper::{HeaderMap, Request, Response, StatusCode};
 use tokio::time::timeout;
 
-use crate::attempt::{Answer, Failure, Terms};
+use crate::attempt::{Answer, DispatchOptions, Failure};
 use crate::configuration::RouteKind;
 use crate::crashes::BrokenRun;
 use crate::gateway::Gateway;
 use crate::hop;
+use crate::inbound::InboundRequest;
 use crate::instance::Chosen;
-use crate::intake::Inquiry;
-use crate::journey::Journey;
 use crate::problem::{Problem, reply};
+use crate::tracker::RequestTracker;
 
 /// Dispatches of one request that did not run anywhere, beside those that the route allows to run.
 /// Each costs a way there and back; after three the service is full or gone.
@@ -34,7 +34,7 @@
 const WAIT_SHARE: f32 = 0.5;
 
 /// A whole answer of an upstream.
-pub(crate) struct Whole {
+pub(crate) struct CompleteAnswer {
     pub(crate) status: StatusCode,
     headers: HeaderMap,
     body: Bytes,
@@ -42,65 +42,69 @@
 
 impl Gateway {
     /// Answers a caller's request.
-    pub(crate) async fn answer(self: Arc<Self>, request: Request<Incoming>) -> Reply {
+    pub(crate) async fn handle(self: Arc<Self>, request: Request<Incoming>) -> Reply {
         let arrived_ms = self.clock.now_ms();
-        let mut journey = Journey::new(self.clone(), arrived_ms);
-        let inquiry = match self.take_in(request, &mut journey).await {
-            Ok(inquiry) => inquiry,
-            Err(problem) => return self.decline(journey, problem),
+        let mut tracker = RequestTracker::new(self.clone(), arrived_ms);
+        let inbound = match self.accept(request, &mut tracker).await {
+            Ok(inbound) => inbound,
+            Err(problem) => return self.reject(tracker, problem),
         };
-        if let Err(problem) = self.refuse_if_open(&inquiry) {
-            return self.decline(journey, problem);
+        if let Err(problem) = self.refuse_if_open(&inbound) {
+            return self.reject(tracker, problem);
         }
-        self.count_request(arrived_ms, &inquiry.service);
-        let id = journey.id.clone();
-        let mut reply = match inquiry.route.kind {
-            RouteKind::Streaming => self.clone().stream(inquiry, journey).await,
+        self.count_request(arrived_ms, &inbound.service);
+        let id = tracker.id.clone();
+        let mut reply = match inbound.route.kind {
+            RouteKind::Streaming => self.clone().stream(inbound, tracker).await,
             RouteKind::Idempotent | RouteKind::NonIdempotent => {
-                self.answer_whole(inquiry, journey).await
+                self.serve_buffered(inbound, tracker).await
             }
         };
         self.dialect.write_own_response(reply.headers_mut(), &id);
-        self.tell_to_leave(&mut reply);
+        self.close_if_draining(&mut reply);
         reply
     }
 
     /// Answers with a problem.
-    pub(crate) fn decline(&self, mut journey: Journey, problem: Problem) -> Reply {
-        journey.problem(problem);
+    pub(crate) fn reject(&self, mut tracker: RequestTracker, problem: Problem) -> Reply {
+        tracker.end_with_problem(problem);
         let mut reply = reply(problem);
         self.dialect
-            .write_own_response(reply.headers_mut(), &journey.id);
-        self.tell_to_leave(&mut reply);
+            .write_own_response(reply.headers_mut(), &tracker.id);
+        self.close_if_draining(&mut reply);
         reply
     }
 
-    fn tell_to_leave(&self, reply: &mut Reply) {
+    fn close_if_draining(&self, reply: &mut Reply) {
         if self.is_draining() {
             let close = HeaderValue::from_static("close");
             reply.headers_mut().insert(CONNECTION, close);
         }
     }
 
-    async fn answer_whole(self: &Arc<Self>, inquiry: Inquiry, mut journey: Journey) -> Reply {
-        let answer = self.try_upstreams(&inquiry, &mut journey).await;
+    async fn serve_buffered(
+        self: &Arc<Self>,
+        inbound: InboundRequest,
+        mut tracker: RequestTracker,
+    ) -> Reply {
+        let answer = self.try_upstreams(&inbound, &mut tracker).await;
         match answer {
             Ok(whole) => {
                 if whole.status.is_success() {
-                    self.note_success(&inquiry);
+                    self.note_success(&inbound);
                 }
-                journey.end("answered", whole.status.as_u16());
-                pass_on(whole)
+                tracker.end("answered", whole.status.as_u16());
+                into_reply(whole)
             }
-            Err(problem) => self.decline(journey, problem),
+            Err(problem) => self.reject(tracker, problem),
         }
     }
 
     async fn try_upstreams(
         self: &Arc<Self>,
-        inquiry: &Inquiry,
-        journey: &mut Journey,
-    ) -> Result<Whole, Problem> {
+        inbound: &InboundRequest,
+        tracker: &mut RequestTracker,
+    ) -> Result<CompleteAnswer, Problem> {
         let mut tried = Vec::new();
         let mut runs = 0;
         let mut unrun = 0;
@@ -109,7 +113,7 @@
         let mut problem = Problem::NoUpstream;
         loop {
             let now_ms = self.clock.now_ms();
-            if now_ms >= inquiry.deadline_ms {
+            if now_ms >= inbound.deadline_ms {
                 let may_have_run = runs > 0;
                 problem = if may_have_run {
                     Problem::Timeout
@@ -118,18 +122,18 @@
                 };
                 break;
             }
-            if !tried.is_empty() && !self.may_retry(now_ms, &inquiry.service) {
+            if !tried.is_empty() && !self.may_retry(now_ms, &inbound.service) {
                 break;
             }
             if !std::mem::replace(&mut is_admitted, true)
-                && let Err(refused) = self.admit(inquiry).await
+                && let Err(refused) = self.admit(inbound).await
             {
                 problem = refused;
                 break;
             }
-            let wait_ms = (inquiry.route.target_ms as f32 * WAIT_SHARE) as Millis;
-            let until_ms = inquiry.deadline_ms.min(journey.arrived_ms + wait_ms);
-            let found = self.find_upstream(&inquiry.service, &tried, until_ms);
+            let wait_ms = (inbound.route.target_ms as f32 * WAIT_SHARE) as Millis;
+            let until_ms = inbound.deadline_ms.min(tracker.arrived_ms + wait_ms);
+            let found = self.find_upstream(&inbound.service, &tried, until_ms);
             let chosen = match found.await {
                 Ok(Some(chosen)) => chosen,
                 Ok(None) => break,
@@ -140,9 +144,9 @@
             };
             let now_ms = self.clock.now_ms();
             tried.push(chosen.key);
-            let may_run_again = inquiry.may_run_again(runs + 1);
-            let until_ms = self.until_ms(inquiry, now_ms, may_run_again);
-            let outcome = self.try_once(inquiry, journey, chosen, until_ms).await;
+            let may_run_again = inbound.may_run_again(runs + 1);
+            let until_ms = self.until_ms(inbound, now_ms, may_run_again);
+            let outcome = self.try_once(inbound, tracker, chosen, until_ms).await;
             let failure = match outcome {
                 Ok(whole) if whole.status.is_server_error() && may_run_again => {
                     failed_answer = Some(whole);
@@ -164,7 +168,7 @@
             runs += 1;
             is_admitted = false;
             problem = failure.problem();
-            if !inquiry.may_run_again(runs) {
+            if !inbound.may_run_again(runs) {
                 break;
             }
         }
@@ -172,59 +176,59 @@
             Some(whole) => Ok(whole),
             // A request that may have run must never be said not to have run.
             None if runs > 0 && problem.guarantees_not_run() => Err(Problem::Broken),
-            None => Err(self.when_refused(problem, &inquiry.service)),
+            None => Err(self.refine_refusal(problem, &inbound.service)),
         }
     }
 
     /// How long one upstream has.
-    fn until_ms(&self, inquiry: &Inquiry, now_ms: Millis, may_run_again: bool) -> Millis {
+    fn until_ms(&self, inbound: &InboundRequest, now_ms: Millis, may_run_again: bool) -> Millis {
         if !may_run_again {
-            return inquiry.deadline_ms;
+            return inbound.deadline_ms;
         }
-        let patience_ms = (inquiry.route.target_ms as f32 * PATIENCE_SHARE) as Millis;
-        inquiry.deadline_ms.min(now_ms + patience_ms)
+        let patience_ms = (inbound.route.target_ms as f32 * PATIENCE_SHARE) as Millis;
+        inbound.deadline_ms.min(now_ms + patience_ms)
     }
 
     async fn try_once(
         self: &Arc<Self>,
-        inquiry: &Inquiry,
-        journey: &mut Journey,
+        inbound: &InboundRequest,
+        tracker: &mut RequestTracker,
         chosen: Chosen,
         until_ms: Millis,
-    ) -> Result<Whole, Failure> {
-        let terms = Terms {
+    ) -> Result<CompleteAnswer, Failure> {
+        let options = DispatchOptions {
             until_ms,
-            ..Terms::default()
+            ..DispatchOptions::default()
         };
-        let answer = self.dispatch(inquiry, journey, chosen, terms).await?;
-        let sent = answer.flight.chosen.clone();
-        let outcome = self.read_whole(answer, inquiry.deadline_ms).await;
+        let answer = self.dispatch(inbound, tracker, chosen, options).await?;
+        let sent = answer.in_flight.chosen.clone();
+        let outcome = self.read_complete(answer, inbound.deadline_ms).await;
         if outcome
             .as_ref()
             .is_err_and(|failure| *failure == Failure::Unknown)
         {
-            self.note_broken(BrokenRun::new(&sent, inquiry, &journey.id, None));
+            self.note_broken(BrokenRun::new(&sent, inbound, &tracker.id, None));
         }
         if outcome.is_err() {
-            journey.dispatch_ended("broken");
+            tracker.end_dispatch("broken");
         }
         outcome
     }
 
-    pub(crate) async fn read_whole(
+    pub(crate) async fn read_complete(
         &self,
         answer: Answer,
         deadline_ms: Millis,
-    ) -> Result<Whole, Failure> {
+    ) -> Result<CompleteAnswer, Failure> {
         let Answer {
             head,
             response,
-            mut flight,
+            mut in_flight,
             connection,
         } = answer;
         let (parts, body) = response.into_parts();
         let left_ms = deadline_ms.saturating_sub(self.clock.now_ms());
-        let lost = flight.chosen.lost.clone();
+        let lost = in_flight.chosen.lost.clone();
         let collected = tokio::select! {
             collected = timeout(Duration::from_millis(left_ms), body.collect()) => collected,
             () = lost.cancelled() => return Err(Failure::Unknown),
@@ -233,26 +237,26 @@
         let body = match collected {
             Ok(Ok(body)) => body.to_bytes(),
             Ok(Err(_)) => {
-                flight.note(Verdict::Failed);
+                in_flight.note(Verdict::Failed);
                 return Err(Failure::Unknown);
             }
             Err(_) => {
-                flight.note(Verdict::Failed);
+                in_flight.note(Verdict::Failed);
                 return Err(Failure::Overdue);
             }
         };
         // Without a signature a success isn't the upstream's own.
         if parts.status.is_success() && !head.is_signed {
-            flight.note(Verdict::Failed);
+            in_flight.note(Verdict::Failed);
             return Err(Failure::Unknown);
         }
         let is_failure = parts.status.is_server_error();
-        flight.note(if is_failure {
+        in_flight.note(if is_failure {
             Verdict::Failed
         } else {
             Verdict::Good
         });
-        Ok(Whole {
+        Ok(CompleteAnswer {
             status: parts.status,
             headers: parts.headers,
             body,
@@ -260,7 +264,7 @@
     }
 }
 
-pub(crate) fn pass_on(answer: Whole) -> Reply {
+pub(crate) fn into_reply(answer: CompleteAnswer) -> Reply {
     let mut reply = Response::new(whole(answer.body));
     *reply.status_mut() = answer.status;
     *reply.headers_mut() = answer.headers;
--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -13,6 +13,7 @@
 use parking_lot::Mutex;
 use spdlog::info;
 
+use crate::availability::ColdLimits;
 use crate::cells::Cells;
 use crate::configuration::{ActiveConfiguration, Configuration};
 use crate::control::EngineControl;
@@ -28,8 +29,7 @@
 use crate::runs::Runs;
 use crate::spacing::Spacing;
 use crate::spread::Spread;
-use crate::standing::Allowances;
-use crate::starts::StartsHome;
+use crate::start_limits::StartLimiter;
 use crate::store_era::StoreEra;
 
 /// What a gateway must know of itself.
@@ -65,7 +65,7 @@
     pub(crate) metadata: Metadata,
     pub(crate) roster: Mutex<Roster>,
     pub(crate) evacuations: Mutex<Evacuations>,
-    pub(crate) starts_home: StartsHome,
+    pub(crate) start_limiter: StartLimiter,
     pub(crate) instances: Instances,
     pub(crate) metrics: Metrics,
     pub(crate) fleet: Fleet,
@@ -117,7 +117,7 @@
             metadata,
             roster: Mutex::new(Roster::new(settings.registration_ttl_ms)),
             evacuations: Mutex::default(),
-            starts_home: StartsHome::default(),
+            start_limiter: StartLimiter::default(),
             metrics: Metrics::default(),
             in_force: ArcSwapOption::empty(),
             retries: Mutex::default(),
@@ -168,15 +168,17 @@
     pub(crate) fn adopt_directory(&self, directory: &Directory) {
         let now_ms = self.clock.now_ms();
         let in_force = self.in_force();
-        let allowances = Allowances::of(self.settings.cold_bound, in_force.as_deref());
+        let cold_limits = ColdLimits::of(self.settings.cold_bound, in_force.as_deref());
         {
             let evacuations = self.evacuations.lock();
             self.instances
-                .adopt(now_ms, directory, &evacuations, &allowances);
+                .adopt(now_ms, directory, &evacuations, &cold_limits);
         }
-        let standing_of = |engine| self.instances.standing(engine);
-        let is_new = in_force
-            .is_some_and(|in_force| self.cells.adopt(now_ms, &in_force, directory, standing_of));
+        let availability_of = |engine| self.instances.availability(engine);
+        let is_new = in_force.is_some_and(|in_force| {
+            self.cells
+                .adopt(now_ms, &in_force, directory, availability_of)
+        });
         if is_new || !self.cells.leaving().is_empty() {
             self.duties.restate_now.notify_one();
         }
@@ -284,7 +286,7 @@
             cold: self.cold_count() as i64,
             limited: self.instances.limited_count() as i64,
             leaving: self.instances.leaving_count() as i64,
-            resting: self.instances.resting_count(now_ms) as i64,
+            backing_off: self.instances.resting_count(now_ms) as i64,
             retries_left: left.collect(),
         }
     }
--- a/crates/gateway/src/homes.rs
+++ b/crates/gateway/src/homes.rs
@@ -77,7 +77,7 @@
         // A cell's home counts what it starts at a cold engine; a host in its place has to ask.
         if let Placement::On { engine, .. } = placement
             && !self.is_home(cell)
-            && let Err(retry_after_ms) = self.ask_if_cold(engine).await
+            && let Err(retry_after_ms) = self.request_start_if_cold(engine).await
         {
             return Placement::Full { retry_after_ms };
         }
@@ -250,7 +250,7 @@
         let Some(destination) = self.instances.destination(self.clock.now_ms(), to) else {
             return MigrationAnswer::Stayed;
         };
-        self.runs.carry(run, destination).await
+        self.runs.migrate(run, destination).await
     }
 }
 
--- a/crates/gateway/src/intake.rs
+++ b/crates/gateway/src/inbound.rs
@@ -18,14 +18,14 @@
 use crate::gateway::Gateway;
 use crate::head::{GenerationHead, HeadError};
 use crate::hop;
-use crate::journey::Journey;
 use crate::problem::Problem;
+use crate::tracker::RequestTracker;
 
 /// Time for the body of a request that states no time of its own.
 const BODY_MS: Millis = 30_000;
 
 /// A request that may go to an upstream.
-pub(crate) struct Inquiry {
+pub(crate) struct InboundRequest {
     pub(crate) route: Route,
     pub(crate) service: String,
     pub(crate) organisation: Option<String>,
@@ -43,7 +43,7 @@
     pub(crate) deadline_ms: Millis,
 }
 
-impl Inquiry {
+impl InboundRequest {
     /// Whether it may run again after it has run `runs` times.
     pub(crate) fn may_run_again(&self, runs: u32) -> bool {
         let is_repeatable = match self.route.kind {
@@ -74,15 +74,15 @@
 
 impl Gateway {
     /// Reads a request and decides whether it may go on.
-    pub(crate) async fn take_in(
+    pub(crate) async fn accept(
         self: &Arc<Self>,
         request: Request<Incoming>,
-        journey: &mut Journey,
-    ) -> Result<Inquiry, Problem> {
+        tracker: &mut RequestTracker,
+    ) -> Result<InboundRequest, Problem> {
         let (parts, body) = request.into_parts();
         let head = self.dialect.read_request(&parts.headers);
         if let Ok(head) = &head {
-            journey.id.clone_from(&head.id);
+            tracker.id.clone_from(&head.id);
         }
         let in_force = self.in_force().ok_or(Problem::NoConfiguration);
         let limit = in_force
@@ -98,9 +98,9 @@
             HeadError::NoId | HeadError::Malformed { .. } => Problem::BadHead,
         })?;
         let route = find_route(&in_force, &parts).ok_or(Problem::NoRoute)?;
-        journey.on(route);
+        tracker.set_route(route);
         if let Some(generation) = &head.generation {
-            journey.asks(generation);
+            tracker.set_size(generation);
         }
         let holder = match in_force.requires_key(route) {
             true => {
@@ -115,10 +115,10 @@
         let patience_ms = left_ms.unwrap_or(Millis::MAX).min(route.timeout_ms);
         let organisation = holder.map(|holder| holder.name.clone());
         let content = content_of(organisation.as_deref(), &parts, &body);
-        journey.asks_for(content);
+        tracker.set_content(content);
         let mut headers = parts.headers;
         hop::strip(&mut headers);
-        Ok(Inquiry {
+        Ok(InboundRequest {
             route: route.clone(),
             service: service.to_owned(),
             organisation,
@@ -132,7 +132,7 @@
             uri: parts.uri,
             headers,
             body,
-            deadline_ms: journey.arrived_ms.saturating_add(patience_ms),
+            deadline_ms: tracker.arrived_ms.saturating_add(patience_ms),
         })
     }
 }
--- a/crates/gateway/src/instance.rs
+++ b/crates/gateway/src/instance.rs
@@ -6,9 +6,9 @@
 use slotmap::new_key_type;
 use tokio_util::sync::CancellationToken;
 
+use crate::availability::ColdLimit;
 use crate::directory::{RegisteredState, Registration};
 use crate::key::upstream_of;
-use crate::standing::Allowance;
 
 new_key_type! {
     /// An upstream's start in this host's arena.
@@ -28,7 +28,7 @@
     /// Until when it is cold, by its own word or by what has just happened to it.
     pub(crate) cold_until_ms: Millis,
     /// What it bears while it is cold; `None` where its service's upstreams never are.
-    pub(crate) allowance: Option<Allowance>,
+    pub(crate) cold_limit: Option<ColdLimit>,
     /// No connection to it could be made, and nothing has come from it since.
     pub(crate) is_unreachable: bool,
     /// Cancelled when it is known to have started again.
@@ -44,14 +44,14 @@
             is_leaving: false,
             is_evacuated: false,
             cold_until_ms: 0,
-            allowance: None,
+            cold_limit: None,
             is_unreachable: false,
             lost: CancellationToken::new(),
         }
     }
 
     /// Takes its entry's word on how long it will be cold.
-    pub(crate) fn state_cold(&mut self, now_ms: Millis) {
+    pub(crate) fn apply_stated_cold(&mut self, now_ms: Millis) {
         let until_ms = now_ms + self.registration.cold_ms;
         self.cold_until_ms = self.cold_until_ms.max(until_ms);
     }
@@ -66,16 +66,16 @@
 
     /// Set while it is cold, where its service's upstreams can be.
     pub(crate) fn cold(&self, now_ms: Millis) -> Option<Cold> {
-        let allowance = self.allowance?;
+        let cold_limit = self.cold_limit?;
         (now_ms < self.cold_until_ms).then_some(Cold {
             until_ms: self.cold_until_ms,
-            starts: allowance.starts,
+            starts: cold_limit.starts,
         })
     }
 
     /// It is cold for as long as its service's upstreams are from this moment on.
-    pub(crate) fn turn_cold(&mut self, since_ms: Millis) {
-        let cold_ms = self.allowance.map_or(0, |allowance| allowance.cold_ms);
+    pub(crate) fn mark_cold(&mut self, since_ms: Millis) {
+        let cold_ms = self.cold_limit.map_or(0, |cold_limit| cold_limit.cold_ms);
         self.cold_until_ms = self.cold_until_ms.max(since_ms + cold_ms);
     }
 
--- a/crates/gateway/src/instances.rs
+++ b/crates/gateway/src/instances.rs
@@ -7,15 +7,15 @@
 };
 use parking_lot::Mutex;
 
+use crate::availability::{Availability, ColdLimits};
 use crate::directory::{Directory, Registration};
 use crate::instance::{Chosen, Destination, Instance, InstanceKey};
 use crate::key::upstream_of;
-use crate::standing::{Allowances, Standing};
 use crate::upstream_table::UpstreamTable;
 
 /// What there is for a request.
 #[derive(Debug)]
-pub(crate) enum Found {
+pub(crate) enum Selection {
     /// This upstream, where the request is counted already.
     Warm(Chosen),
     /// Cold ones alone, or warm ones that are full.
@@ -28,12 +28,12 @@
     /// This one, which has named a limit: a start there has to be asked for.
     Limited(UpstreamKey),
     /// None now, as those that take work ask for it.
-    Later {
+    Throttled {
         /// When the first of them takes more.
         opens_ms: Millis,
     },
     /// None that takes work.
-    Nobody,
+    NoneAvailable,
 }
 
 /// The upstreams that this host may send to.
@@ -57,7 +57,7 @@
         now_ms: Millis,
         directory: &Directory,
         evacuations: &Evacuations,
-        allowances: &Allowances,
+        cold_limits: &ColdLimits,
     ) {
         let mut table = self.table.lock();
         let mut by_name = HashMap::new();
@@ -66,11 +66,11 @@
         for registration in &directory.registrations {
             let key = table.adopt(now_ms, registration);
             let one = &mut table.arena[key];
-            one.allowance = allowances.get(&registration.service);
+            one.cold_limit = cold_limits.get(&registration.service);
             one.is_evacuated = evacuations.covers(&registration.data_centre);
             // What an evacuated data centre comes back from has turned its upstreams cold.
             if let Some(ended_ms) = evacuations.ended_ms(&registration.data_centre) {
-                one.turn_cold(ended_ms);
+                one.mark_cold(ended_ms);
             }
             by_upstream.insert(upstream_of(registration), key);
             by_name.insert(registration.instance.clone(), key);
@@ -97,7 +97,7 @@
         service: &str,
         without: &[InstanceKey],
         draw: f32,
-    ) -> Found {
+    ) -> Selection {
         let mut table = self.table.lock();
         let same = table.by_service.get(service).map_or(&[][..], Vec::as_slice);
         let same = same.iter().filter(|key| !without.contains(key));
@@ -123,15 +123,17 @@
         {
             let upstream = table.arena[key].upstream;
             return match table.limit_of(upstream) {
-                Some(_) => Found::Limited(upstream),
-                None => Found::Warm(table.start(now_ms, key)),
+                Some(_) => Selection::Limited(upstream),
+                None => Selection::Warm(table.start(now_ms, key)),
             };
         }
         if cold.is_empty() {
-            return first_ms.map_or(Found::Nobody, |opens_ms| Found::Later { opens_ms });
+            return first_ms.map_or(Selection::NoneAvailable, |opens_ms| Selection::Throttled {
+                opens_ms,
+            });
         }
         let upstream = |key: &InstanceKey| table.arena[*key].upstream;
-        Found::Cold {
+        Selection::Cold {
             cold: cold.iter().map(upstream).collect(),
             full: warm.as_ref().map(upstream),
         }
@@ -146,17 +148,17 @@
     }
 
     /// Whether an upstream may get work.
-    pub(crate) fn standing(&self, upstream: UpstreamKey) -> Standing {
+    pub(crate) fn availability(&self, upstream: UpstreamKey) -> Availability {
         let table = self.table.lock();
         let Some(key) = table.by_upstream.get(&upstream) else {
-            return Standing::default();
+            return Availability::default();
         };
         let one = &table.arena[*key];
-        let cold = one.allowance.map(|allowance| Cold {
+        let cold = one.cold_limit.map(|cold_limit| Cold {
             until_ms: one.cold_until_ms,
-            starts: allowance.starts,
+            starts: cold_limit.starts,
         });
-        Standing {
+        Availability {
             is_evacuated: one.is_evacuated,
             cold,
         }
@@ -179,8 +181,8 @@
 
     /// Counts a request at the upstream that its home has chosen; `None` where this host knows that
     /// it takes nothing new.
-    pub(crate) fn take(&self, now_ms: Millis, upstream: UpstreamKey) -> Option<Chosen> {
-        self.take_if(now_ms, upstream, |table, key| {
+    pub(crate) fn reserve(&self, now_ms: Millis, upstream: UpstreamKey) -> Option<Chosen> {
+        self.reserve_if(now_ms, upstream, |table, key| {
             let asked = table.backpressure.get(&upstream);
             table.takes_work(&table.arena[key]) && !asked.is_some_and(|asked| asked.rests(now_ms))
         })
@@ -188,14 +190,18 @@
 
     /// Counts a generation that goes on at an upstream, also at one that is leaving: it may have to
     /// go on where it was. An evacuated one gets nothing whatsoever, one that rests next to nothing.
-    pub(crate) fn take_again(&self, now_ms: Millis, upstream: UpstreamKey) -> Option<Chosen> {
-        self.take_if(now_ms, upstream, |table, key| {
+    pub(crate) fn reserve_continuation(
+        &self,
+        now_ms: Millis,
+        upstream: UpstreamKey,
+    ) -> Option<Chosen> {
+        self.reserve_if(now_ms, upstream, |table, key| {
             let asked = table.backpressure.get_mut(&upstream);
             !table.arena[key].is_evacuated && asked.is_none_or(|asked| asked.may_continue(now_ms))
         })
     }
 
-    fn take_if(
+    fn reserve_if(
         &self,
         now_ms: Millis,
         upstream: UpstreamKey,
@@ -208,7 +214,7 @@
 
     /// An engine that a generation may be carried to; `None` where it gets no work now.
     pub(crate) fn destination(&self, now_ms: Millis, upstream: UpstreamKey) -> Option<Destination> {
-        let is_evacuated = self.standing(upstream).is_evacuated;
+        let is_evacuated = self.availability(upstream).is_evacuated;
         let is_closed = self.table.lock().is_closed(now_ms, upstream);
         let found = self.find(upstream);
         found.filter(|_| !is_evacuated && !is_closed)
@@ -258,7 +264,7 @@
             one.gauge.answered(latency_ms);
             // One that was away comes back cold, and its entry may not say so yet.
             if std::mem::take(&mut one.is_unreachable) {
-                one.turn_cold(now_ms);
+                one.mark_cold(now_ms);
             }
             if let Some(load) = load {
                 one.gauge.state(now_ms, load);
@@ -275,12 +281,12 @@
     }
 
     /// The upstream had better be spared for a while.
-    pub(crate) fn spare_until(&self, until_ms: Millis, key: InstanceKey) {
+    pub(crate) fn penalise_until(&self, until_ms: Millis, key: InstanceKey) {
         self.with(key, |one| one.gauge.spare_until(until_ms));
     }
 
     /// Another upstream answers at the address: this one is gone for good.
-    pub(crate) fn leave(&self, key: InstanceKey) {
+    pub(crate) fn mark_leaving(&self, key: InstanceKey) {
         self.with(key, |one| one.is_leaving = true);
     }
 
--- a/crates/gateway/src/metrics.rs
+++ b/crates/gateway/src/metrics.rs
@@ -82,7 +82,7 @@
     pub(crate) cold: i64,
     pub(crate) limited: i64,
     pub(crate) leaving: i64,
-    pub(crate) resting: i64,
+    pub(crate) backing_off: i64,
     pub(crate) retries_left: Vec<(String, i64)>,
 }
 
@@ -115,7 +115,7 @@
     cold: Gauge,
     limited: Gauge,
     leaving: Gauge,
-    resting: Gauge,
+    backing_off: Gauge,
     retries_left: Family<ServiceLabels, Gauge>,
     registry: Arc<Registry>,
 }
@@ -195,9 +195,9 @@
         let leaving = Gauge::default();
         let help = "Upstreams that have said in their answers to this host that they leave";
         registry.register("leaving_upstreams", help, leaving.clone());
-        let resting = Gauge::default();
+        let backing_off = Gauge::default();
         let help = "Upstreams that have turned this host away and want nothing from it for a while";
-        registry.register("resting_upstreams", help, resting.clone());
+        registry.register("resting_upstreams", help, backing_off.clone());
         let cold_waits = Counter::default();
         let help = "Requests for a start at a cold upstream that were put off";
         registry.register("cold_waits", help, cold_waits.clone());
@@ -226,7 +226,7 @@
             cold,
             limited,
             leaving,
-            resting,
+            backing_off,
             cold_waits,
             limit_waits,
             retries_left,
@@ -290,7 +290,7 @@
         self.cold.set(readings.cold);
         self.limited.set(readings.limited);
         self.leaving.set(readings.leaving);
-        self.resting.set(readings.resting);
+        self.backing_off.set(readings.backing_off);
         for (service, left) in &readings.retries_left {
             let service = service.clone();
             let labels = ServiceLabels { service };
--- a/crates/gateway/src/carry.rs
+++ b/crates/gateway/src/migration.rs
@@ -10,9 +10,9 @@
 
 use crate::control::{CompletedCopy, CopyError, EngineControl};
 use crate::instance::Destination;
-use crate::runs::CarryOrder;
+use crate::runs::MigrationOrder;
 
-/// What a step of a carry has come to.
+/// What a step of a migration has come to.
 #[derive(Debug, Clone)]
 pub(crate) enum Step {
     /// The long copy is there; the short one is under way.
@@ -22,17 +22,17 @@
     /// The generation goes on where it is; the destination had no room.
     Refused,
     /// Nobody knows what became of the copy.
-    LeftBehind,
+    Orphaned,
     /// The engine doesn't know the generation: it has not begun, or is over.
-    NotThere,
+    NotFound,
     /// The generation is stopped and its memory is at the destination.
     Stopped { to: Destination, copy: String },
     /// The generation is stopped and its memory is still at the source.
-    StoppedHere { copy: String },
+    StoppedAtSource { copy: String },
 }
 
-/// A carry under way.
-pub(crate) struct Carrying {
+/// A migration under way.
+pub(crate) struct Migration {
     control: Arc<dyn EngineControl>,
     source: SocketAddr,
     request_id: String,
@@ -43,12 +43,12 @@
     call: BoxFuture<'static, Result<CompletedCopy, CopyError>>,
 }
 
-impl Carrying {
+impl Migration {
     pub(crate) fn begin(
         control: Arc<dyn EngineControl>,
         source: SocketAddr,
         request_id: String,
-        order: CarryOrder,
+        order: MigrationOrder,
     ) -> Self {
         let call = {
             let (control, id, to) = (control.clone(), request_id.clone(), order.to.address);
@@ -83,7 +83,7 @@
     /// Tells the cell's home how it ended. A home that no longer waits learns it by statement.
     pub(crate) fn answer(self, answer: MigrationAnswer) {
         match (answer, &self.copy) {
-            (MigrationAnswer::Stayed | MigrationAnswer::Over, Some(_)) => self.abandon(answer),
+            (MigrationAnswer::Stayed | MigrationAnswer::Over, Some(_)) => self.discard(answer),
             _ => {
                 let _ = self.answer.send(answer);
             }
@@ -96,7 +96,7 @@
     /// A copy that is left at a destination holds its memory there for some 9 s. Its name comes
     /// with the answer to the call that makes it, so dropping the call, when a generation ends by
     /// itself, left a copy that nobody could give up.
-    pub(crate) fn abandon(self, answer: MigrationAnswer) {
+    pub(crate) fn discard(self, answer: MigrationAnswer) {
         let Self {
             control,
             to,
@@ -128,24 +128,24 @@
     }
 
     /// Waits for the call under way and begins the next one.
-    pub(crate) async fn step(carrying: &mut Option<Self>) -> Step {
-        let Some(carrying) = carrying else {
+    pub(crate) async fn step(migration: &mut Option<Self>) -> Step {
+        let Some(migration) = migration else {
             return std::future::pending().await;
         };
-        let answer = (&mut carrying.call).await;
-        match carrying.copy.clone() {
-            None => carrying.copied_first(answer),
-            Some(copy) => carrying.copied_last(answer, copy),
+        let answer = (&mut migration.call).await;
+        match migration.copy.clone() {
+            None => migration.after_first_copy(answer),
+            Some(copy) => migration.after_final_copy(answer, copy),
         }
     }
 
-    fn copied_first(&mut self, answer: Result<CompletedCopy, CopyError>) -> Step {
+    fn after_first_copy(&mut self, answer: Result<CompletedCopy, CopyError>) -> Step {
         let copied = match answer {
             Ok(copied) => copied,
-            Err(CopyError::NotFound) => return Step::NotThere,
+            Err(CopyError::NotFound) => return Step::NotFound,
             Err(CopyError::NoRoom { .. }) => return Step::Refused,
             Err(CopyError::Busy | CopyError::SourceUnreachable) => return Step::Stayed,
-            Err(CopyError::Unknown) => return Step::LeftBehind,
+            Err(CopyError::Unknown) => return Step::Orphaned,
         };
         self.copy = Some(copied.copy_id);
         let (control, source) = (self.control.clone(), self.source);
@@ -154,16 +154,20 @@
         Step::Copied
     }
 
-    fn copied_last(&mut self, answer: Result<CompletedCopy, CopyError>, first: String) -> Step {
+    fn after_final_copy(
+        &mut self,
+        answer: Result<CompletedCopy, CopyError>,
+        first: String,
+    ) -> Step {
         match answer {
             Ok(copied) => Step::Stopped {
                 to: self.to.clone(),
                 copy: copied.copy_id,
             },
-            Err(CopyError::NotFound) => Step::NotThere,
+            Err(CopyError::NotFound) => Step::NotFound,
             Err(CopyError::NoRoom {
                 copy_id: Some(copy),
-            }) => Step::StoppedHere { copy },
+            }) => Step::StoppedAtSource { copy },
             Err(
                 CopyError::Busy
                 | CopyError::SourceUnreachable
--- a/crates/gateway/src/poison.rs
+++ b/crates/gateway/src/poison.rs
@@ -12,7 +12,7 @@
 use crate::crashes::BrokenRun;
 use crate::encoding::{EncodingError, decode};
 use crate::gateway::Gateway;
-use crate::intake::Inquiry;
+use crate::inbound::InboundRequest;
 use crate::problem::Problem;
 
 #[async_trait]
@@ -100,10 +100,10 @@
     }
 
     /// Why a request may not be sent at all, where that is known without asking.
-    pub(crate) fn refuse_if_open(&self, inquiry: &Inquiry) -> Result<(), Problem> {
+    pub(crate) fn refuse_if_open(&self, inbound: &InboundRequest) -> Result<(), Problem> {
         let admission = self
             .circuit_breakers
-            .admit(self.clock.now_ms(), inquiry.content);
+            .admit(self.clock.now_ms(), inbound.content);
         match admission {
             Admission::Free | Admission::AskHome => Ok(()),
             Admission::Refused { retry_after_ms } => Err(Problem::Quarantined { retry_after_ms }),
@@ -112,17 +112,17 @@
 
     /// Whether a request may begin to run now. Where its content runs one at a time, this is the one
     /// from then on.
-    pub(crate) async fn admit(&self, inquiry: &Inquiry) -> Result<(), Problem> {
-        let service = ServiceKey::of(&inquiry.service);
-        let admitted = poison::admit(self, service, inquiry.content).await;
+    pub(crate) async fn admit(&self, inbound: &InboundRequest) -> Result<(), Problem> {
+        let service = ServiceKey::of(&inbound.service);
+        let admitted = poison::admit(self, service, inbound.content).await;
         admitted.map_err(|quarantined| Problem::Quarantined {
             retry_after_ms: quarantined.retry_after_ms,
         })
     }
 
     /// An upstream has answered a request with success.
-    pub(crate) fn note_success(self: &Arc<Self>, inquiry: &Inquiry) {
-        let service = ServiceKey::of(&inquiry.service);
-        poison::note_success(&self.as_circuit_host(), service, inquiry.content);
+    pub(crate) fn note_success(self: &Arc<Self>, inbound: &InboundRequest) {
+        let service = ServiceKey::of(&inbound.service);
+        poison::note_success(&self.as_circuit_host(), service, inbound.content);
     }
 }
--- a/crates/gateway/src/recovery.rs
+++ b/crates/gateway/src/recovery.rs
@@ -6,13 +6,13 @@
 use fulmarpath_wire::MigrationAnswer;
 use spdlog::info;
 
-use crate::attempt::{Answer, Terms};
+use crate::attempt::{Answer, DispatchOptions};
 use crate::crashes::BrokenRun;
+use crate::engine_stream::{EngineStream, StreamRead};
 use crate::head::Continuation;
 use crate::instance::Destination;
 use crate::relay::{Relay, Stopped};
-use crate::source::{Heard, Source};
-use crate::start::Started;
+use crate::start::StartedGeneration;
 
 /// A stopped engine closes its stream just before it answers; what was on its way is there within
 /// a way between data centres.
@@ -24,9 +24,9 @@
 
 impl Relay {
     /// Goes on after an engine was lost: from the running copy of its memory, or from the copy that
-    /// a carry had made so far.
+    /// a migration had made so far.
     pub(crate) async fn recover(&mut self) -> bool {
-        self.source.flight.note(Verdict::Failed);
+        self.stream.in_flight.note(Verdict::Failed);
         let broken = self.broken_run();
         let is_suspect = broken.is_suspect();
         self.gateway.note_broken(broken);
@@ -35,39 +35,39 @@
             return false;
         }
         // One that has run for a while ended nothing, and goes on whatever its circuit.
-        if is_suspect && self.gateway.admit(&self.inquiry).await.is_err() {
+        if is_suspect && self.gateway.admit(&self.inbound).await.is_err() {
             return false;
         }
-        let lost = self.source.engine();
+        let lost = self.stream.engine();
         self.gateway
-            .doubt(self.ticket.cell, lost.upstream, Verdict::Failed);
-        if let Some(carrying) = self.carrying.take() {
-            let went_on = match carrying.copied() {
-                Some((to, copy)) => self.go_on(&to, lost.address, &copy).await,
+            .doubt(self.run_guard.cell, lost.upstream, Verdict::Failed);
+        if let Some(migration) = self.migration.take() {
+            let has_continued = match migration.copied() {
+                Some((to, copy)) => self.continue_at(&to, lost.address, &copy).await,
                 None => false,
             };
-            if went_on {
-                carrying.answer(MigrationAnswer::Moved);
+            if has_continued {
+                migration.answer(MigrationAnswer::Moved);
                 return true;
             }
-            carrying.abandon(MigrationAnswer::Over);
+            migration.discard(MigrationAnswer::Over);
         }
         if let Some(backup) = self.backup.take() {
-            let id = self.journey.id.clone();
-            if self.go_on(&backup, backup.address, &id).await {
+            let id = self.tracker.id.clone();
+            if self.continue_at(&backup, backup.address, &id).await {
                 return true;
             }
         }
-        self.resume().await
+        self.regenerate().await
     }
 
     /// What its engine broke off.
     fn broken_run(&self) -> BrokenRun {
         let now_ms = self.gateway.clock.now_ms();
-        let begun_ms = self.source.begun_ms;
+        let begun_ms = self.stream.begun_ms;
         let ran_ms = begun_ms.map(|begun_ms| now_ms.saturating_sub(begun_ms));
-        let chosen = &self.source.flight.chosen;
-        BrokenRun::new(chosen, &self.inquiry, &self.journey.id, ran_ms)
+        let chosen = &self.stream.in_flight.chosen;
+        BrokenRun::new(chosen, &self.inbound, &self.tracker.id, ran_ms)
     }
 
     /// Leaves an engine that is silent in the middle of a stream for the one that keeps a running copy;
@@ -77,58 +77,58 @@
     /// caller sees a stream that stands still, and gives up after seconds though the copy is there. The
     /// silent engine's connection is closed as soon as the other one goes on, so both work on it for a
     /// few ms at the most.
-    pub(crate) async fn leave_silent(&mut self) {
+    pub(crate) async fn leave_silent_engine(&mut self) {
         let Some(backup) = self.backup.take() else {
             return;
         };
-        let silent = self.source.engine();
-        let id = self.journey.id.clone();
+        let silent = self.stream.engine();
+        let id = self.tracker.id.clone();
         let until_ms = self.gateway.clock.now_ms() + GO_ON_MS;
-        let until_ms = until_ms.min(self.inquiry.deadline_ms);
+        let until_ms = until_ms.min(self.inbound.deadline_ms);
         if self
-            .go_on_until(until_ms, &backup, backup.address, &id)
+            .continue_until(until_ms, &backup, backup.address, &id)
             .await
         {
             self.gateway.metrics.continuation("left_silent");
             self.gateway
-                .doubt(self.ticket.cell, silent.upstream, Verdict::Failed);
+                .doubt(self.run_guard.cell, silent.upstream, Verdict::Failed);
         }
     }
 
     /// Has another engine make the rest anew, where the stream may be resumed.
-    async fn resume(&mut self) -> bool {
+    async fn regenerate(&mut self) -> bool {
         let gateway = self.gateway.clone();
-        self.tries.lose(gateway.clock.now_ms());
-        let started = gateway.start_again(
-            &self.inquiry,
-            &self.ticket,
-            &mut self.journey,
-            &mut self.tries,
+        self.attempts.mark_lost(gateway.clock.now_ms());
+        let started = gateway.restart_generation(
+            &self.inbound,
+            &self.run_guard,
+            &mut self.tracker,
+            &mut self.attempts,
             self.last_event,
         );
-        let Some(Started { answer, backup }) = started.await else {
+        let Some(StartedGeneration { answer, backup }) = started.await else {
             return false;
         };
         info!(
             "moves: request {} is made anew at {} after event {:?}",
-            self.journey.id, answer.flight.chosen.instance, self.last_event
+            self.tracker.id, answer.in_flight.chosen.instance, self.last_event
         );
         gateway.metrics.continuation("anew");
-        self.go_on_with(answer, backup);
+        self.switch_to(answer, backup);
         true
     }
 
     /// Another engine's stream takes the place of the one before.
-    fn go_on_with(&mut self, answer: Answer, backup: Option<Destination>) {
+    fn switch_to(&mut self, answer: Answer, backup: Option<Destination>) {
         self.has_just_moved = true;
         // A part of an event is of no use to the caller: the engine that goes on sends it whole.
-        self.events.take_rest();
-        self.source = Source::new(self.gateway.clock.now_ms(), answer);
+        self.events.take_remainder();
+        self.stream = EngineStream::new(self.gateway.clock.now_ms(), answer);
         self.backup = backup;
         self.handover.restart();
-        let engine = self.source.engine().upstream;
+        let engine = self.stream.engine().upstream;
         let backup = self.backup.as_ref().map(|backup| backup.upstream);
-        self.gateway.runs.update(self.ticket.run, |statement| {
+        self.gateway.runs.update(self.run_guard.run, |statement| {
             statement.engine = engine;
             statement.backup = backup;
         });
@@ -138,8 +138,8 @@
     async fn drain(&mut self) {
         let until_ms = self.gateway.clock.now_ms() + DRAIN_MS;
         while self.handover.reads() {
-            let heard = self.source.hear(&mut self.events, until_ms, &self.gateway);
-            if !matches!(heard.await, Heard::Bytes) {
+            let read = self.stream.read(&mut self.events, until_ms, &self.gateway);
+            if !matches!(read.await, StreamRead::Bytes) {
                 return;
             }
         }
@@ -147,31 +147,31 @@
 
     /// Goes on with a generation that was stopped: at the destination, or again where it was, which
     /// still has its memory.
-    pub(crate) async fn go_on_after_stop(&mut self) -> bool {
+    pub(crate) async fn continue_after_stop(&mut self) -> bool {
         let Some(Stopped { to, copy }) = self.stopped.take() else {
             return false;
         };
         self.drain().await;
-        let here = self.source.engine();
-        let has_moved = match to {
-            Some(to) => self.go_on(&to, here.address, &copy).await,
+        let here = self.stream.engine();
+        let has_migrated = match to {
+            Some(to) => self.continue_at(&to, here.address, &copy).await,
             None => false,
         };
-        let goes_on = has_moved || self.go_on(&here, here.address, &copy).await;
-        self.end_carry(match has_moved {
+        let continues = has_migrated || self.continue_at(&here, here.address, &copy).await;
+        self.end_migration(match has_migrated {
             true => MigrationAnswer::Moved,
             false => MigrationAnswer::Stayed,
         });
-        goes_on
+        continues
     }
 
     /// Asks an engine to go on from a copy; true where it does.
-    async fn go_on(&mut self, at: &Destination, source: SocketAddr, copy: &str) -> bool {
-        let until_ms = self.inquiry.deadline_ms;
-        self.go_on_until(until_ms, at, source, copy).await
+    async fn continue_at(&mut self, at: &Destination, source: SocketAddr, copy: &str) -> bool {
+        let until_ms = self.inbound.deadline_ms;
+        self.continue_until(until_ms, at, source, copy).await
     }
 
-    async fn go_on_until(
+    async fn continue_until(
         &mut self,
         until_ms: Millis,
         at: &Destination,
@@ -179,14 +179,14 @@
         copy: &str,
     ) -> bool {
         let now_ms = self.gateway.clock.now_ms();
-        let taken = self.gateway.take_continuation(at.upstream, until_ms);
+        let taken = self.gateway.reserve_continuation(at.upstream, until_ms);
         let chosen = taken.await;
         let Some(chosen) = chosen else { return false };
-        let service = &self.inquiry.service;
+        let service = &self.inbound.service;
         self.gateway.count_continuation(now_ms, service);
         let backup = self.backup.clone();
         let backup = backup.filter(|backup| backup.upstream != at.upstream && !backup.is_lost());
-        let terms = Terms {
+        let options = DispatchOptions {
             until_ms,
             backup: backup.as_ref().map(|backup| backup.address),
             continuation: Some(Continuation {
@@ -196,7 +196,7 @@
             last_event: self.last_event,
         };
         let gateway = self.gateway.clone();
-        let sent = gateway.dispatch(&self.inquiry, &mut self.journey, chosen, terms);
+        let sent = gateway.dispatch(&self.inbound, &mut self.tracker, chosen, options);
         let answer = match sent.await {
             Ok(answer) if answer.response.status().is_success() => answer,
             Ok(_) | Err(_) => {
@@ -207,12 +207,12 @@
         gateway.metrics.continuation("yes");
         info!(
             "moves: request {} goes on at {} after event {:?}, {} ms",
-            self.journey.id,
-            answer.flight.chosen.instance,
+            self.tracker.id,
+            answer.in_flight.chosen.instance,
             self.last_event,
             gateway.clock.now_ms().saturating_sub(now_ms)
         );
-        self.go_on_with(answer, backup);
+        self.switch_to(answer, backup);
         true
     }
 }
--- a/crates/gateway/src/relay.rs
+++ b/crates/gateway/src/relay.rs
@@ -11,15 +11,15 @@
 use tokio::sync::mpsc;
 use tokio::time::sleep;
 
-use crate::carry::{Carrying, Step};
-use crate::events::{Events, split};
+use crate::engine_stream::{EngineStream, StreamRead};
+use crate::events::{EventBuffer, split};
 use crate::gateway::Gateway;
+use crate::inbound::InboundRequest;
 use crate::instance::Destination;
-use crate::intake::Inquiry;
-use crate::journey::Journey;
-use crate::runs::CarryOrder;
-use crate::source::{Heard, Source};
-use crate::start::{Started, Tries};
+use crate::migration::{Migration, Step};
+use crate::runs::MigrationOrder;
+use crate::start::{Attempts, StartedGeneration};
+use crate::tracker::RequestTracker;
 
 /// The part of the longest pause that is on time after which a silent engine is left for the running
 /// copy elsewhere; the rest is for the other engine to go on. Engines that go dark reset nothing, and their
@@ -30,7 +30,7 @@
 const LISTEN_MS: Millis = 4;
 
 /// Counts a generation at its cell's home until it is dropped.
-pub(crate) struct Ticket {
+pub(crate) struct RunGuard {
     pub(crate) gateway: Arc<Gateway>,
     pub(crate) cell: CellKey,
     pub(crate) run: RunKey,
@@ -40,7 +40,7 @@
     pub(crate) first_ms: Option<Millis>,
 }
 
-impl Drop for Ticket {
+impl Drop for RunGuard {
     fn drop(&mut self) {
         let out_tokens = self.gateway.runs.remove(self.run);
         let end = RunEnd {
@@ -63,18 +63,18 @@
 /// One generation on its way to its caller.
 pub(crate) struct Relay {
     pub(crate) gateway: Arc<Gateway>,
-    pub(crate) inquiry: Inquiry,
-    pub(crate) journey: Journey,
-    pub(crate) ticket: Ticket,
-    pub(crate) tries: Tries,
-    pub(crate) source: Source,
-    pub(crate) events: Events,
+    pub(crate) inbound: InboundRequest,
+    pub(crate) tracker: RequestTracker,
+    pub(crate) run_guard: RunGuard,
+    pub(crate) attempts: Attempts,
+    pub(crate) stream: EngineStream,
+    pub(crate) events: EventBuffer,
     /// The last event that has reached the caller.
     pub(crate) last_event: Option<u64>,
     event_tokens: u32,
-    orders: mpsc::Receiver<CarryOrder>,
+    orders: mpsc::Receiver<MigrationOrder>,
     pub(crate) handover: Handover,
-    pub(crate) carrying: Option<Carrying>,
+    pub(crate) migration: Option<Migration>,
     /// Set between a stop and the continuation after it.
     pub(crate) stopped: Option<Stopped>,
     pub(crate) backup: Option<Destination>,
@@ -88,33 +88,33 @@
 
 impl Relay {
     pub(crate) fn new(
-        inquiry: Inquiry,
-        journey: Journey,
-        ticket: Ticket,
-        tries: Tries,
-        started: Started,
+        inbound: InboundRequest,
+        tracker: RequestTracker,
+        run_guard: RunGuard,
+        attempts: Attempts,
+        started: StartedGeneration,
     ) -> Self {
-        let Started { answer, backup } = started;
-        let gateway = ticket.gateway.clone();
-        let traits = gateway.engine_traits(&inquiry.service);
+        let StartedGeneration { answer, backup } = started;
+        let gateway = run_guard.gateway.clone();
+        let traits = gateway.engine_traits(&inbound.service);
         Self {
-            orders: gateway.runs.begin(ticket.run),
+            orders: gateway.runs.begin(run_guard.run),
             event_tokens: traits.map_or(1, |traits| traits.event_tokens),
             status: answer.response.status().as_u16(),
-            source: Source::new(gateway.clock.now_ms(), answer),
-            events: Events::default(),
-            last_event: inquiry.last_event,
+            stream: EngineStream::new(gateway.clock.now_ms(), answer),
+            events: EventBuffer::default(),
+            last_event: inbound.last_event,
             handover: Handover::default(),
-            carrying: None,
+            migration: None,
             stopped: None,
             recoveries: 0,
             has_just_moved: false,
             is_whole: false,
             gateway,
-            inquiry,
-            journey,
-            ticket,
-            tries,
+            inbound,
+            tracker,
+            run_guard,
+            attempts,
             backup,
         }
     }
@@ -126,61 +126,61 @@
                 Ok(Some(events)) => return Some(Ok(events)),
                 Ok(None) if self.is_whole => return self.finish(),
                 Ok(None) => {}
-                Err(broken) => return Some(Err(self.give_up("stream_gap", broken))),
+                Err(broken) => return Some(Err(self.fail("stream_gap", broken))),
             }
             let Some(next) = self.step().await else {
-                return Some(Err(self.give_up("stream_overdue", BodyBroken)));
+                return Some(Err(self.fail("stream_overdue", BodyBroken)));
             };
-            let goes_on = match next {
+            let continues = match next {
                 Next::Read | Next::AwaitCarry => true,
                 Next::Finish => {
                     self.is_whole = true;
                     true
                 }
-                Next::GoOn => self.go_on_after_stop().await || self.recover().await,
+                Next::GoOn => self.continue_after_stop().await || self.recover().await,
                 Next::Recover => self.recover().await,
             };
-            if !goes_on {
-                return Some(Err(self.give_up("stream_broken", BodyBroken)));
+            if !continues {
+                return Some(Err(self.fail("stream_broken", BodyBroken)));
             }
         }
     }
 
     /// Waits for whatever comes first; `None` where the caller's time ran out.
     async fn step(&mut self) -> Option<Next> {
-        let until_ms = self.inquiry.deadline_ms;
+        let until_ms = self.inbound.deadline_ms;
         let left_ms = until_ms.saturating_sub(self.gateway.clock.now_ms());
         let reads = self.handover.reads();
-        let lost = self.source.flight.chosen.lost.clone();
+        let lost = self.stream.in_flight.chosen.lost.clone();
         let silence = self.silence_left();
-        let heard = tokio::select! {
+        let read = tokio::select! {
             biased;
-            heard = self.source.hear(&mut self.events, until_ms, &self.gateway), if reads => heard,
-            () = sleep(Duration::from_millis(left_ms)), if !reads => Heard::Overdue,
-            () = lost.cancelled(), if reads => Heard::Broken,
-            () = sleep(silence.unwrap_or_default()), if silence.is_some() => self.hear_once_more().await,
+            read = self.stream.read(&mut self.events, until_ms, &self.gateway), if reads => read,
+            () = sleep(Duration::from_millis(left_ms)), if !reads => StreamRead::Overdue,
+            () = lost.cancelled(), if reads => StreamRead::Broken,
+            () = sleep(silence.unwrap_or_default()), if silence.is_some() => self.confirm_silence().await,
             Some(order) = self.orders.recv(), if self.handover.may_begin() => {
                 self.begin(order);
-                Heard::Bytes
+                StreamRead::Bytes
             }
-            step = Carrying::step(&mut self.carrying), if self.carrying.is_some() => {
+            step = Migration::step(&mut self.migration), if self.migration.is_some() => {
                 return Some(self.advance(step));
             }
         };
-        match heard {
-            Heard::Bytes => Some(Next::Read),
-            Heard::End => Some(self.handover.end(StreamEnd::Whole)),
-            Heard::Broken => Some(self.handover.end(StreamEnd::Broken)),
-            Heard::Overdue => None,
+        match read {
+            StreamRead::Bytes => Some(Next::Read),
+            StreamRead::End => Some(self.handover.end(StreamEnd::Whole)),
+            StreamRead::Broken => Some(self.handover.end(StreamEnd::Broken)),
+            StreamRead::Overdue => None,
         }
     }
 
     /// How long the engine may still be silent before its generation goes on from the running copy.
     fn silence_left(&self) -> Option<Duration> {
         let may_leave = self.backup.is_some() && self.handover.may_begin();
-        let target_ms = self.inquiry.route.gap_target_ms?;
+        let target_ms = self.inbound.route.gap_target_ms?;
         // What the engine before took, for a last copy or in silence, isn't this one's silence.
-        let since_ms = self.journey.last_event_ms()?.max(self.source.since_ms);
+        let since_ms = self.tracker.last_event_ms()?.max(self.stream.since_ms);
         let until_ms = since_ms + (target_ms as f32 * SILENCE_SHARE) as Millis;
         let left_ms = until_ms.saturating_sub(self.gateway.clock.now_ms());
         may_leave.then(|| Duration::from_millis(left_ms))
@@ -188,45 +188,45 @@
 
     /// Leaves a silent engine, unless it was this host that stood still: what had come meanwhile is read
     /// first, which takes the reader of the connection a moment.
-    async fn hear_once_more(&mut self) -> Heard {
+    async fn confirm_silence(&mut self) -> StreamRead {
         let until_ms = self.gateway.clock.now_ms() + LISTEN_MS;
-        let heard = self.source.hear(&mut self.events, until_ms, &self.gateway);
-        match heard.await {
-            Heard::Overdue => {
-                self.leave_silent().await;
-                Heard::Bytes
+        let read = self.stream.read(&mut self.events, until_ms, &self.gateway);
+        match read.await {
+            StreamRead::Overdue => {
+                self.leave_silent_engine().await;
+                StreamRead::Bytes
             }
-            heard => heard,
+            read => read,
         }
     }
 
-    fn give_up(&mut self, outcome: &'static str, broken: BodyBroken) -> BodyBroken {
-        self.source.flight.note(Verdict::Failed);
-        self.journey.end(outcome, self.status);
+    fn fail(&mut self, outcome: &'static str, broken: BodyBroken) -> BodyBroken {
+        self.stream.in_flight.note(Verdict::Failed);
+        self.tracker.end(outcome, self.status);
         broken
     }
 
     fn finish(&mut self) -> Option<Result<Bytes, BodyBroken>> {
-        if let Some(rest) = self.events.take_rest() {
+        if let Some(rest) = self.events.take_remainder() {
             return Some(Ok(rest));
         }
-        self.source.flight.note(Verdict::Good);
-        if self.journey.events > 0 {
-            self.gateway.note_success(&self.inquiry);
+        self.stream.in_flight.note(Verdict::Good);
+        if self.tracker.events > 0 {
+            self.gateway.note_success(&self.inbound);
         }
-        self.ticket.is_whole = self.journey.events > 0 && self.inquiry.last_event.is_none();
-        self.ticket.first_ms = self.journey.first_after_placed_ms();
-        self.journey.end("answered", self.status);
+        self.run_guard.is_whole = self.tracker.events > 0 && self.inbound.last_event.is_none();
+        self.run_guard.first_ms = self.tracker.first_after_placed_ms();
+        self.tracker.end("answered", self.status);
         None
     }
 
-    /// Whole events that the caller doesn't have yet.
+    /// CompleteAnswer events that the caller doesn't have yet.
     ///
     /// An engine that goes on with a generation may begin with events that are out already; passed
     /// on they would come twice. One that begins too late would leave a hole, and a stream that is
     /// visibly broken is better than that.
     fn take_events(&mut self) -> Result<Option<Bytes>, BodyBroken> {
-        let Some(piece) = self.events.take_whole() else {
+        let Some(piece) = self.events.take_complete() else {
             return Ok(None);
         };
         let mut fresh = BytesMut::new();
@@ -254,31 +254,31 @@
 
     fn note_progress(&mut self, events: u32) {
         let now_ms = self.gateway.clock.now_ms();
-        if let Some(pause_ms) = self.journey.pass_on(now_ms, events) {
+        if let Some(pause_ms) = self.tracker.record_events(now_ms, events) {
             let metrics = &self.gateway.metrics;
             metrics.pause_ms.observe(pause_ms as f64);
-            let target_ms = self.inquiry.route.gap_target_ms;
+            let target_ms = self.inbound.route.gap_target_ms;
             let is_stall = target_ms.is_some_and(|target_ms| pause_ms > target_ms);
             if is_stall && !std::mem::take(&mut self.has_just_moved) {
                 metrics.stalls.inc();
             }
         }
-        let out_tokens = self.journey.events * self.event_tokens;
+        let out_tokens = self.tracker.events * self.event_tokens;
         let runs = &self.gateway.runs;
-        runs.update(self.ticket.run, |statement| {
+        runs.update(self.run_guard.run, |statement| {
             statement.out_tokens = out_tokens
         });
     }
 
-    fn begin(&mut self, order: CarryOrder) {
+    fn begin(&mut self, order: MigrationOrder) {
         let control = self.gateway.control.clone();
-        let source = self.source.address();
-        let id = self.journey.id.clone();
+        let source = self.stream.address();
+        let id = self.tracker.id.clone();
         self.handover.begin();
-        self.carrying = Some(Carrying::begin(control, source, id, order));
+        self.migration = Some(Migration::begin(control, source, id, order));
     }
 
-    /// Takes what a carry has come to.
+    /// Takes what a migration has come to.
     fn advance(&mut self, step: Step) -> Next {
         let answer = match step {
             Step::Copied => return self.handover.step(CarryStep::Copied),
@@ -286,34 +286,34 @@
                 self.stopped = Some(Stopped { to: Some(to), copy });
                 return self.handover.step(CarryStep::Stopped);
             }
-            Step::StoppedHere { copy } => {
+            Step::StoppedAtSource { copy } => {
                 self.stopped = Some(Stopped { to: None, copy });
                 return self.handover.step(CarryStep::Stopped);
             }
             Step::Stayed => MigrationAnswer::Stayed,
             Step::Refused => MigrationAnswer::Refused,
             // Before the first event it still waits inside its engine, and there is no copy.
-            Step::NotThere if self.journey.events == 0 => MigrationAnswer::Stayed,
-            Step::NotThere | Step::LeftBehind => MigrationAnswer::LeftBehind,
+            Step::NotFound if self.tracker.events == 0 => MigrationAnswer::Stayed,
+            Step::NotFound | Step::Orphaned => MigrationAnswer::LeftBehind,
         };
         let next = self.handover.step(CarryStep::NotStopped);
-        let has_copy = self.carrying.as_ref().is_some_and(Carrying::has_copy);
+        let has_copy = self.migration.as_ref().is_some_and(Migration::has_copy);
         // An engine that was lost before it could stop the generation leaves the first copy, and
         // there may be no other.
         if next != Next::Recover || !has_copy {
-            self.end_carry(answer);
+            self.end_migration(answer);
         }
         next
     }
 
-    pub(crate) fn end_carry(&mut self, answer: MigrationAnswer) {
-        if let Some(carrying) = self.carrying.take() {
+    pub(crate) fn end_migration(&mut self, answer: MigrationAnswer) {
+        if let Some(migration) = self.migration.take() {
             info!(
                 "moves: request {} to {}: {answer:?}",
-                self.journey.id,
-                carrying.destination()
+                self.tracker.id,
+                migration.destination()
             );
-            carrying.answer(answer);
+            migration.answer(answer);
         }
     }
 }
@@ -321,8 +321,8 @@
 impl Drop for Relay {
     /// The generation is over, or its caller has left, while a copy of it is made.
     fn drop(&mut self) {
-        if let Some(carrying) = self.carrying.take() {
-            carrying.abandon(MigrationAnswer::Over);
+        if let Some(migration) = self.migration.take() {
+            migration.discard(MigrationAnswer::Over);
         }
     }
 }
--- a/crates/gateway/src/runs.rs
+++ b/crates/gateway/src/runs.rs
@@ -10,7 +10,7 @@
 use crate::instance::Destination;
 
 /// An order to carry a generation to another engine.
-pub(crate) struct CarryOrder {
+pub(crate) struct MigrationOrder {
     pub(crate) to: Destination,
     pub(crate) answer: oneshot::Sender<MigrationAnswer>,
 }
@@ -20,7 +20,7 @@
     cell: CellKey,
     statement: RunStatement,
     /// To its relay; `None` while its engine has not begun to answer.
-    orders: Option<mpsc::Sender<CarryOrder>>,
+    orders: Option<mpsc::Sender<MigrationOrder>>,
 }
 
 /// The generations that this host relays.
@@ -49,7 +49,7 @@
     }
 
     /// A generation's answer has begun; its relay gets the orders.
-    pub(crate) fn begin(&self, run: RunKey) -> mpsc::Receiver<CarryOrder> {
+    pub(crate) fn begin(&self, run: RunKey) -> mpsc::Receiver<MigrationOrder> {
         let (orders, received) = mpsc::channel(1);
         if let Some(entry) = self.entries.lock().get_mut(&run) {
             entry.orders = Some(orders);
@@ -88,7 +88,7 @@
     }
 
     /// Has a generation carried to another engine.
-    pub(crate) async fn carry(&self, run: RunKey, to: Destination) -> MigrationAnswer {
+    pub(crate) async fn migrate(&self, run: RunKey, to: Destination) -> MigrationAnswer {
         let orders = match self.entries.lock().get(&run) {
             Some(entry) => entry.orders.clone(),
             None => return MigrationAnswer::Over,
@@ -98,7 +98,7 @@
             return MigrationAnswer::Stayed;
         };
         let (answer, answered) = oneshot::channel();
-        if orders.send(CarryOrder { to, answer }).await.is_err() {
+        if orders.send(MigrationOrder { to, answer }).await.is_err() {
             return MigrationAnswer::Over;
         }
         answered.await.unwrap_or(MigrationAnswer::Over)
--- a/crates/gateway/src/serve.rs
+++ b/crates/gateway/src/serve.rs
@@ -97,7 +97,7 @@
         tokio::spawn(self.clone().look_around());
         tokio::spawn(self.clone().join_fleet(self.settings.seeds.clone()));
         let gateway = self.clone();
-        let handler = move |request| gateway.clone().answer(request);
+        let handler = move |request| gateway.clone().handle(request);
         let server = tokio::spawn(serve_by(callers, self.clone(), stops, handler));
         info!("host: {} started", self.settings.host.name);
         stopped.await;
--- a/crates/gateway/src/start.rs
+++ b/crates/gateway/src/start.rs
@@ -7,16 +7,16 @@
 use fulmarpath_policy::{Millis, Placement, PlacementRequest, RunStatement, UpstreamKey, Verdict};
 use tokio::time::{sleep, timeout};
 
-use crate::attempt::{Answer, Failure, Terms};
+use crate::attempt::{Answer, DispatchOptions, Failure};
 use crate::configuration::EngineTraits;
 use crate::drain::can_finish;
 use crate::gateway::Gateway;
+use crate::inbound::InboundRequest;
 use crate::instance::{Chosen, Destination};
-use crate::intake::Inquiry;
-use crate::journey::Journey;
 use crate::key::centre_of;
 use crate::problem::Problem;
-use crate::relay::Ticket;
+use crate::relay::RunGuard;
+use crate::tracker::RequestTracker;
 
 /// Upstreams asked for one generation until one takes it.
 const DISPATCHES: usize = 4;
@@ -36,7 +36,7 @@
 }
 
 /// A generation that an engine answers.
-pub(crate) struct Started {
+pub(crate) struct StartedGeneration {
     pub(crate) answer: Answer,
     /// The engine that keeps a running copy of its memory.
     pub(crate) backup: Option<Destination>,
@@ -44,24 +44,24 @@
 
 /// The engines that one request was sent to.
 #[derive(Default)]
-pub(crate) struct Tries {
+pub(crate) struct Attempts {
     tried: Vec<Chosen>,
     /// Those among them where it may have run.
     runs: u32,
     /// When it was lost at the last of them, where its stream had begun.
     lost_ms: Option<Millis>,
     /// The last engine's own failure, which is the caller's answer where no other is found.
-    failed: Option<Started>,
+    failed: Option<StartedGeneration>,
 }
 
-impl Tries {
+impl Attempts {
     /// The stream broke off at the last of them.
-    pub(crate) fn lose(&mut self, now_ms: Millis) {
+    pub(crate) fn mark_lost(&mut self, now_ms: Millis) {
         self.lost_ms = Some(now_ms);
     }
 
     /// What a caller may be told: a request that may have run must never be said not to have run.
-    fn honest(&self, problem: Problem) -> Problem {
+    fn without_false_not_run(&self, problem: Problem) -> Problem {
         match self.runs > 0 && problem.guarantees_not_run() {
             true => Problem::Broken,
             false => problem,
@@ -71,91 +71,94 @@
 
 impl Gateway {
     /// Sends a generation to an engine, and where that is safe to others, until one answers.
-    pub(crate) async fn start(
+    pub(crate) async fn start_generation(
         self: &Arc<Self>,
-        inquiry: &Inquiry,
-        ticket: &Ticket,
-        journey: &mut Journey,
-        tries: &mut Tries,
-    ) -> Result<Started, Problem> {
-        if !self.can_finish(inquiry) {
+        inbound: &InboundRequest,
+        run_guard: &RunGuard,
+        tracker: &mut RequestTracker,
+        attempts: &mut Attempts,
+    ) -> Result<StartedGeneration, Problem> {
+        if !self.can_finish(inbound) {
             return Err(Problem::Stopping);
         }
-        let started = self.try_engines(inquiry, ticket, journey, tries, inquiry.last_event);
+        let started = self.start_on_any(inbound, run_guard, tracker, attempts, inbound.last_event);
         match started.await {
             Ok(started) => Ok(started),
             Err(problem) => {
-                let problem = self.when_refused(tries.honest(problem), &inquiry.service);
-                tries.failed.take().ok_or(problem)
+                let problem =
+                    self.refine_refusal(attempts.without_false_not_run(problem), &inbound.service);
+                attempts.failed.take().ok_or(problem)
             }
         }
     }
 
     /// Sends a stream that broke off to another engine, which goes on behind `last_event`; `None`
     /// where it may not run again or no engine takes it.
-    pub(crate) async fn start_again(
+    pub(crate) async fn restart_generation(
         self: &Arc<Self>,
-        inquiry: &Inquiry,
-        ticket: &Ticket,
-        journey: &mut Journey,
-        tries: &mut Tries,
+        inbound: &InboundRequest,
+        run_guard: &RunGuard,
+        tracker: &mut RequestTracker,
+        attempts: &mut Attempts,
         last_event: Option<u64>,
-    ) -> Option<Started> {
-        if !inquiry.may_run_again(tries.runs) || !self.can_finish(inquiry) {
+    ) -> Option<StartedGeneration> {
+        if !inbound.may_run_again(attempts.runs) || !self.can_finish(inbound) {
             return None;
         }
-        let started = self.try_engines(inquiry, ticket, journey, tries, last_event);
+        let started = self.start_on_any(inbound, run_guard, tracker, attempts, last_event);
         let started = started.await.ok()?;
         let is_stream = started.answer.response.status().is_success();
         is_stream.then_some(started)
     }
 
-    async fn try_engines(
+    async fn start_on_any(
         self: &Arc<Self>,
-        inquiry: &Inquiry,
-        ticket: &Ticket,
-        journey: &mut Journey,
-        tries: &mut Tries,
+        inbound: &InboundRequest,
+        run_guard: &RunGuard,
+        tracker: &mut RequestTracker,
+        attempts: &mut Attempts,
         last_event: Option<u64>,
-    ) -> Result<Started, Problem> {
+    ) -> Result<StartedGeneration, Problem> {
         let mut problem = Problem::NoUpstream;
         let mut is_admitted = false;
-        while tries.tried.len() < DISPATCHES {
+        while attempts.tried.len() < DISPATCHES {
             let now_ms = self.clock.now_ms();
-            if now_ms >= inquiry.deadline_ms {
+            if now_ms >= inbound.deadline_ms {
                 return Err(Problem::TooLateToSend);
             }
-            if !tries.tried.is_empty() && !self.may_retry(now_ms, &inquiry.service) {
+            if !attempts.tried.is_empty() && !self.may_retry(now_ms, &inbound.service) {
                 break;
             }
             if !std::mem::replace(&mut is_admitted, true) {
-                self.admit(inquiry).await?;
+                self.admit(inbound).await?;
             }
-            let found = self.find_start(inquiry, ticket, journey, tries).await?;
+            let found = self
+                .find_engine(inbound, run_guard, tracker, attempts)
+                .await?;
             let Some(start) = found else { break };
             // It may have waited for room while others showed what it does.
-            self.refuse_if_open(inquiry)?;
-            tries.tried.push(start.chosen.clone());
-            let tried = self.try_engine(inquiry, ticket, journey, start, last_event);
+            self.refuse_if_open(inbound)?;
+            attempts.tried.push(start.chosen.clone());
+            let tried = self.start_on(inbound, run_guard, tracker, start, last_event);
             let failure = match tried.await {
                 Ok(started) => {
-                    tries.runs += 1;
+                    attempts.runs += 1;
                     is_admitted = false;
                     let has_failed = started.answer.response.status().is_server_error();
-                    if !has_failed || !inquiry.may_run_again(tries.runs) {
+                    if !has_failed || !inbound.may_run_again(attempts.runs) {
                         return Ok(started);
                     }
-                    tries.failed = Some(started);
+                    attempts.failed = Some(started);
                     continue;
                 }
                 Err(failure) => failure,
             };
-            tries.runs += u32::from(!failure.is_not_run());
+            attempts.runs += u32::from(!failure.is_not_run());
             is_admitted &= failure.is_not_run();
             problem = failure.problem();
             let is_last = match failure {
                 Failure::Unsent | Failure::Shed => false,
-                Failure::Unknown => !inquiry.may_run_again(tries.runs),
+                Failure::Unknown => !inbound.may_run_again(attempts.runs),
                 Failure::Overdue => true,
             };
             if is_last {
@@ -166,29 +169,31 @@
     }
 
     /// Sends a generation to one engine.
-    async fn try_engine(
+    async fn start_on(
         self: &Arc<Self>,
-        inquiry: &Inquiry,
-        ticket: &Ticket,
-        journey: &mut Journey,
+        inbound: &InboundRequest,
+        run_guard: &RunGuard,
+        tracker: &mut RequestTracker,
         start: Start,
         last_event: Option<u64>,
-    ) -> Result<Started, Failure> {
+    ) -> Result<StartedGeneration, Failure> {
         if start.backup.is_some() {
             self.metrics.running_copies.inc();
         }
-        journey.placed(self.clock.now_ms());
-        let statement = statement(inquiry, ticket, &start);
-        self.runs.place(ticket.cell, statement);
-        let terms = Terms {
-            until_ms: inquiry.deadline_ms,
+        tracker.mark_placed(self.clock.now_ms());
+        let statement = statement(inbound, run_guard, &start);
+        self.runs.place(run_guard.cell, statement);
+        let options = DispatchOptions {
+            until_ms: inbound.deadline_ms,
             backup: start.backup.as_ref().map(|backup| backup.address),
             last_event,
-            ..Terms::default()
+            ..DispatchOptions::default()
         };
         let engine = start.chosen.upstream;
-        let dispatch = self.dispatch(inquiry, journey, start.chosen, terms);
-        let answer = self.note_silence(inquiry, ticket, engine, dispatch).await;
+        let dispatch = self.dispatch(inbound, tracker, start.chosen, options);
+        let answer = self
+            .report_silence(inbound, run_guard, engine, dispatch)
+            .await;
         // Without a signature a success isn't the engine's own.
         let answer = answer.and_then(|answer| {
             let is_success = answer.response.status().is_success();
@@ -197,11 +202,11 @@
                 false => Ok(answer),
             }
         });
-        if let Some(verdict) = doubt_of(&answer) {
-            self.doubt(ticket.cell, engine, verdict);
+        if let Some(verdict) = engine_verdict(&answer) {
+            self.doubt(run_guard.cell, engine, verdict);
         }
         let answer = answer?;
-        Ok(Started {
+        Ok(StartedGeneration {
             answer,
             backup: start.backup,
         })
@@ -209,56 +214,56 @@
 
     /// Waits for an engine's answer, and tells the home where it stays away: an engine that hangs shows
     /// nothing but silence, and looks empty.
-    async fn note_silence(
+    async fn report_silence(
         self: &Arc<Self>,
-        inquiry: &Inquiry,
-        ticket: &Ticket,
+        inbound: &InboundRequest,
+        run_guard: &RunGuard,
         engine: UpstreamKey,
         dispatch: impl Future<Output = Result<Answer, Failure>>,
     ) -> Result<Answer, Failure> {
         let mut dispatch = pin!(dispatch);
-        let patience = Duration::from_millis(inquiry.route.target_ms * SILENCE_TARGETS);
+        let patience = Duration::from_millis(inbound.route.target_ms * SILENCE_TARGETS);
         if let Ok(answer) = timeout(patience, dispatch.as_mut()).await {
             return answer;
         }
-        self.doubt(ticket.cell, engine, Verdict::Failed);
+        self.doubt(run_guard.cell, engine, Verdict::Failed);
         dispatch.await
     }
 
     /// Whether this host, if it stops, stops after the generation has surely ended.
-    fn can_finish(&self, inquiry: &Inquiry) -> bool {
-        let (Some(ends_ms), Some(generation)) = (self.ends_ms(), &inquiry.generation) else {
+    fn can_finish(&self, inbound: &InboundRequest) -> bool {
+        let (Some(ends_ms), Some(generation)) = (self.ends_ms(), &inbound.generation) else {
             return true;
         };
         can_finish(self.clock.now_ms(), ends_ms, generation.output_limit_tokens)
     }
 
     /// Asks the cell's home until there is room; `None` where no engine is left to try.
-    async fn find_start(
+    async fn find_engine(
         &self,
-        inquiry: &Inquiry,
-        ticket: &Ticket,
-        journey: &mut Journey,
-        tries: &Tries,
+        inbound: &InboundRequest,
+        run_guard: &RunGuard,
+        tracker: &mut RequestTracker,
+        attempts: &Attempts,
     ) -> Result<Option<Start>, Problem> {
-        let tried = &tries.tried;
+        let tried = &attempts.tried;
         let mut refusing: Vec<UpstreamKey> = tried.iter().map(|one| one.upstream).collect();
-        let wait_ms = (inquiry.route.target_ms as f32 * WAIT_SHARE) as Millis;
-        let since_ms = tries.lost_ms.unwrap_or(journey.arrived_ms);
-        let until_ms = inquiry.deadline_ms.min(since_ms + wait_ms);
+        let wait_ms = (inbound.route.target_ms as f32 * WAIT_SHARE) as Millis;
+        let since_ms = attempts.lost_ms.unwrap_or(tracker.arrived_ms);
+        let until_ms = inbound.deadline_ms.min(since_ms + wait_ms);
         loop {
             let asked_ms = self.clock.now_ms();
             let is_last_call = asked_ms >= until_ms;
             let mut without = refusing.clone();
             without.extend(self.instances.closed(asked_ms));
-            let mut request = self.placement_request(inquiry, ticket, without);
+            let mut request = self.placement_request(inbound, run_guard, without);
             if let Some(request) = &mut request {
-                let waited_ms = asked_ms.saturating_sub(journey.arrived_ms);
-                request.patience_ms = inquiry.route.target_ms.saturating_sub(waited_ms);
+                let waited_ms = asked_ms.saturating_sub(tracker.arrived_ms);
+                request.patience_ms = inbound.route.target_ms.saturating_sub(waited_ms);
                 request.is_last_call = is_last_call;
             }
             let placement = match &request {
-                Some(request) => self.place(ticket.cell, request.clone()).await,
+                Some(request) => self.place(run_guard.cell, request.clone()).await,
                 None => Placement::NoEngine,
             };
             match placement {
@@ -267,14 +272,14 @@
                     backup,
                     seen,
                 } => {
-                    journey.seen(seen);
-                    if self.is_held_back(engine).await {
+                    tracker.set_seen(seen);
+                    if self.is_throttled(engine).await {
                         // Others may take each of its starts: this one has no time left to try.
                         refusing.extend(is_last_call.then_some(engine));
                         continue;
                     }
                     let now_ms = self.clock.now_ms();
-                    if let Some(chosen) = self.instances.take(now_ms, engine) {
+                    if let Some(chosen) = self.instances.reserve(now_ms, engine) {
                         let backup = backup.and_then(|one| self.instances.destination(now_ms, one));
                         return Ok(Some(Start { chosen, backup }));
                     }
@@ -288,7 +293,7 @@
                 Placement::NoEngine => {
                     let tried: Vec<_> = tried.iter().map(|one| one.key).collect();
                     let chosen = self
-                        .find_upstream(&inquiry.service, &tried, until_ms)
+                        .find_upstream(&inbound.service, &tried, until_ms)
                         .await?;
                     return Ok(chosen.map(|chosen| Start {
                         chosen,
@@ -302,28 +307,28 @@
     /// What the cell's home must know; `None` for a stream that isn't a generation.
     fn placement_request(
         &self,
-        inquiry: &Inquiry,
-        ticket: &Ticket,
+        inbound: &InboundRequest,
+        run_guard: &RunGuard,
         without: Vec<UpstreamKey>,
     ) -> Option<PlacementRequest> {
-        let generation = inquiry.generation.as_ref()?;
+        let generation = inbound.generation.as_ref()?;
         // Engines that don't state their memory are chosen by their load alone.
-        let traits = self.engine_traits(&inquiry.service)?;
+        let traits = self.engine_traits(&inbound.service)?;
         if traits.memory_tokens == 0 {
             return None;
         }
         Some(PlacementRequest {
-            run: ticket.run,
+            run: run_guard.run,
             host: self.host_key(),
-            organisation: inquiry.organisation_key(),
+            organisation: inbound.organisation_key(),
             data_centre: centre_of(&self.settings.host.data_centre),
             prompt_tokens: generation.prompt_tokens,
             limit_tokens: generation.output_limit_tokens,
             hint_tokens: generation.length_hint_tokens,
-            likeness: inquiry.likeness(),
-            priority: inquiry.priority,
-            patience_ms: inquiry.route.target_ms,
-            left_ms: inquiry.deadline_ms.saturating_sub(self.clock.now_ms()),
+            likeness: inbound.likeness(),
+            priority: inbound.priority,
+            patience_ms: inbound.route.target_ms,
+            left_ms: inbound.deadline_ms.saturating_sub(self.clock.now_ms()),
             is_last_call: false,
             without,
             can_back_up: traits.can_back_up,
@@ -338,7 +343,7 @@
 }
 
 /// Why an engine is in doubt after an answer, or for want of one.
-fn doubt_of(answer: &Result<Answer, Failure>) -> Option<Verdict> {
+fn engine_verdict(answer: &Result<Answer, Failure>) -> Option<Verdict> {
     match answer {
         Ok(answer) if answer.response.status().is_server_error() => Some(Verdict::Failed),
         Ok(answer) if answer.head.is_closing || answer.head.signals.is_leaving => {
@@ -351,11 +356,11 @@
     }
 }
 
-fn statement(inquiry: &Inquiry, ticket: &Ticket, start: &Start) -> RunStatement {
-    let generation = inquiry.generation.clone().unwrap_or_default();
+fn statement(inbound: &InboundRequest, run_guard: &RunGuard, start: &Start) -> RunStatement {
+    let generation = inbound.generation.clone().unwrap_or_default();
     RunStatement {
-        run: ticket.run,
-        organisation: inquiry.organisation_key(),
+        run: run_guard.run,
+        organisation: inbound.organisation_key(),
         engine: start.chosen.upstream,
         backup: start.backup.as_ref().map(|backup| backup.upstream),
         prompt_tokens: generation.prompt_tokens,
--- a/crates/gateway/src/starts.rs
+++ b/crates/gateway/src/start_limits.rs
@@ -18,7 +18,7 @@
 
 use crate::gateway::Gateway;
 use crate::instance::{Chosen, InstanceKey};
-use crate::instances::Found;
+use crate::instances::Selection;
 use crate::problem::Problem;
 
 /// A home that doesn't answer in time: several ways there and back between data centres.
@@ -92,11 +92,11 @@
 
 /// The starts that this host has handed out.
 #[derive(Debug, Default)]
-pub(crate) struct StartsHome {
+pub(crate) struct StartLimiter {
     starts: Mutex<HashMap<UpstreamKey, Starts>>,
 }
 
-impl StartsHome {
+impl StartLimiter {
     fn grant(&self, now_ms: Millis, upstream: UpstreamKey, bound: Bound) -> Result<(), Millis> {
         let mut starts = self.starts.lock();
         starts.retain(|_, starts| !starts.is_idle(now_ms));
@@ -119,33 +119,33 @@
                 .instances
                 .choose(now_ms, service, without, rand::random());
             let (cold, full) = match found {
-                Found::Warm(chosen) => return Ok(Some(chosen)),
-                Found::Nobody => return self.nobody(now_ms, service),
-                Found::Limited(upstream) if self.is_held_back(upstream).await => continue,
-                Found::Limited(upstream) => {
-                    match self.instances.take(self.clock.now_ms(), upstream) {
+                Selection::Warm(chosen) => return Ok(Some(chosen)),
+                Selection::NoneAvailable => return self.explain_no_upstream(now_ms, service),
+                Selection::Limited(upstream) if self.is_throttled(upstream).await => continue,
+                Selection::Limited(upstream) => {
+                    match self.instances.reserve(self.clock.now_ms(), upstream) {
                         Some(chosen) => return Ok(Some(chosen)),
                         None => continue,
                     }
                 }
-                Found::Later { opens_ms } if opens_ms > until_ms => {
+                Selection::Throttled { opens_ms } if opens_ms > until_ms => {
                     return Err(Problem::Throttled {
                         retry_after_ms: opens_ms - now_ms,
                     });
                 }
-                Found::Later { opens_ms } => {
+                Selection::Throttled { opens_ms } => {
                     sleep(Duration::from_millis(opens_ms.saturating_sub(now_ms))).await;
                     continue;
                 }
-                Found::Cold { cold, full } => (cold, full),
+                Selection::Cold { cold, full } => (cold, full),
             };
             let wait_ms = match self.first_start(&cold).await {
                 Ok(chosen) => return Ok(Some(chosen)),
                 Err(wait_ms) => wait_ms,
             };
             if let Some(full) = full
-                && !self.is_held_back(full).await
-                && let Some(chosen) = self.instances.take(self.clock.now_ms(), full)
+                && !self.is_throttled(full).await
+                && let Some(chosen) = self.instances.reserve(self.clock.now_ms(), full)
             {
                 return Ok(Some(chosen));
             }
@@ -169,9 +169,9 @@
         let first = rand::random_range(0..cold.len());
         let order = cold.iter().cycle().skip(first).take(cold.len());
         for upstream in order.take(ASKED) {
-            match self.ask_if_bounded(*upstream).await {
+            match self.request_start_if_limited(*upstream).await {
                 Ok(()) => {
-                    let chosen = self.instances.take(self.clock.now_ms(), *upstream);
+                    let chosen = self.instances.reserve(self.clock.now_ms(), *upstream);
                     if let Some(chosen) = chosen {
                         return Ok(chosen);
                     }
@@ -184,7 +184,7 @@
 
     /// What a caller is told whom every upstream has refused that was asked: when to come back, where
     /// those that take work have asked for rest meanwhile.
-    pub(crate) fn when_refused(&self, problem: Problem, service: &str) -> Problem {
+    pub(crate) fn refine_refusal(&self, problem: Problem, service: &str) -> Problem {
         let now_ms = self.clock.now_ms();
         match (problem, self.instances.opens_ms(now_ms, service)) {
             (Problem::AllRefused, Some(opens_ms)) => Problem::Throttled {
@@ -195,7 +195,11 @@
     }
 
     /// Why no upstream of a service takes work, where its caller can be told more than that.
-    fn nobody(&self, now_ms: Millis, service: &str) -> Result<Option<Chosen>, Problem> {
+    fn explain_no_upstream(
+        &self,
+        now_ms: Millis,
+        service: &str,
+    ) -> Result<Option<Chosen>, Problem> {
         if !self.instances.is_evacuated(service) {
             return Ok(None);
         }
@@ -211,12 +215,12 @@
     ///
     /// # Errors
     /// How long to wait before the next question, in ms.
-    async fn ask_start(&self, upstream: UpstreamKey, ask: StartRequest) -> Result<(), Millis> {
+    async fn request_start(&self, upstream: UpstreamKey, ask: StartRequest) -> Result<(), Millis> {
         if ask == StartRequest::default() {
             return Ok(());
         }
         let answer = match self.home_of_starts(upstream) {
-            Some(home) => self.ask_home(&home, upstream, ask).await,
+            Some(home) => self.request_start_from_home(&home, upstream, ask).await,
             None => self.grant_start(upstream, ask),
         };
         let StartAnswer::Later { wait_ms } = answer else {
@@ -236,7 +240,7 @@
         (key != members.my_key()).then_some(note)
     }
 
-    async fn ask_home(
+    async fn request_start_from_home(
         &self,
         home: &MemberInfo,
         upstream: UpstreamKey,
@@ -266,7 +270,7 @@
                     cold: None,
                     paced: ask.limit.map(|limit| self.share_of(limit)),
                 };
-                answer_of(self.starts_home.grant(now_ms, upstream, bound))
+                answer_of(self.start_limiter.grant(now_ms, upstream, bound))
             }
         }
     }
@@ -290,7 +294,7 @@
             self.instances.hear_limit(upstream, limit.per_s, heard_ms);
         }
         let is_in_touch = self.fleet.is_in_touch(now_ms);
-        let cold = self.instances.standing(upstream).cold;
+        let cold = self.instances.availability(upstream).cold;
         if ask.is_cold && (cold.is_none() || !is_in_touch) {
             return StartAnswer::Later {
                 wait_ms: NO_HOME_MS,
@@ -305,43 +309,43 @@
                 false => self.share_of(limit),
             }),
         };
-        answer_of(self.starts_home.grant(now_ms, upstream, bound))
+        answer_of(self.start_limiter.grant(now_ms, upstream, bound))
     }
 
     /// Asks for a start where the upstream is cold.
     ///
     /// # Errors
     /// How long to wait before the next question, in ms.
-    pub(crate) async fn ask_if_cold(&self, upstream: UpstreamKey) -> Result<(), Millis> {
+    pub(crate) async fn request_start_if_cold(&self, upstream: UpstreamKey) -> Result<(), Millis> {
         let ask = StartRequest {
             is_cold: self.is_cold(upstream),
             limit: None,
         };
-        self.ask_start(upstream, ask).await
+        self.request_start(upstream, ask).await
     }
 
     /// Asks for a start where the upstream is cold or names a limit.
-    async fn ask_if_bounded(&self, upstream: UpstreamKey) -> Result<(), Millis> {
+    async fn request_start_if_limited(&self, upstream: UpstreamKey) -> Result<(), Millis> {
         let ask = StartRequest {
             is_cold: self.is_cold(upstream),
             limit: self.instances.named_limit(self.clock.now_ms(), upstream),
         };
-        self.ask_start(upstream, ask).await
+        self.request_start(upstream, ask).await
     }
 
     fn is_cold(&self, upstream: UpstreamKey) -> bool {
-        let cold = self.instances.standing(upstream).cold;
+        let cold = self.instances.availability(upstream).cold;
         cold.is_some_and(|cold| self.clock.now_ms() < cold.until_ms)
     }
 
     /// Whether the limit that an upstream names leaves no start for this host now. No other request
     /// asks for one there before the home has said that there may be one.
-    pub(crate) async fn is_held_back(&self, upstream: UpstreamKey) -> bool {
+    pub(crate) async fn is_throttled(&self, upstream: UpstreamKey) -> bool {
         let ask = StartRequest {
             is_cold: false,
             limit: self.instances.named_limit(self.clock.now_ms(), upstream),
         };
-        let asked = self.ask_start(upstream, ask).await;
+        let asked = self.request_start(upstream, ask).await;
         if let Err(wait_ms) = asked {
             let until_ms = self.clock.now_ms() + wait_ms;
             self.instances.hold(upstream, until_ms);
@@ -350,19 +354,20 @@
     }
 
     /// Counts a generation that goes on at an upstream, where it may before `until_ms`.
-    pub(crate) async fn take_continuation(
+    pub(crate) async fn reserve_continuation(
         &self,
         upstream: UpstreamKey,
         until_ms: Millis,
     ) -> Option<Chosen> {
         let until_ms = until_ms.min(self.clock.now_ms() + CONTINUATION_WAIT_MS);
-        while let Err(wait_ms) = self.ask_if_bounded(upstream).await {
+        while let Err(wait_ms) = self.request_start_if_limited(upstream).await {
             if self.clock.now_ms() + wait_ms > until_ms {
                 return None;
             }
             sleep(Duration::from_millis(wait_ms)).await;
         }
-        self.instances.take_again(self.clock.now_ms(), upstream)
+        self.instances
+            .reserve_continuation(self.clock.now_ms(), upstream)
     }
 }
 
--- a/crates/gateway/src/stream.rs
+++ b/crates/gateway/src/stream.rs
@@ -7,35 +7,39 @@
 use futures::stream::unfold;
 use hyper::Response;
 
-use crate::forward::pass_on;
+use crate::forward::into_reply;
 use crate::gateway::Gateway;
 use crate::hop;
-use crate::intake::Inquiry;
-use crate::journey::Journey;
+use crate::inbound::InboundRequest;
 use crate::key::run_of;
-use crate::relay::{Relay, Ticket};
-use crate::start::{Started, Tries};
+use crate::relay::{Relay, RunGuard};
+use crate::start::{Attempts, StartedGeneration};
+use crate::tracker::RequestTracker;
 
 impl Gateway {
     /// Starts a generation and passes its events on.
-    pub(crate) async fn stream(self: Arc<Self>, inquiry: Inquiry, mut journey: Journey) -> Reply {
-        let ticket = Ticket::new(self.clone(), &inquiry, &journey.id);
-        let mut tries = Tries::default();
+    pub(crate) async fn stream(
+        self: Arc<Self>,
+        inbound: InboundRequest,
+        mut tracker: RequestTracker,
+    ) -> Reply {
+        let run_guard = RunGuard::new(self.clone(), &inbound, &tracker.id);
+        let mut attempts = Attempts::default();
         let started = self
-            .start(&inquiry, &ticket, &mut journey, &mut tries)
+            .start_generation(&inbound, &run_guard, &mut tracker, &mut attempts)
             .await;
         let started = match started {
             Ok(started) => started,
-            Err(problem) => return self.decline(journey, problem),
+            Err(problem) => return self.reject(tracker, problem),
         };
         if !started.answer.response.status().is_success() {
-            return self.pass_failure_on(&inquiry, journey, started).await;
+            return self.forward_failure(&inbound, tracker, started).await;
         }
         let mut reply = Response::new(whole(Bytes::new()));
         *reply.status_mut() = started.answer.response.status();
         *reply.headers_mut() = started.answer.response.headers().clone();
         hop::strip(reply.headers_mut());
-        let relay = Relay::new(inquiry, journey, ticket, tries, started);
+        let relay = Relay::new(inbound, tracker, run_guard, attempts, started);
         let chunks = unfold(Some(relay), |relay| async {
             let mut relay = relay?;
             let chunk = relay.next().await?;
@@ -47,28 +51,31 @@
     }
 
     /// Answers with an engine's own failure, which is short and no stream.
-    async fn pass_failure_on(
+    async fn forward_failure(
         &self,
-        inquiry: &Inquiry,
-        mut journey: Journey,
-        started: Started,
+        inbound: &InboundRequest,
+        mut tracker: RequestTracker,
+        started: StartedGeneration,
     ) -> Reply {
-        match self.read_whole(started.answer, inquiry.deadline_ms).await {
+        match self
+            .read_complete(started.answer, inbound.deadline_ms)
+            .await
+        {
             Ok(failure) => {
-                journey.end("answered", failure.status.as_u16());
-                pass_on(failure)
+                tracker.end("answered", failure.status.as_u16());
+                into_reply(failure)
             }
-            Err(failure) => self.decline(journey, failure.problem()),
+            Err(failure) => self.reject(tracker, failure.problem()),
         }
     }
 }
 
-impl Ticket {
-    fn new(gateway: Arc<Gateway>, inquiry: &Inquiry, id: &str) -> Self {
+impl RunGuard {
+    fn new(gateway: Arc<Gateway>, inbound: &InboundRequest, id: &str) -> Self {
         let data_centre = &gateway.settings.host.data_centre;
         let run = run_of(id);
         Self {
-            cell: gateway.cells.cell_for(&inquiry.service, data_centre, run),
+            cell: gateway.cells.cell_for(&inbound.service, data_centre, run),
             run,
             is_whole: false,
             first_ms: None,
--- a/crates/gateway/src/journey.rs
+++ b/crates/gateway/src/tracker.rs
@@ -29,7 +29,7 @@
 }
 
 /// One request from its arrival to its end. Dropped without an end, its caller has left.
-pub(crate) struct Journey {
+pub(crate) struct RequestTracker {
     gateway: Arc<Gateway>,
     pub(crate) id: String,
     content: Option<ContentKey>,
@@ -49,7 +49,7 @@
     ended: bool,
 }
 
-impl Journey {
+impl RequestTracker {
     pub(crate) fn new(gateway: Arc<Gateway>, arrived_ms: Millis) -> Self {
         Self {
             version: gateway.version(),
@@ -72,18 +72,18 @@
     }
 
     /// The route is known.
-    pub(crate) fn on(&mut self, route: &Route) {
+    pub(crate) fn set_route(&mut self, route: &Route) {
         self.route.clone_from(&route.name);
         self.kind = route.kind.name();
     }
 
     /// What the request asks for, and for whom.
-    pub(crate) fn asks_for(&mut self, content: ContentKey) {
+    pub(crate) fn set_content(&mut self, content: ContentKey) {
         self.content = Some(content);
     }
 
     /// The request asks for a generation.
-    pub(crate) fn asks(&mut self, generation: &GenerationHead) {
+    pub(crate) fn set_size(&mut self, generation: &GenerationHead) {
         self.size = Some(Size {
             prompt_tokens: generation.prompt_tokens,
             limit_tokens: generation.output_limit_tokens,
@@ -92,18 +92,18 @@
     }
 
     /// The cell's home has chosen an engine, by what it saw.
-    pub(crate) fn seen(&mut self, seen: Seen) {
+    pub(crate) fn set_seen(&mut self, seen: Seen) {
         self.seen = Some(seen);
     }
 
     /// An upstream was found that takes the request.
-    pub(crate) fn placed(&mut self, now_ms: Millis) {
+    pub(crate) fn mark_placed(&mut self, now_ms: Millis) {
         let since_ms = now_ms.saturating_sub(self.arrived_ms);
         self.placed_ms.get_or_insert(since_ms);
     }
 
     /// Events are passed on; the pause since the last ones, where there were any.
-    pub(crate) fn pass_on(&mut self, now_ms: Millis, events: u32) -> Option<Millis> {
+    pub(crate) fn record_events(&mut self, now_ms: Millis, events: u32) -> Option<Millis> {
         let is_first = self.events == 0;
         self.events += events;
         let last_ms = std::mem::replace(&mut self.event_at_ms, now_ms);
@@ -129,19 +129,19 @@
     }
 
     /// The request went to an upstream, or was about to.
-    pub(crate) fn dispatched(&mut self, dispatch: Dispatch) {
+    pub(crate) fn begin_dispatch(&mut self, dispatch: Dispatch) {
         self.dispatches.push(dispatch);
     }
 
     /// The last dispatch ended.
-    pub(crate) fn dispatch_ended(&mut self, outcome: &'static str) {
+    pub(crate) fn end_dispatch(&mut self, outcome: &'static str) {
         if let Some(last) = self.dispatches.last_mut() {
             outcome.clone_into(&mut last.outcome);
         }
     }
 
     /// The caller gets an answer of our own.
-    pub(crate) fn problem(&mut self, problem: Problem) {
+    pub(crate) fn end_with_problem(&mut self, problem: Problem) {
         self.end(problem.name(), problem.status().as_u16());
     }
 
@@ -182,20 +182,20 @@
     }
 }
 
-impl Drop for Journey {
+impl Drop for RequestTracker {
     fn drop(&mut self) {
         self.end("caller_left", 0);
     }
 }
 
 /// A request at an upstream; without another verdict it counts as unheard when dropped.
-pub(crate) struct Flight {
+pub(crate) struct InFlightRequest {
     gateway: Arc<Gateway>,
     pub(crate) chosen: Chosen,
     verdict: Verdict,
 }
 
-impl Flight {
+impl InFlightRequest {
     pub(crate) fn new(gateway: Arc<Gateway>, chosen: Chosen) -> Self {
         Self {
             gateway,
@@ -210,7 +210,7 @@
     }
 }
 
-impl Drop for Flight {
+impl Drop for InFlightRequest {
     fn drop(&mut self) {
         let now_ms = self.gateway.clock.now_ms();
         let instances = &self.gateway.instances;
--- a/crates/gateway/src/upstream_table.rs
+++ b/crates/gateway/src/upstream_table.rs
@@ -37,7 +37,7 @@
             if one.is_start_of(registration) {
                 if one.registration != *registration {
                     one.registration = registration.clone();
-                    one.state_cold(now_ms);
+                    one.apply_stated_cold(now_ms);
                 }
                 return key;
             }
@@ -46,7 +46,7 @@
             self.arena.remove(key);
         }
         let mut one = Instance::new(registration.clone());
-        one.state_cold(now_ms);
+        one.apply_stated_cold(now_ms);
         self.arena.insert(one)
     }
 
