--- a/crates/gateway/src/attempt.rs
+++ b/crates/gateway/src/attempt.rs
@@ -20,46 +20,47 @@
 use crate::record::Dispatch;
 use crate::tracker::{ANSWERED, InFlightRequest, RequestTracker};
 
-/// Time to connect: some ways there and back between data centres, and an upstream's handshake.
-/// A lost opening packet is sent again only after a second, by when another upstream has answered.
+/// Connect timeout: several round trips between data centres, and an upstream's handshake. A lost
+/// SYN is retransmitted only after 1 s, by which time another upstream has answered.
 const CONNECT_MS: Millis = 250;
-/// How long an upstream that says it is full is spared.
+/// How long an upstream that reports itself full is deprioritised.
 const FULL_MS: Millis = 200;
-/// How long an upstream that closes its connection, perhaps because it leaves, is spared.
+/// How long an upstream that closes its connection, possibly because it is leaving, is
+/// deprioritised.
 const CLOSING_MS: Millis = 400;
 
-/// An upstream's answer whose body is still to come.
+/// An upstream's response, of which only the head has been read.
 pub(crate) struct Answer {
     pub(crate) head: ResponseHead,
     pub(crate) response: Response<Incoming>,
     pub(crate) in_flight: InFlightRequest,
-    /// Closed when dropped, whereupon the upstream gives the request up.
+    /// Closed when dropped, which makes the upstream cancel the request.
     pub(crate) connection: Connection,
 }
 
-/// What a dispatch is sent with, beside the caller's own request.
+/// What a dispatch carries in addition to the caller's own request.
 #[derive(Debug, Clone, Default)]
 pub(crate) struct DispatchOptions {
-    /// Until when the head of the answer is waited for.
+    /// Deadline for the response head.
     pub(crate) until_ms: Millis,
-    /// The engine that keeps a running copy.
+    /// The engine that keeps a running copy of the KV cache.
     pub(crate) backup: Option<SocketAddr>,
-    /// Set where the generation goes on from a copy of its memory.
+    /// Set if the generation resumes from a copy of its KV cache.
     pub(crate) continuation: Option<Continuation>,
-    /// The event behind which a stream that began elsewhere goes on.
+    /// The event after which a stream that began elsewhere resumes.
     pub(crate) last_event: Option<u64>,
 }
 
-/// Why a dispatch has no answer.
+/// Why a dispatch has no response.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Failure {
     /// The request was never sent: no connection was made.
     Unsent,
-    /// The upstream states that it has not run it and never will.
+    /// The upstream states that it has not run the request and never will.
     Shed,
-    /// It was sent, and what became of it is unknown.
+    /// The request was sent, and its outcome is unknown.
     Unknown,
-    /// It was sent, and the time ran out.
+    /// The request was sent, and the deadline passed.
     Overdue,
 }
 
@@ -69,7 +70,7 @@
         matches!(self, Self::Unsent | Self::Shed)
     }
 
-    /// What its caller is told.
+    /// The problem to report to the caller.
     pub(crate) fn problem(self) -> Problem {
         match self {
             Self::Unsent => Problem::Unreachable,
@@ -90,7 +91,7 @@
 }
 
 impl Gateway {
-    /// Sends a request to the chosen upstream and waits for the head of its answer.
+    /// Sends a request to the chosen upstream and waits for the response head.
     pub(crate) async fn dispatch(
         self: &Arc<Self>,
         inbound: &InboundRequest,
@@ -176,7 +177,8 @@
             }
             return Err(Failure::Shed);
         }
-        // An upstream may send one answer too many; its id tells which request it belongs to.
+        // An upstream may send a surplus response; the id tells which request a response belongs
+        // to.
         if is_stray {
             in_flight.note(Verdict::Failed);
             return Err(Failure::Unknown);
--- a/crates/gateway/src/availability.rs
+++ b/crates/gateway/src/availability.rs
@@ -1,4 +1,4 @@
-//! Whether an upstream may get work, as far as its place and its age tell.
+//! Whether an upstream may receive work, by its data centre and the time since its start.
 
 use std::collections::HashMap;
 
@@ -6,23 +6,23 @@
 
 use crate::configuration::ActiveConfiguration;
 
-/// What the upstreams of one service bear while they are cold.
+/// Limits on the upstreams of one service while they are cold.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub(crate) struct ColdLimit {
-    /// How long one is cold after its start.
+    /// How long an upstream is cold after its start.
     pub(crate) cold_ms: Millis,
-    /// Starts that one host may hand out in any one second meanwhile.
+    /// Starts that one host may grant within any one second during that time.
     pub(crate) starts: u32,
 }
 
-/// What each service's upstreams bear; services whose upstreams are never cold are left out.
+/// Cold limits by service; services whose upstreams are never cold are omitted.
 #[derive(Debug, Default)]
 pub(crate) struct ColdLimits {
     by_service: HashMap<String, ColdLimit>,
 }
 
 impl ColdLimits {
-    /// By the operator's bound and each service's own figures.
+    /// Builds the limits from the operator's bound and each service's own figures.
     pub(crate) fn of(bound: Option<ColdBound>, in_force: Option<&ActiveConfiguration>) -> Self {
         let Some((bound, in_force)) = bound.zip(in_force) else {
             return Self::default();
@@ -46,11 +46,11 @@
     }
 }
 
-/// Whether an upstream may get work.
+/// Whether an upstream may receive work.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub(crate) struct Availability {
-    /// Its data centre is evacuated: it gets nothing.
+    /// Its data centre is evacuated: it receives no work.
     pub(crate) is_evacuated: bool,
-    /// Set while it bears a few new requests a second only.
+    /// Set while it accepts only a few new requests per second.
     pub(crate) cold: Option<Cold>,
 }
--- a/crates/gateway/src/configuration.rs
+++ b/crates/gateway/src/configuration.rs
@@ -1,22 +1,23 @@
-//! The operator's configuration: what may be asked for, by whom, and who answers.
+//! The operator's configuration: routes, services, limits and organisations.
 
 use std::collections::HashMap;
 
 use fulmarpath_policy::Millis;
 use serde::{Deserialize, Serialize};
 
-/// What a route's requests may be repeated for.
+/// Whether requests of a route may be repeated.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum RouteKind {
     /// May run more than once.
     Idempotent,
-    /// May run once at most.
+    /// May run at most once.
     NonIdempotent,
-    /// A generation: runs once at most and answers with a series of events.
+    /// A generation: runs at most once unless its stream may be resumed, and responds with a stream
+    /// of events.
     Streaming,
 }
 
-/// A service's part of a route's requests.
+/// A service's share of a route's requests.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Share {
     /// The service.
@@ -25,115 +26,115 @@
     pub weight: u32,
 }
 
-/// Requests of one host whose paths begin alike.
+/// The requests to one host whose paths share a prefix.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Route {
     /// Its unique name.
     pub name: String,
-    /// The callers' name for the host, without a port.
+    /// The host name that callers use, without a port.
     pub host: String,
-    /// What the path begins with; begins and ends with a slash.
+    /// The path prefix; begins and ends with a slash.
     pub path_prefix: String,
-    /// What may be repeated.
+    /// Whether its requests may be repeated.
     pub kind: RouteKind,
-    /// The longest that a caller is kept waiting.
+    /// The upper bound on the time that a caller waits.
     pub timeout_ms: Millis,
-    /// The time within which an answer (of a stream: its first event) is on time.
+    /// The time within which a response (of a stream: its first event) is on time.
     pub target_ms: Millis,
-    /// The longest pause between events that is on time.
+    /// The longest pause between events that is still on time.
     pub gap_target_ms: Option<Millis>,
-    /// Its rank; 0 is the most urgent.
+    /// Its priority; 0 is the most urgent.
     pub priority: u8,
-    /// The services that answer, by weight.
+    /// The services that serve it, by weight.
     pub shares: Vec<Share>,
-    /// Whether a stream of its may be run again, and go on elsewhere behind the last event that its
-    /// caller has.
+    /// Whether one of its streams may be run again, and resume on another engine after the last
+    /// event that its caller has.
     pub can_resume: bool,
-    /// Upstreams that may run one request of a caller.
+    /// Maximum number of upstreams that may run one request.
     pub max_attempts: u32,
-    /// Whether a key isn't asked for.
+    /// Whether requests need no API key.
     pub is_public: bool,
 }
 
-/// What a model service's engines can do.
+/// Capabilities of a model service's engines.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct EngineTraits {
-    /// Generations in a batch.
+    /// Maximum number of generations in a batch.
     pub slots: u32,
-    /// Memory for prompts and answers.
+    /// KV cache capacity for prompts and outputs, in tokens.
     pub memory_tokens: u32,
-    /// Memory of one token.
+    /// KV cache size of one token, in bytes.
     pub token_bytes: u32,
-    /// The bandwidth between engines.
+    /// Bandwidth between engines, in Mbit/s.
     pub link_mbps: f32,
-    /// Whether a generation's memory can move to another engine.
+    /// Whether a generation's KV cache can be migrated to another engine.
     pub can_move: bool,
-    /// Whether an engine can keep a running copy of a generation's memory on another one.
+    /// Whether an engine can keep a running copy of a generation's KV cache on another one.
     pub can_back_up: bool,
-    /// Tokens in one event.
+    /// Tokens per event.
     pub event_tokens: u32,
-    /// How long a copy is kept that nothing uses.
+    /// How long an unused copy is kept.
     pub copy_ttl_ms: Millis,
 }
 
-/// A service and what its upstreams take.
+/// A service and the limits of its upstreams.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Service {
     /// Its unique name.
     pub name: String,
-    /// Connections that one upstream takes from all hosts together.
+    /// Maximum number of connections that one upstream accepts from all hosts together.
     pub max_connections: u32,
-    /// How long an upstream is cold after its start; 0 where it is never.
+    /// How long an upstream is cold after its start; 0 if it never is.
     pub cold_ms: Millis,
-    /// Requests a second that a cold upstream bears.
+    /// Requests per second that a cold upstream can serve.
     pub cold_per_second: f32,
-    /// Present where the service's upstreams are model engines.
+    /// Present if the service's upstreams are model engines.
     pub engine: Option<EngineTraits>,
 }
 
-/// What a caller may send, and how long it may take.
+/// Limits on the size and time of callers' requests.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CallerLimits {
-    /// The longest head of a request.
+    /// Maximum size of a request head.
     pub header_bytes: usize,
-    /// The longest body.
+    /// Maximum size of a request body.
     pub body_bytes: usize,
-    /// The longest time for a request's head.
+    /// Maximum time for reading a request head.
     pub header_ms: Millis,
-    /// The longest time that a connection stays without a request.
+    /// Maximum time that a connection may stay idle.
     pub idle_ms: Millis,
 }
 
-/// An organisation and its keys.
+/// An organisation and its API keys.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Organisation {
     /// Its unique name.
     pub name: String,
-    /// The keys that its callers may bear.
+    /// The API keys of its callers.
     pub api_keys: Vec<String>,
-    /// Its rank, which goes before a route's.
+    /// Its priority, which overrides the route's.
     pub priority: Option<u8>,
 }
 
 /// One version of the operator's configuration.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Configuration {
-    /// Grows with each change, in uneven steps.
+    /// Increases with each change, in irregular steps.
     pub version: u64,
-    /// Every route.
+    /// All routes.
     pub routes: Vec<Route>,
-    /// Every service.
+    /// All services.
     pub services: Vec<Service>,
-    /// Callers' limits.
+    /// Limits on callers.
     pub limits: CallerLimits,
-    /// Every organisation; where there is none, no key is asked for.
+    /// All organisations; if there are none, no API key is required.
     pub organisations: Vec<Organisation>,
 }
 
-/// A configuration, ready for look-ups.
+/// A configuration with indexes for look-ups.
 #[derive(Debug)]
 pub struct ActiveConfiguration {
-    /// As the operator wrote it.
+    /// The configuration as the operator wrote it.
     pub configuration: Configuration,
     by_host: HashMap<String, HashMap<String, usize>>,
     by_key: HashMap<String, usize>,
@@ -141,7 +142,7 @@
 }
 
 impl ActiveConfiguration {
-    /// Prepares look-ups.
+    /// Builds the indexes of a configuration.
     pub fn new(configuration: Configuration) -> Self {
         let mut by_host: HashMap<String, HashMap<String, usize>> = HashMap::new();
         for (place, route) in configuration.routes.iter().enumerate() {
@@ -166,7 +167,7 @@
         }
     }
 
-    /// The route with the longest prefix of `path` at `host`, which may bear a port.
+    /// The route with the longest prefix of `path` at `host`, which may include a port.
     pub fn route(&self, host: &str, path: &str) -> Option<&Route> {
         let name = host.split(':').next().unwrap_or(host);
         let prefixes = self.by_host.get(name)?;
@@ -180,26 +181,26 @@
         None
     }
 
-    /// The organisation that holds a key.
+    /// The organisation to which an API key belongs.
     pub fn organisation(&self, api_key: &str) -> Option<&Organisation> {
         let place = self.by_key.get(api_key)?;
         Some(&self.configuration.organisations[*place])
     }
 
-    /// A service by name.
+    /// The service with the given name.
     pub fn service(&self, name: &str) -> Option<&Service> {
         let place = self.by_service.get(name)?;
         Some(&self.configuration.services[*place])
     }
 
-    /// Whether requests of `route` must bear a key.
+    /// Whether requests of `route` must carry an API key.
     pub fn requires_key(&self, route: &Route) -> bool {
         !route.is_public && !self.configuration.organisations.is_empty()
     }
 }
 
 impl Route {
-    /// The service for a request; `draw` (0 to 1) decides by weight.
+    /// The service for a request; `draw` (0 to 1) selects by weight.
     pub fn pick_service(&self, draw: f32) -> Option<&str> {
         let total: u32 = self.shares.iter().map(|share| share.weight).sum();
         let mut left = (draw * total as f32) as u32;
--- a/crates/gateway/src/control.rs
+++ b/crates/gateway/src/control.rs
@@ -1,88 +1,88 @@
-//! Engines' own calls that carry a generation's memory to another engine.
+//! The engines' calls for probing an engine and for copying a generation's KV cache to another one.
 
 use std::net::SocketAddr;
 
 use async_trait::async_trait;
 use fulmarpath_policy::Millis;
 
-/// Why a copy isn't there.
+/// Why a copy could not be made.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum CopyError {
-    /// The engine doesn't run the generation, or no more.
+    /// The engine does not run the generation, or has ended it.
     #[error("could not find the generation on the engine")]
     NotFound,
-    /// The engine that runs the generation can't be reached; nothing was asked of it.
+    /// The engine that runs the generation is unreachable; no call was sent to it.
     #[error("could not reach the engine that runs the generation")]
     SourceUnreachable,
-    /// Another copy of the generation is under way.
+    /// Another copy of the generation is in progress.
     #[error("could not copy while another copy is under way")]
     Busy,
-    /// The destination has no room or can't be reached. A generation that was stopped for it keeps
-    /// its memory at the source under this name.
+    /// The destination has no capacity or is unreachable. A generation that was stopped for the
+    /// copy keeps its KV cache at the source under this id.
     #[error("could not copy to the destination")]
     NoRoom {
-        /// Names the memory at the source, where the generation was stopped.
+        /// Identifies the KV cache at the source, if the generation was stopped.
         copy_id: Option<String>,
     },
-    /// No answer: the generation may have been stopped.
+    /// No response: the generation may have been stopped.
     #[error("could not learn what became of the copy")]
     Unknown,
 }
 
-/// How an engine is by its own word.
+/// The state of an engine as it reports it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum EngineStatus {
-    /// It is there and takes work.
+    /// It is reachable and accepts work.
     There,
-    /// It leaves, and has said how long it will be there.
+    /// It is leaving, and has reported its remaining time.
     Leaving {
-        /// As of the moment that its word is of.
+        /// Remaining time at the moment of the report.
         left_ms: Millis,
     },
     /// No connection to it can be made.
     Gone,
-    /// It has a connection, and says nothing in time or nothing that can be read.
+    /// It accepts a connection, but sends no response in time or one that cannot be parsed.
     Unknown,
 }
 
-/// What an engine says when it is asked how it is.
+/// The result of probing an engine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ProbeResult {
-    /// When the start that answers began, in Unix milliseconds by its own clock.
+    /// When the process that responds started, in Unix milliseconds by the engine's clock.
     pub born_ms: Option<Millis>,
-    /// How it is.
+    /// The state of the engine.
     pub status: EngineStatus,
 }
 
-/// A copy at its destination.
+/// A complete copy at its destination.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct CompletedCopy {
-    /// Names the copy.
+    /// Identifies the copy.
     pub copy_id: String,
-    /// Events that the generation had made.
+    /// Events that the generation had produced.
     pub events: u64,
 }
 
-/// Engines' own calls that carry a generation's memory to another engine.
+/// The engines' calls for probing an engine and for copying a generation's KV cache to another one.
 #[async_trait]
 pub trait EngineControl: Send + Sync {
-    /// Copies what is new of a generation's memory while it goes on.
+    /// Copies the new part of a generation's KV cache while the generation continues.
     async fn copy(
         &self,
         source: SocketAddr,
         request_id: &str,
         to: SocketAddr,
     ) -> Result<CompletedCopy, CopyError>;
-    /// Stops a generation, then copies the rest of its memory.
+    /// Stops a generation, then copies the rest of its KV cache.
     async fn stop_and_copy(
         &self,
         source: SocketAddr,
         request_id: &str,
         to: SocketAddr,
     ) -> Result<CompletedCopy, CopyError>;
-    /// Gives up a copy that nothing will use, at the engine that holds it; whether that is known to
-    /// have succeeded.
+    /// Discards an unused copy at the engine that holds it; returns whether that is known to have
+    /// succeeded.
     async fn discard_copy(&self, holder: SocketAddr, copy_id: &str) -> bool;
-    /// Asks an engine how it is, as of some hundred ms ago.
+    /// Probes an engine; the state may be some hundred ms old.
     async fn probe(&self, engine: SocketAddr) -> ProbeResult;
 }
--- a/crates/gateway/src/engine_stream.rs
+++ b/crates/gateway/src/engine_stream.rs
@@ -1,4 +1,4 @@
-//! The engine's side of a relay: what comes from the engine that makes the generation now.
+//! The engine's side of a relay: the response stream of the engine that currently generates.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -15,7 +15,7 @@
 use crate::instance::Destination;
 use crate::tracker::InFlightRequest;
 
-/// What came from an engine.
+/// The outcome of reading from an engine.
 pub(crate) enum StreamRead {
     Bytes,
     End,
@@ -23,12 +23,12 @@
     Overdue,
 }
 
-/// The stream of the engine that makes the generation now.
+/// The response stream of the engine that currently generates.
 pub(crate) struct EngineStream {
     pub(crate) in_flight: InFlightRequest,
-    /// When its answer began.
+    /// When its response began.
     pub(crate) since_ms: Millis,
-    /// When the first bytes of its stream came.
+    /// When the first bytes of its stream arrived.
     pub(crate) begun_ms: Option<Millis>,
     body: Incoming,
     _connection: Connection,
@@ -49,12 +49,12 @@
         self.in_flight.chosen.address
     }
 
-    /// The engine, as one that the generation may go on at.
+    /// The engine, as a destination on which the generation may resume.
     pub(crate) fn engine(&self) -> Destination {
         self.in_flight.chosen.destination()
     }
 
-    /// Waits for more of the stream.
+    /// Waits for more data of the stream.
     pub(crate) async fn read(
         &mut self,
         events: &mut EventBuffer,
--- a/crates/gateway/src/events.rs
+++ b/crates/gateway/src/events.rs
@@ -1,33 +1,33 @@
-//! Cuts a series of events into whole ones.
+//! Splits an event stream into complete events.
 
 use bytes::{Bytes, BytesMut};
 
-/// Collects bytes until they end an event.
+/// Buffers bytes until an event is complete.
 #[derive(Debug, Default)]
 pub(crate) struct EventBuffer {
     buffer: BytesMut,
 }
 
 impl EventBuffer {
-    /// Takes in bytes as they came.
+    /// Appends received bytes.
     pub(crate) fn push(&mut self, bytes: &[u8]) {
         self.buffer.extend_from_slice(bytes);
     }
 
-    /// All events that are whole, in one piece; `None` where there is none.
+    /// Takes all complete events in one piece; `None` if there are none.
     pub(crate) fn take_complete(&mut self) -> Option<Bytes> {
         let end = end_of_last(&self.buffer)?;
         Some(self.buffer.split_to(end).freeze())
     }
 
-    /// What is left after the last whole event.
+    /// Takes what is left after the last complete event.
     pub(crate) fn take_remainder(&mut self) -> Option<Bytes> {
         let rest = self.buffer.split().freeze();
         (!rest.is_empty()).then_some(rest)
     }
 }
 
-/// Behind the last empty line, which ends an event.
+/// The position after the last empty line, which ends an event.
 fn end_of_last(bytes: &[u8]) -> Option<usize> {
     let mut end = bytes.len();
     while end > 0 {
@@ -41,7 +41,7 @@
     None
 }
 
-/// Each event of a piece that holds whole ones.
+/// Splits a piece of complete events into single events.
 pub(crate) fn split(piece: &Bytes) -> Vec<Bytes> {
     let mut events = Vec::new();
     let mut left = piece.clone();
--- a/crates/gateway/src/forward.rs
+++ b/crates/gateway/src/forward.rs
@@ -1,4 +1,4 @@
-//! Small requests: answered whole, and sent once more where that is safe.
+//! Requests whose response is buffered, and retried on another upstream where that is safe.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -22,18 +22,17 @@
 use crate::problem::{Problem, reply};
 use crate::tracker::RequestTracker;
 
-/// Dispatches of one request that did not run anywhere, beside those that the route allows to run.
-/// Each costs a way there and back; after three the service is full or gone.
+/// Maximum number of dispatches of one request that ran nowhere, in addition to the attempts that
+/// the route allows. Each costs a round trip; after three the service is full or gone.
 const UNRUN_DISPATCHES: u32 = 3;
-/// The part of the time for an on-time answer after which an idempotent request is sent to another
-/// upstream: an upstream that hangs shows nothing but silence, and the rest of the time is enough
-/// for another one.
+/// Fraction of the route's target after which an idempotent request is retried on another upstream:
+/// an upstream that hangs returns no error, and the remaining time suffices for another one.
 const PATIENCE_SHARE: f32 = 0.6;
-/// The part of the same time for which a request waits for a start at a cold upstream; the rest is for
-/// its answer.
+/// Fraction of the route's target for which a request waits for a start at a cold upstream; the
+/// rest is for its response.
 const WAIT_SHARE: f32 = 0.5;
 
-/// A whole answer of an upstream.
+/// A complete response of an upstream.
 pub(crate) struct CompleteAnswer {
     pub(crate) status: StatusCode,
     headers: HeaderMap,
@@ -41,7 +40,7 @@
 }
 
 impl Gateway {
-    /// Answers a caller's request.
+    /// Handles a caller's request.
     pub(crate) async fn handle(self: Arc<Self>, request: Request<Incoming>) -> Reply {
         let arrived_ms = self.clock.now_ms();
         let mut tracker = RequestTracker::new(self.clone(), arrived_ms);
@@ -65,7 +64,7 @@
         reply
     }
 
-    /// Answers with a problem.
+    /// Responds with a problem.
     pub(crate) fn reject(&self, mut tracker: RequestTracker, problem: Problem) -> Reply {
         tracker.end_with_problem(problem);
         let mut reply = reply(problem);
@@ -174,13 +173,13 @@
         }
         match failed_answer {
             Some(whole) => Ok(whole),
-            // A request that may have run must never be said not to have run.
+            // The response must never claim that a request has not run if it may have run.
             None if runs > 0 && problem.guarantees_not_run() => Err(Problem::Broken),
             None => Err(self.refine_refusal(problem, &inbound.service)),
         }
     }
 
-    /// How long one upstream has.
+    /// The deadline for the response head of one upstream.
     fn until_ms(&self, inbound: &InboundRequest, now_ms: Millis, may_run_again: bool) -> Millis {
         if !may_run_again {
             return inbound.deadline_ms;
@@ -245,7 +244,7 @@
                 return Err(Failure::Overdue);
             }
         };
-        // Without a signature a success isn't the upstream's own.
+        // A successful response without a signature does not come from the upstream itself.
         if parts.status.is_success() && !head.is_signed {
             in_flight.note(Verdict::Failed);
             return Err(Failure::Unknown);
--- a/crates/gateway/src/hop.rs
+++ b/crates/gateway/src/hop.rs
@@ -1,4 +1,4 @@
-//! Headers that concern one connection only.
+//! Hop-by-hop headers.
 
 use hyper::HeaderMap;
 use hyper::header::{CONNECTION, HeaderName, TE, TRAILER, TRANSFER_ENCODING, UPGRADE};
@@ -6,7 +6,7 @@
 const KEEP_ALIVE: HeaderName = HeaderName::from_static("keep-alive");
 const PROXY_CONNECTION: HeaderName = HeaderName::from_static("proxy-connection");
 
-/// Removes what concerns the connection that the head came over.
+/// Removes the hop-by-hop headers, including those listed in `Connection`.
 pub(crate) fn strip(headers: &mut HeaderMap) {
     let listed: Vec<HeaderName> = headers
         .get_all(CONNECTION)
--- a/crates/gateway/src/inbound.rs
+++ b/crates/gateway/src/inbound.rs
@@ -1,4 +1,4 @@
-//! From a caller's bytes to a request that may go to an upstream, or the reason why it may not.
+//! Reads and checks callers' requests before they may be sent to an upstream.
 
 use std::hash::{Hash, Hasher};
 use std::sync::Arc;
@@ -21,30 +21,30 @@
 use crate::problem::Problem;
 use crate::tracker::RequestTracker;
 
-/// Time for the body of a request that states no time of its own.
+/// Time for reading the body of a request that states no deadline.
 const BODY_MS: Millis = 30_000;
 
-/// A request that may go to an upstream.
+/// A request that may be sent to an upstream.
 pub(crate) struct InboundRequest {
     pub(crate) route: Route,
     pub(crate) service: String,
     pub(crate) organisation: Option<String>,
-    /// The organisation's rank, or else the route's; 0 is the most urgent.
+    /// The priority of the organisation, or else of the route; 0 is the most urgent.
     pub(crate) priority: u8,
     pub(crate) generation: Option<GenerationHead>,
     pub(crate) content: ContentKey,
-    /// The last event that the caller has, where the stream may be resumed.
+    /// The last event that the caller has, if the stream may be resumed.
     pub(crate) last_event: Option<u64>,
     pub(crate) method: Method,
     pub(crate) uri: Uri,
     pub(crate) headers: HeaderMap,
     pub(crate) body: Bytes,
-    /// When the caller or the operator gives the request up.
+    /// Deadline set by the caller or by the route's timeout, whichever is earlier.
     pub(crate) deadline_ms: Millis,
 }
 
 impl InboundRequest {
-    /// Whether it may run again after it has run `runs` times.
+    /// Whether the request may run again after `runs` runs.
     pub(crate) fn may_run_again(&self, runs: u32) -> bool {
         let is_repeatable = match self.route.kind {
             RouteKind::Idempotent => true,
@@ -54,12 +54,13 @@
         is_repeatable && runs < self.route.max_attempts
     }
 
-    /// Whose it is. What is open to anybody is asked for by one organisation more.
+    /// The organisation to which the request is accounted. Requests on public routes share one
+    /// additional key.
     pub(crate) fn organisation_key(&self) -> OrganisationKey {
         OrganisationKey::of(self.organisation.as_deref().unwrap_or_default())
     }
 
-    /// What stays the same where its caller tries the same prompt again.
+    /// Hash that is equal for retries of the same prompt by the same caller.
     pub(crate) fn likeness(&self) -> u64 {
         let mut hasher = Xxh3::new();
         self.content.hash(&mut hasher);
@@ -73,7 +74,7 @@
 }
 
 impl Gateway {
-    /// Reads a request and decides whether it may go on.
+    /// Reads a request and checks whether it may proceed.
     pub(crate) async fn accept(
         self: &Arc<Self>,
         request: Request<Incoming>,
@@ -90,8 +91,8 @@
             .map_or(usize::MAX, |held| held.configuration.limits.body_bytes);
         let left_ms = head.as_ref().ok().and_then(|head| head.time_left_ms);
         let bound = Duration::from_millis(left_ms.unwrap_or(BODY_MS));
-        // The body is read before any refusal: closing a connection over unread bytes resets it,
-        // and the caller may lose the answer that says why.
+        // The body is read before any refusal: closing a connection with unread bytes resets it,
+        // and the caller may lose the response that states the reason.
         let body = read(body, limit, bound).await?;
         let in_force = in_force?;
         let head = head.map_err(|error| match error {
--- a/crates/gateway/src/instance.rs
+++ b/crates/gateway/src/instance.rs
@@ -1,4 +1,4 @@
-//! One start of an upstream, as this host knows it, and what is handed out of it.
+//! One start of an upstream as known to this host, and references to it.
 
 use std::net::SocketAddr;
 
@@ -11,27 +11,27 @@
 use crate::key::upstream_of;
 
 new_key_type! {
-    /// An upstream's start in this host's arena.
+    /// Key of an upstream's start in this host's arena.
     pub(crate) struct InstanceKey;
 }
 
-/// One start of an upstream.
+/// One start (process lifetime) of an upstream.
 #[derive(Debug)]
 pub(crate) struct Instance {
     pub(crate) upstream: UpstreamKey,
     pub(crate) registration: Registration,
     pub(crate) gauge: Gauge,
-    /// The upstream has said on a connection that it is leaving.
+    /// The upstream has announced on a connection that it is leaving.
     pub(crate) is_leaving: bool,
-    /// Its data centre gets no work.
+    /// Its data centre is evacuated.
     pub(crate) is_evacuated: bool,
-    /// Until when it is cold, by its own word or by what has just happened to it.
+    /// Until when it is cold, by its own entry or by recent events.
     pub(crate) cold_until_ms: Millis,
-    /// What it bears while it is cold; `None` where its service's upstreams never are.
+    /// Its limits while it is cold; `None` if the upstreams of its service are never cold.
     pub(crate) cold_limit: Option<ColdLimit>,
-    /// No connection to it could be made, and nothing has come from it since.
+    /// The last connection attempt failed, and no response has arrived since.
     pub(crate) is_unreachable: bool,
-    /// Cancelled when it is known to have started again.
+    /// Cancelled when it is known to have restarted.
     pub(crate) lost: CancellationToken,
 }
 
@@ -50,7 +50,7 @@
         }
     }
 
-    /// Takes its entry's word on how long it will be cold.
+    /// Applies the cold time that its entry states.
     pub(crate) fn apply_stated_cold(&mut self, now_ms: Millis) {
         let until_ms = now_ms + self.registration.cold_ms;
         self.cold_until_ms = self.cold_until_ms.max(until_ms);
@@ -64,7 +64,7 @@
         self.registration.state == RegisteredState::Ready && !self.is_leaving && !self.is_evacuated
     }
 
-    /// Set while it is cold, where its service's upstreams can be.
+    /// The cold state, if it is cold now and its service has a cold limit.
     pub(crate) fn cold(&self, now_ms: Millis) -> Option<Cold> {
         let cold_limit = self.cold_limit?;
         (now_ms < self.cold_until_ms).then_some(Cold {
@@ -73,13 +73,13 @@
         })
     }
 
-    /// It is cold for as long as its service's upstreams are from this moment on.
+    /// Marks it as cold for its service's cold time from `since_ms` on.
     pub(crate) fn mark_cold(&mut self, since_ms: Millis) {
         let cold_ms = self.cold_limit.map_or(0, |cold_limit| cold_limit.cold_ms);
         self.cold_until_ms = self.cold_until_ms.max(since_ms + cold_ms);
     }
 
-    /// Whether each of its slots is taken, as far as this host can tell.
+    /// Whether all of its slots are in use, as far as this host knows.
     pub(crate) fn is_full(&self, now_ms: Millis) -> bool {
         self.gauge.occupancy(now_ms) >= self.registration.slots.max(1) as f32
     }
@@ -92,13 +92,13 @@
     pub(crate) upstream: UpstreamKey,
     pub(crate) instance: String,
     pub(crate) address: SocketAddr,
-    /// Cancelled when the upstream has started again: what ran there is lost.
+    /// Cancelled when the upstream has restarted: whatever ran there is lost.
     pub(crate) lost: CancellationToken,
     pub(crate) flight: FlightId,
 }
 
 impl Chosen {
-    /// The upstream, as an engine that a generation may go on at.
+    /// The upstream, as a destination on which a generation may resume.
     pub(crate) fn destination(&self) -> Destination {
         Destination {
             upstream: self.upstream,
@@ -108,7 +108,7 @@
     }
 }
 
-/// An engine that a generation may go on at.
+/// An engine on which a generation may resume.
 #[derive(Debug, Clone)]
 pub(crate) struct Destination {
     pub(crate) upstream: UpstreamKey,
@@ -117,8 +117,8 @@
 }
 
 impl Destination {
-    /// The engine has started again: it holds nothing of before, and what has the name of a copy
-    /// there now is another's.
+    /// Whether the engine has restarted: it holds no earlier state, and an equal copy id there now
+    /// belongs to another generation.
     pub(crate) fn is_lost(&self) -> bool {
         self.lost.is_cancelled()
     }
--- a/crates/gateway/src/instances.rs
+++ b/crates/gateway/src/instances.rs
@@ -1,4 +1,4 @@
-//! The upstreams that this host may send to, and what it knows of each.
+//! The upstreams that this host may send to, and their state as known here.
 
 use std::collections::HashMap;
 
@@ -13,26 +13,26 @@
 use crate::key::upstream_of;
 use crate::upstream_table::UpstreamTable;
 
-/// What there is for a request.
+/// The outcome of selecting an upstream for a request.
 #[derive(Debug)]
 pub(crate) enum Selection {
-    /// This upstream, where the request is counted already.
+    /// This upstream; the request is already counted there.
     Warm(Chosen),
-    /// Cold ones alone, or warm ones that are full.
+    /// No warm upstream has capacity, but cold ones are available.
     Cold {
-        /// The cold ones.
+        /// The cold upstreams.
         cold: Vec<UpstreamKey>,
-        /// A warm one that is full.
+        /// A warm upstream that is full.
         full: Option<UpstreamKey>,
     },
-    /// This one, which has named a limit: a start there has to be asked for.
+    /// This upstream, which advertises a limit: a start must be requested first.
     Limited(UpstreamKey),
-    /// None now, as those that take work ask for it.
+    /// None now: all upstreams that accept work have asked this host to back off.
     Throttled {
-        /// When the first of them takes more.
+        /// When the first of them accepts requests again.
         opens_ms: Millis,
     },
-    /// None that takes work.
+    /// No upstream accepts work.
     NoneAvailable,
 }
 
@@ -51,7 +51,7 @@
         }
     }
 
-    /// Takes a newer directory; what is known of the upstreams that stay is kept.
+    /// Applies a newer directory and keeps the state of upstreams that remain listed.
     pub(crate) fn adopt(
         &self,
         now_ms: Millis,
@@ -68,7 +68,7 @@
             let one = &mut table.arena[key];
             one.cold_limit = cold_limits.get(&registration.service);
             one.is_evacuated = evacuations.covers(&registration.data_centre);
-            // What an evacuated data centre comes back from has turned its upstreams cold.
+            // When an evacuation ends, the upstreams of the data centre are cold.
             if let Some(ended_ms) = evacuations.ended_ms(&registration.data_centre) {
                 one.mark_cold(ended_ms);
             }
@@ -87,10 +87,11 @@
         table.forget_gone(now_ms);
     }
 
-    /// Chooses an upstream of a service, and counts the request there unless it has to be asked for
-    /// first.
+    /// Selects an upstream of a service, and counts the request there unless a start must be
+    /// requested first.
     ///
-    /// Cold ones are left alone while a warm one has room: each of their starts costs a question.
+    /// Cold upstreams are not used while a warm one has capacity, because each of their starts
+    /// costs a request to the home.
     pub(crate) fn choose(
         &self,
         now_ms: Millis,
@@ -139,7 +140,7 @@
         }
     }
 
-    /// Whether a service has upstreams, and all of them stand in evacuated data centres.
+    /// Whether a service has upstreams and all of them are in evacuated data centres.
     pub(crate) fn is_evacuated(&self, service: &str) -> bool {
         let table = self.table.lock();
         let same = table.by_service.get(service).map_or(&[][..], Vec::as_slice);
@@ -147,7 +148,7 @@
         same.len() > 0 && same.all(|one| one.is_evacuated)
     }
 
-    /// Whether an upstream may get work.
+    /// Whether an upstream may receive work.
     pub(crate) fn availability(&self, upstream: UpstreamKey) -> Availability {
         let table = self.table.lock();
         let Some(key) = table.by_upstream.get(&upstream) else {
@@ -179,8 +180,8 @@
         one.is_some_and(|one| one.cold(now_ms).is_some())
     }
 
-    /// Counts a request at the upstream that its home has chosen; `None` where this host knows that
-    /// it takes nothing new.
+    /// Counts a request at the upstream that the home has selected; `None` if this host knows that
+    /// the upstream accepts no new requests.
     pub(crate) fn reserve(&self, now_ms: Millis, upstream: UpstreamKey) -> Option<Chosen> {
         self.reserve_if(now_ms, upstream, |table, key| {
             let asked = table.backpressure.get(&upstream);
@@ -188,8 +189,9 @@
         })
     }
 
-    /// Counts a generation that goes on at an upstream, also at one that is leaving: it may have to
-    /// go on where it was. An evacuated one gets nothing whatsoever, one that rests next to nothing.
+    /// Counts a generation that resumes at an upstream, including an upstream that is leaving: the
+    /// generation may have to resume where it was. An evacuated upstream receives none, and one
+    /// that has asked for backoff very few.
     pub(crate) fn reserve_continuation(
         &self,
         now_ms: Millis,
@@ -212,7 +214,7 @@
         may_take(&mut table, key).then(|| table.start(now_ms, key))
     }
 
-    /// An engine that a generation may be carried to; `None` where it gets no work now.
+    /// An engine that a generation may be migrated to; `None` if it receives no work now.
     pub(crate) fn destination(&self, now_ms: Millis, upstream: UpstreamKey) -> Option<Destination> {
         let is_evacuated = self.availability(upstream).is_evacuated;
         let is_closed = self.table.lock().is_closed(now_ms, upstream);
@@ -220,7 +222,7 @@
         found.filter(|_| !is_evacuated && !is_closed)
     }
 
-    /// Where an upstream listens.
+    /// The address of an upstream.
     pub(crate) fn find(&self, upstream: UpstreamKey) -> Option<Destination> {
         let table = self.table.lock();
         let one = &table.arena[*table.by_upstream.get(&upstream)?];
@@ -231,28 +233,28 @@
         })
     }
 
-    /// The registration of an upstream's start.
+    /// The registration of an upstream's current start.
     pub(crate) fn registration(&self, upstream: UpstreamKey) -> Option<Registration> {
         let table = self.table.lock();
         let key = table.by_upstream.get(&upstream)?;
         Some(table.arena[*key].registration.clone())
     }
 
-    /// Whether a chosen upstream is registered still and has given no notice.
+    /// Whether a chosen upstream is still registered and has not announced its departure.
     pub(crate) fn takes_work(&self, key: InstanceKey) -> bool {
         let table = self.table.lock();
         let known = table.arena.get(key);
         known.is_some_and(|one| table.takes_work(one))
     }
 
-    /// A request to a chosen upstream is over.
+    /// Records the end of a request to a chosen upstream.
     pub(crate) fn end(&self, now_ms: Millis, chosen: &Chosen, verdict: Verdict) {
         self.with(chosen.key, |one| {
             one.gauge.end(now_ms, chosen.flight, verdict)
         });
     }
 
-    /// The head of an answer came.
+    /// Records that a response head has arrived.
     pub(crate) fn answered(
         &self,
         now_ms: Millis,
@@ -262,7 +264,8 @@
     ) {
         self.with(key, |one| {
             one.gauge.answered(latency_ms);
-            // One that was away comes back cold, and its entry may not say so yet.
+            // An upstream that was unreachable is cold when it returns, and its entry may not say
+            // so yet.
             if std::mem::take(&mut one.is_unreachable) {
                 one.mark_cold(now_ms);
             }
@@ -272,7 +275,7 @@
         });
     }
 
-    /// No connection could be made.
+    /// Records that no connection could be made.
     pub(crate) fn unreachable(&self, now_ms: Millis, key: InstanceKey) {
         self.with(key, |one| {
             one.gauge.unreachable(now_ms);
@@ -280,12 +283,12 @@
         });
     }
 
-    /// The upstream had better be spared for a while.
+    /// Deprioritises the upstream until `until_ms`.
     pub(crate) fn penalise_until(&self, until_ms: Millis, key: InstanceKey) {
         self.with(key, |one| one.gauge.spare_until(until_ms));
     }
 
-    /// Another upstream answers at the address: this one is gone for good.
+    /// Marks an upstream as gone for good: another upstream answers at its address.
     pub(crate) fn mark_leaving(&self, key: InstanceKey) {
         self.with(key, |one| one.is_leaving = true);
     }
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -1,8 +1,8 @@
-//! The gateway: callers' requests go unchanged to model engines and plain services, and their
-//! answers come back unchanged, by the operator's configuration.
+//! The gateway: forwards callers' requests unchanged to model engines and plain services, and their
+//! responses unchanged to the callers, according to the operator's configuration.
 //!
-//! Nothing here knows how a field, a path or an object is called outside: [`Dialect`] reads and
-//! writes heads, [`Metadata`] reads the operator's and the upstreams' own entries.
+//! The names of fields, paths and objects on the wire are not known here: [`Dialect`] reads and
+//! writes heads, [`Metadata`] reads the entries of the operator and of the upstreams.
 
 mod attempt;
 mod availability;
--- a/crates/gateway/src/metrics.rs
+++ b/crates/gateway/src/metrics.rs
@@ -1,4 +1,4 @@
-//! Counters and histograms of one host.
+//! Metrics of one host.
 
 use std::sync::Arc;
 
@@ -10,11 +10,13 @@
 use prometheus_client::metrics::histogram::Histogram;
 use prometheus_client::registry::Registry;
 
-/// Upper bounds of the latency histograms: from a near upstream's answer to a caller's patience.
+/// Upper bounds of the latency histogram buckets: from the response of a nearby upstream to a
+/// caller's timeout.
 const LATENCY_BUCKETS_MS: [f64; 12] = [
     5.0, 10.0, 25.0, 50.0, 100.0, 150.0, 300.0, 600.0, 1_200.0, 2_500.0, 6_000.0, 39_000.0,
 ];
-/// Upper bounds of the pauses between events: a step of an engine to what callers give up at.
+/// Upper bounds of the buckets for pauses between events: from one decode step to the pause after
+/// which callers disconnect.
 const PAUSE_BUCKETS_MS: [f64; 9] = [
     20.0, 40.0, 60.0, 90.0, 120.0, 180.0, 400.0, 1_000.0, 7_200.0,
 ];
@@ -26,13 +28,13 @@
     pub(crate) outcome: &'static str,
 }
 
-/// How a transfer of a generation ended, at the home that ordered it.
+/// How a migration of a generation ended, at the home that ordered it.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, EncodeLabelSet)]
 pub(crate) struct TransferLabels {
     pub(crate) end: &'static str,
 }
 
-/// Whether a generation went on at another engine, at the host that relays it.
+/// Whether a generation resumed on another engine, at the host that relays it.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, EncodeLabelSet)]
 pub(crate) struct ContinuationLabels {
     pub(crate) went_on: &'static str,
@@ -46,19 +48,19 @@
     pub(crate) outcome: &'static str,
 }
 
-/// A kind of entries in the store.
+/// A kind of entry in the store.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, EncodeLabelSet)]
 pub(crate) struct EntryLabels {
     pub(crate) what: &'static str,
 }
 
-/// Whether a run may be what ended its upstream.
+/// Whether a run is suspected of having crashed its upstream.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, EncodeLabelSet)]
 pub(crate) struct CrashLabels {
     pub(crate) suspect: &'static str,
 }
 
-/// A kind of messages between hosts.
+/// A kind of message between hosts.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, EncodeLabelSet)]
 pub(crate) struct MessageLabels {
     pub(crate) kind: &'static str,
@@ -70,7 +72,7 @@
     pub(crate) service: String,
 }
 
-/// What is read off the host when its page is asked for.
+/// Values sampled when the metrics are scraped.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub(crate) struct Readings {
     pub(crate) configuration_age_ms: i64,
@@ -86,7 +88,7 @@
     pub(crate) retries_left: Vec<(String, i64)>,
 }
 
-/// What one host counts.
+/// All metrics of one host.
 pub(crate) struct Metrics {
     pub(crate) requests: Family<EndLabels, Counter>,
     pub(crate) retries: Counter,
@@ -243,13 +245,13 @@
 }
 
 impl Metrics {
-    /// Counts a generation that another engine was asked to go on with.
+    /// Counts a request to another engine to resume a generation.
     pub(crate) fn continuation(&self, went_on: &'static str) {
         let labels = ContinuationLabels { went_on };
         self.continuations.get_or_create(&labels).inc();
     }
 
-    /// Counts a run that ended with its upstream.
+    /// Counts a run that ended because its upstream did.
     pub(crate) fn crash(&self, is_suspect: bool) {
         let suspect = if is_suspect { "yes" } else { "no" };
         self.crashes.get_or_create(&CrashLabels { suspect }).inc();
@@ -267,19 +269,19 @@
         self.peer_messages.get_or_create(&labels).inc();
     }
 
-    /// Counts entries of a kind that can't be used.
+    /// Counts unusable entries of a kind.
     pub(crate) fn skip_entries(&self, what: &'static str, count: u64) {
         let labels = EntryLabels { what };
         self.skipped_entries.get_or_create(&labels).inc_by(count);
     }
 
-    /// Counts an answer of the store that was dropped.
+    /// Counts a dropped response of the store.
     pub(crate) fn drop_answer(&self, what: &'static str) {
         let labels = EntryLabels { what };
         self.dropped_answers.get_or_create(&labels).inc();
     }
 
-    /// The page for the collector of metrics.
+    /// The metrics page in text format.
     pub(crate) fn page(&self, readings: &Readings) -> String {
         self.configuration_age_ms.set(readings.configuration_age_ms);
         self.upstreams_age_ms.set(readings.upstreams_age_ms);
--- a/crates/gateway/src/migration.rs
+++ b/crates/gateway/src/migration.rs
@@ -1,5 +1,5 @@
-//! One generation's way to another engine: a long copy while it goes on, then a short last one that
-//! stops it.
+//! Live migration of one generation: a long copy while it runs, then a short final copy after it is
+//! stopped.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -12,32 +12,32 @@
 use crate::instance::Destination;
 use crate::runs::MigrationOrder;
 
-/// What a step of a migration has come to.
+/// The outcome of a migration step.
 #[derive(Debug, Clone)]
 pub(crate) enum Step {
-    /// The long copy is there; the short one is under way.
+    /// The long copy is complete; the short one is in progress.
     Copied,
-    /// The generation goes on where it is.
+    /// The generation continues on the source.
     Stayed,
-    /// The generation goes on where it is; the destination had no room.
+    /// The generation continues on the source; the destination had no capacity.
     Refused,
-    /// Nobody knows what became of the copy.
+    /// The state of the copy is unknown.
     Orphaned,
-    /// The engine doesn't know the generation: it has not begun, or is over.
+    /// The engine does not know the generation: it has not begun, or has ended.
     NotFound,
-    /// The generation is stopped and its memory is at the destination.
+    /// The generation is stopped and its KV cache is at the destination.
     Stopped { to: Destination, copy: String },
-    /// The generation is stopped and its memory is still at the source.
+    /// The generation is stopped and its KV cache is still at the source.
     StoppedAtSource { copy: String },
 }
 
-/// A migration under way.
+/// A migration in progress.
 pub(crate) struct Migration {
     control: Arc<dyn EngineControl>,
     source: SocketAddr,
     request_id: String,
     to: Destination,
-    /// Names the copy at the destination, once there is one.
+    /// Identifies the copy at the destination, once there is one.
     copy: Option<String>,
     answer: oneshot::Sender<MigrationAnswer>,
     call: BoxFuture<'static, Result<CompletedCopy, CopyError>>,
@@ -65,12 +65,12 @@
         }
     }
 
-    /// Where it is to go on.
+    /// The address of the destination.
     pub(crate) fn destination(&self) -> SocketAddr {
         self.to.address
     }
 
-    /// Whether the long copy is at the destination.
+    /// Whether the long copy is complete at the destination.
     pub(crate) fn has_copy(&self) -> bool {
         self.copy.is_some()
     }
@@ -80,7 +80,8 @@
         self.copy.clone().map(|copy| (self.to.clone(), copy))
     }
 
-    /// Tells the cell's home how it ended. A home that no longer waits learns it by statement.
+    /// Reports the outcome to the cell's home. A home that has stopped waiting learns it from the
+    /// periodic run statements.
     pub(crate) fn answer(self, answer: MigrationAnswer) {
         match (answer, &self.copy) {
             (MigrationAnswer::Stayed | MigrationAnswer::Over, Some(_)) => self.discard(answer),
@@ -90,12 +91,11 @@
         }
     }
 
-    /// The copy is of no use any more, finished or not. Waits for its name, gives it up, and then
-    /// answers.
+    /// Discards the copy, whether complete or not, and then answers.
     ///
-    /// A copy that is left at a destination holds its memory there for some 9 s. Its name comes
-    /// with the answer to the call that makes it, so dropping the call, when a generation ends by
-    /// itself, left a copy that nobody could give up.
+    /// An abandoned copy holds memory at the destination for about 9 s. Its id arrives only with
+    /// the response to the call that makes it. Dropping that call when a generation ends would
+    /// leave a copy that cannot be discarded, so this waits for the id first.
     pub(crate) fn discard(self, answer: MigrationAnswer) {
         let Self {
             control,
@@ -111,7 +111,8 @@
                 None => call.await.map(|copied| copied.copy_id),
             };
             let is_free = match copy {
-                // What has that name there now is another generation's.
+                // A restarted engine holds none of the earlier copies; a copy with this id belongs
+                // to another generation.
                 _ if to.is_lost() => true,
                 Ok(copy) => control.discard_copy(to.address, &copy).await,
                 Err(CopyError::NoRoom { .. } | CopyError::Busy | CopyError::SourceUnreachable) => {
@@ -127,7 +128,7 @@
         });
     }
 
-    /// Waits for the call under way and begins the next one.
+    /// Waits for the call in progress and begins the next one.
     pub(crate) async fn step(migration: &mut Option<Self>) -> Step {
         let Some(migration) = migration else {
             return std::future::pending().await;
@@ -173,7 +174,8 @@
                 | CopyError::SourceUnreachable
                 | CopyError::NoRoom { copy_id: None },
             ) => Step::Stayed,
-            // It may have been stopped: the first copy and the source's own memory are tried.
+            // The generation may have been stopped: the first copy and the source's own KV cache
+            // are tried.
             Err(CopyError::Unknown) => Step::Stopped {
                 to: self.to.clone(),
                 copy: first,
--- a/crates/gateway/src/problem.rs
+++ b/crates/gateway/src/problem.rs
@@ -1,4 +1,4 @@
-//! Answers of our own, where no upstream's answer can be given.
+//! The gateway's own responses, for requests without a response of an upstream.
 
 use fulmarpath_http::{Reply, json};
 use fulmarpath_policy::Millis;
@@ -6,15 +6,15 @@
 use hyper::header::{HeaderValue, RETRY_AFTER};
 use serde::Serialize;
 
-/// Why a request has no answer of an upstream.
+/// Why a request has no response of an upstream.
 ///
-/// Only those that answer with 503 promise that the request has not run and never will.
+/// Only those with status 503 guarantee that the request has not run and never will.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Problem {
-    /// The head can't be used.
+    /// The head cannot be used.
     BadHead,
-    /// The body ended early or can't be read.
+    /// The body ended early or cannot be read.
     BadBody,
     /// The body is longer than the operator allows.
     BodyTooLong,
@@ -24,52 +24,53 @@
     UnknownKey,
     /// No configuration is known yet.
     NoConfiguration,
-    /// No upstream of the service takes work.
+    /// No upstream of the service accepts work.
     NoUpstream,
-    /// Every upstream that was asked refused.
+    /// Every upstream that was tried refused the request.
     AllRefused,
-    /// Every engine is full and stays so for longer than the caller's patience.
+    /// Every engine is full and is expected to remain so for longer than the caller waits.
     Full {
-        /// When to come back.
+        /// When to retry.
         retry_after_ms: Millis,
     },
-    /// Every upstream of the service stands in an evacuated data centre.
+    /// Every upstream of the service is in an evacuated data centre.
     Evacuated {
-        /// When to come back.
+        /// When to retry.
         retry_after_ms: Millis,
     },
-    /// Every upstream of the service is cold, and bears no more requests now.
+    /// Every upstream of the service is cold and accepts no more requests now.
     Cold {
-        /// When to come back.
+        /// When to retry.
         retry_after_ms: Millis,
     },
-    /// Every upstream of the service that takes work asks for no more now, by a limit or for rest.
+    /// Every upstream of the service that accepts work throttles this host now, by a limit or by
+    /// backoff.
     #[serde(rename = "held_back")]
     Throttled {
-        /// When to come back.
+        /// When to retry.
         retry_after_ms: Millis,
     },
     /// The prompt fits into no engine of its service.
     TooLarge,
-    /// Upstreams ended as they began to run requests of its content.
+    /// Upstreams crashed when they began to run requests with this content.
     Quarantined {
-        /// When to come back.
+        /// When to retry.
         retry_after_ms: Millis,
     },
-    /// This host stops before the generation could be finished.
+    /// This host stops before the generation could finish.
     Stopping,
     /// No upstream could be reached.
     Unreachable,
-    /// The time ran out before the request was sent.
+    /// The deadline passed before the request was sent.
     TooLateToSend,
-    /// The time ran out after the request was sent.
+    /// The deadline passed after the request was sent.
     Timeout,
     /// The upstream broke off; the request may have run.
     Broken,
 }
 
 impl Problem {
-    /// The status that says so.
+    /// The HTTP status of the response.
     pub fn status(self) -> StatusCode {
         match self {
             Self::BadHead | Self::BadBody => StatusCode::BAD_REQUEST,
@@ -93,12 +94,12 @@
         }
     }
 
-    /// Whether it promises that the request has not run and never will.
+    /// Whether it guarantees that the request has not run and never will.
     pub(crate) fn guarantees_not_run(self) -> bool {
         self.status() == StatusCode::SERVICE_UNAVAILABLE
     }
 
-    /// Its name on metrics and log lines.
+    /// Its name in metrics and log lines.
     pub fn name(self) -> &'static str {
         match self {
             Self::BadHead => "bad_head",
@@ -123,23 +124,24 @@
         }
     }
 
-    /// When the caller had better come back.
+    /// When the caller should retry.
     fn retry_after_ms(self) -> Option<Millis> {
         match self {
-            // A configuration comes with the next answer of the store or of a peer.
+            // A configuration arrives with the next response of the store or of a peer.
             Self::NoConfiguration => Some(500),
-            // A replaced upstream registers within a few seconds; others may free a place sooner.
+            // A replaced upstream registers within a few seconds; other upstreams may have a free
+            // slot sooner.
             Self::NoUpstream | Self::Unreachable => Some(400),
-            // A place frees in about the time of one small request.
+            // A slot becomes free in about the time of one small request.
             Self::AllRefused => Some(150),
             Self::Full { retry_after_ms }
             | Self::Evacuated { retry_after_ms }
             | Self::Cold { retry_after_ms }
             | Self::Throttled { retry_after_ms }
             | Self::Quarantined { retry_after_ms } => Some(retry_after_ms),
-            // Larger engines may come with another configuration, not sooner.
+            // Larger engines may come with another configuration, but not sooner.
             Self::TooLarge => Some(30_000),
-            // Another host takes it at once.
+            // Another host accepts the request immediately.
             Self::Stopping | Self::TooLateToSend => Some(0),
             _ => None,
         }
@@ -151,7 +153,7 @@
     error: &'static str,
 }
 
-/// The answer that states a problem.
+/// The HTTP response for a problem.
 pub(crate) fn reply(problem: Problem) -> Reply {
     let message = Message {
         error: problem.name(),
--- a/crates/gateway/src/record.rs
+++ b/crates/gateway/src/record.rs
@@ -1,19 +1,19 @@
-//! The log's line of a request: one when it is over, with what decided its way.
+//! The log line of a request, written once when it ends, with the data that explain its outcome.
 
 use fulmarpath_policy::{Millis, Revision, Seen};
 use serde::{Deserialize, Serialize};
 
-/// What the payload of such a line begins with; JSON follows.
+/// Prefix of the line's payload; JSON follows.
 pub const REQUEST_PREFIX: &str = "request: ";
 
-/// What a caller says of its generation's size.
+/// The size of a generation as stated by its caller.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Size {
-    /// Prompt tokens.
+    /// Prompt length.
     pub prompt_tokens: u32,
-    /// The longest answer.
+    /// Maximum output length.
     pub limit_tokens: u32,
-    /// The caller's guess.
+    /// The caller's estimate of the output length.
     pub hint_tokens: Option<u32>,
 }
 
@@ -22,61 +22,61 @@
 pub struct Dispatch {
     /// The upstream's start.
     pub instance: String,
-    /// When, after the request's arrival.
+    /// Time since the request's arrival.
     pub at_ms: Millis,
     /// `answered`, `failed` (by the upstream itself), `unsent`, `shed` (stated as not run),
     /// `unknown` or `overdue`.
     pub outcome: String,
 }
 
-/// A request from its arrival to its end.
+/// The record of a request from its arrival to its end.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct RequestRecord {
-    /// The caller's id for it.
+    /// The caller's id for the request.
     pub request: String,
-    /// The generation's key in lines of its cell's home.
+    /// The generation's key, as in the log lines of its cell's home.
     pub run: String,
-    /// What it asks for and for whom, by hash: the same in each try of its caller. `None` where it was
-    /// refused before that was known.
+    /// Hash of the content and the organisation: equal for all retries of a caller. `None` if the
+    /// request was refused before that was known.
     pub content: Option<String>,
-    /// The route's name; empty where none was found.
+    /// The route's name; empty if no route matched.
     pub route: String,
-    /// What may be repeated.
+    /// The route's kind.
     pub kind: String,
-    /// The configuration that decided.
+    /// The version of the configuration that applied.
     pub version: u64,
-    /// The state of the store by which upstreams were known as it ended.
+    /// The revision of the list of upstreams when the request ended.
     #[serde(default)]
     pub upstreams: Revision,
-    /// How it ended.
+    /// The outcome.
     pub outcome: String,
-    /// The status that the caller got; 0 where it had left.
+    /// The status sent to the caller; 0 if the caller had left.
     pub status: u16,
-    /// From the arrival to the end.
+    /// Time from arrival to end.
     pub took_ms: Millis,
-    /// Until an upstream was found that takes it.
+    /// Time from arrival until an upstream was selected.
     pub placed_ms: Option<Millis>,
-    /// What was asked for, where it is a generation.
+    /// The requested size, for a generation.
     pub size: Option<Size>,
-    /// What the cell's home saw of the engine.
+    /// The state of the engine as known to the cell's home.
     pub seen: Option<Seen>,
-    /// Until the first event was passed on.
+    /// Time from arrival until the first event was sent to the caller.
     pub first_event_ms: Option<Millis>,
-    /// The longest time between two events that were passed on.
+    /// The longest time between two events that were sent to the caller.
     pub longest_pause_ms: Millis,
-    /// Events that were passed on.
+    /// Events that were sent to the caller.
     pub events: u32,
-    /// Where it was sent.
+    /// The dispatches of the request.
     pub dispatches: Vec<Dispatch>,
 }
 
 impl RequestRecord {
-    /// Reads a line's payload; `None` where it is another line's.
+    /// Parses the payload of a log line; `None` if it is a different kind of line.
     pub fn read(payload: &str) -> Option<Self> {
         serde_json::from_str(payload.strip_prefix(REQUEST_PREFIX)?).ok()
     }
 
-    /// Why the request ended as it did, in one sentence.
+    /// Explains the outcome of the request in one sentence.
     pub fn cause(&self) -> String {
         let (end, upstreams) = (self.end(), self.upstreams);
         format!("{end}; upstreams were known by revision {upstreams}")
--- a/crates/gateway/src/recovery.rs
+++ b/crates/gateway/src/recovery.rs
@@ -1,4 +1,4 @@
-//! How a generation goes on at another engine: after its own was told to stop it, or was lost.
+//! Resumes a generation on another engine after a migration stopped it or its engine was lost.
 
 use std::net::SocketAddr;
 
@@ -14,17 +14,17 @@
 use crate::relay::{Relay, Stopped};
 use crate::start::StartedGeneration;
 
-/// A stopped engine closes its stream just before it answers; what was on its way is there within
-/// a way between data centres.
+/// A stopped engine closes its stream just before it responds; data in transit arrives within the
+/// latency between data centres.
 const DRAIN_MS: Millis = 12;
-/// A running copy that doesn't go on within this time is no better than an engine that is silent.
+/// A running copy that does not resume within this time is no better than a silent engine.
 const GO_ON_MS: Millis = 300;
-/// How often a generation may break and go on: each costs its caller a pause.
+/// Maximum number of recoveries of one generation: each one costs its caller a pause.
 const RECOVERIES: u32 = 3;
 
 impl Relay {
-    /// Goes on after an engine was lost: from the running copy of its memory, or from the copy that
-    /// a migration had made so far.
+    /// Resumes after an engine was lost: from the running copy of the KV cache, or from the copy
+    /// that a migration has made so far.
     pub(crate) async fn recover(&mut self) -> bool {
         self.stream.in_flight.note(Verdict::Failed);
         let broken = self.broken_run();
@@ -34,7 +34,8 @@
         if self.recoveries > RECOVERIES {
             return false;
         }
-        // One that has run for a while ended nothing, and goes on whatever its circuit.
+        // A generation that has run for a while did not crash its engine, and resumes regardless of
+        // its circuit.
         if is_suspect && self.gateway.admit(&self.inbound).await.is_err() {
             return false;
         }
@@ -61,7 +62,7 @@
         self.regenerate().await
     }
 
-    /// What its engine broke off.
+    /// Describes the run that the engine broke off.
     fn broken_run(&self) -> BrokenRun {
         let now_ms = self.gateway.clock.now_ms();
         let begun_ms = self.stream.begun_ms;
@@ -70,13 +71,13 @@
         BrokenRun::new(chosen, &self.inbound, &self.tracker.id, ran_ms)
     }
 
-    /// Leaves an engine that is silent in the middle of a stream for the one that keeps a running copy;
-    /// stays where that one doesn't go on.
+    /// Abandons an engine that is silent in the middle of a stream and resumes from the running
+    /// copy; stays with the engine if the copy does not resume.
     ///
-    /// An engine that goes dark resets nothing, and one that pauses a generation says nothing of it: its
-    /// caller sees a stream that stands still, and gives up after seconds though the copy is there. The
-    /// silent engine's connection is closed as soon as the other one goes on, so both work on it for a
-    /// few ms at the most.
+    /// An engine that loses its network resets no connection, and an engine that preempts a
+    /// generation does not report it: the caller sees a stalled stream and disconnects after
+    /// seconds although the copy exists. The connection to the silent engine is closed as soon as
+    /// the other engine resumes, so both work on the generation for a few ms at most.
     pub(crate) async fn leave_silent_engine(&mut self) {
         let Some(backup) = self.backup.take() else {
             return;
@@ -95,7 +96,7 @@
         }
     }
 
-    /// Has another engine make the rest anew, where the stream may be resumed.
+    /// Regenerates the rest on another engine, if the stream may be resumed.
     async fn regenerate(&mut self) -> bool {
         let gateway = self.gateway.clone();
         self.attempts.mark_lost(gateway.clock.now_ms());
@@ -118,10 +119,10 @@
         true
     }
 
-    /// Another engine's stream takes the place of the one before.
+    /// Replaces the current stream by that of another engine.
     fn switch_to(&mut self, answer: Answer, backup: Option<Destination>) {
         self.has_just_moved = true;
-        // A part of an event is of no use to the caller: the engine that goes on sends it whole.
+        // An incomplete event is discarded: the next engine sends it in full.
         self.events.take_remainder();
         self.stream = EngineStream::new(self.gateway.clock.now_ms(), answer);
         self.backup = backup;
@@ -134,7 +135,7 @@
         });
     }
 
-    /// Reads what a stopped engine still has on its way.
+    /// Reads the data that a stopped engine still has in transit.
     async fn drain(&mut self) {
         let until_ms = self.gateway.clock.now_ms() + DRAIN_MS;
         while self.handover.reads() {
@@ -145,8 +146,8 @@
         }
     }
 
-    /// Goes on with a generation that was stopped: at the destination, or again where it was, which
-    /// still has its memory.
+    /// Resumes a generation that was stopped: at the destination, or at the source, which still has
+    /// its KV cache.
     pub(crate) async fn continue_after_stop(&mut self) -> bool {
         let Some(Stopped { to, copy }) = self.stopped.take() else {
             return false;
@@ -165,7 +166,7 @@
         continues
     }
 
-    /// Asks an engine to go on from a copy; true where it does.
+    /// Asks an engine to resume from a copy; returns whether it does.
     async fn continue_at(&mut self, at: &Destination, source: SocketAddr, copy: &str) -> bool {
         let until_ms = self.inbound.deadline_ms;
         self.continue_until(until_ms, at, source, copy).await
--- a/crates/gateway/src/relay.rs
+++ b/crates/gateway/src/relay.rs
@@ -1,4 +1,4 @@
-//! One generation on its way to its caller, on one engine after another if need be.
+//! Relays one generation to its caller, across migrations and failovers between engines.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -21,22 +21,23 @@
 use crate::start::{Attempts, StartedGeneration};
 use crate::tracker::RequestTracker;
 
-/// The part of the longest pause that is on time after which a silent engine is left for the running
-/// copy elsewhere; the rest is for the other engine to go on. Engines that go dark reset nothing, and their
-/// streams would be lost for want of a word, though copies stand.
+/// Fraction of the route's gap target after which a silent engine is abandoned for the running copy
+/// on another engine. The remainder is for the other engine to resume. An engine that loses power
+/// or its network resets no connection, so without this its streams would be lost although copies
+/// of them exist.
 const SILENCE_SHARE: f32 = 0.6;
 
-/// How long a host that has just woken takes to read what had come meanwhile.
+/// Time to read the bytes that arrived while this host itself was suspended.
 const LISTEN_MS: Millis = 4;
 
-/// Counts a generation at its cell's home until it is dropped.
+/// Counts a generation at its cell's home until dropped.
 pub(crate) struct RunGuard {
     pub(crate) gateway: Arc<Gateway>,
     pub(crate) cell: CellKey,
     pub(crate) run: RunKey,
-    /// Its answer has reached the caller to the end.
+    /// The complete response has reached the caller.
     pub(crate) is_whole: bool,
-    /// From its placement to its first event.
+    /// Time from the placement to the first event.
     pub(crate) first_ms: Option<Millis>,
 }
 
@@ -52,15 +53,15 @@
     }
 }
 
-/// A generation that its engine has stopped.
+/// A generation that its engine has stopped for a migration.
 pub(crate) struct Stopped {
-    /// The engine that holds its memory; `None` where that is still its own.
+    /// The engine that holds its KV cache; `None` if that is still the source.
     pub(crate) to: Option<Destination>,
-    /// Names the memory.
+    /// Identifies the copy of the KV cache.
     pub(crate) copy: String,
 }
 
-/// One generation on its way to its caller.
+/// One generation that is relayed to its caller.
 pub(crate) struct Relay {
     pub(crate) gateway: Arc<Gateway>,
     pub(crate) inbound: InboundRequest,
@@ -69,19 +70,19 @@
     pub(crate) attempts: Attempts,
     pub(crate) stream: EngineStream,
     pub(crate) events: EventBuffer,
-    /// The last event that has reached the caller.
+    /// The last event that has been sent to the caller.
     pub(crate) last_event: Option<u64>,
     event_tokens: u32,
     orders: mpsc::Receiver<MigrationOrder>,
     pub(crate) handover: Handover,
     pub(crate) migration: Option<Migration>,
-    /// Set between a stop and the continuation after it.
+    /// Set between a stop and the resumption after it.
     pub(crate) stopped: Option<Stopped>,
     pub(crate) backup: Option<Destination>,
     pub(crate) recoveries: u32,
-    /// The next event is the first from another engine.
+    /// The next event is the first from a different engine.
     pub(crate) has_just_moved: bool,
-    /// The engine has ended its answer as it should.
+    /// The engine has ended its response normally.
     is_whole: bool,
     status: u16,
 }
@@ -119,7 +120,7 @@
         }
     }
 
-    /// The next whole events; `None` behind the last.
+    /// The next complete events; `None` after the last.
     pub(crate) async fn next(&mut self) -> Option<Result<Bytes, BodyBroken>> {
         loop {
             match self.take_events() {
@@ -146,7 +147,7 @@
         }
     }
 
-    /// Waits for whatever comes first; `None` where the caller's time ran out.
+    /// Waits for the next event of any kind; `None` if the deadline has passed.
     async fn step(&mut self) -> Option<Next> {
         let until_ms = self.inbound.deadline_ms;
         let left_ms = until_ms.saturating_sub(self.gateway.clock.now_ms());
@@ -175,19 +176,20 @@
         }
     }
 
-    /// How long the engine may still be silent before its generation goes on from the running copy.
+    /// How long the engine may stay silent before the generation resumes from the running copy.
     fn silence_left(&self) -> Option<Duration> {
         let may_leave = self.backup.is_some() && self.handover.may_begin();
         let target_ms = self.inbound.route.gap_target_ms?;
-        // What the engine before took, for a last copy or in silence, isn't this one's silence.
+        // Time spent by the previous engine, for a final copy or in silence, does not count as this
+        // engine's silence.
         let since_ms = self.tracker.last_event_ms()?.max(self.stream.since_ms);
         let until_ms = since_ms + (target_ms as f32 * SILENCE_SHARE) as Millis;
         let left_ms = until_ms.saturating_sub(self.gateway.clock.now_ms());
         may_leave.then(|| Duration::from_millis(left_ms))
     }
 
-    /// Leaves a silent engine, unless it was this host that stood still: what had come meanwhile is read
-    /// first, which takes the reader of the connection a moment.
+    /// Abandons a silent engine, unless this host itself was suspended: bytes that arrived
+    /// meanwhile are read first, for which the connection's reader needs a moment.
     async fn confirm_silence(&mut self) -> StreamRead {
         let until_ms = self.gateway.clock.now_ms() + LISTEN_MS;
         let read = self.stream.read(&mut self.events, until_ms, &self.gateway);
@@ -220,11 +222,11 @@
         None
     }
 
-    /// CompleteAnswer events that the caller doesn't have yet.
+    /// Takes the complete events that the caller does not have yet.
     ///
-    /// An engine that goes on with a generation may begin with events that are out already; passed
-    /// on they would come twice. One that begins too late would leave a hole, and a stream that is
-    /// visibly broken is better than that.
+    /// An engine that resumes a generation may begin with events that were already sent; these are
+    /// dropped to prevent duplicates. If it begins too late, events are missing, and a visibly
+    /// broken stream is better than one with a gap.
     fn take_events(&mut self) -> Result<Option<Bytes>, BodyBroken> {
         let Some(piece) = self.events.take_complete() else {
             return Ok(None);
@@ -278,7 +280,7 @@
         self.migration = Some(Migration::begin(control, source, id, order));
     }
 
-    /// Takes what a migration has come to.
+    /// Handles the outcome of a migration step.
     fn advance(&mut self, step: Step) -> Next {
         let answer = match step {
             Step::Copied => return self.handover.step(CarryStep::Copied),
@@ -292,14 +294,15 @@
             }
             Step::Stayed => MigrationAnswer::Stayed,
             Step::Refused => MigrationAnswer::Refused,
-            // Before the first event it still waits inside its engine, and there is no copy.
+            // Before the first event the generation is still queued in its engine, and there is no
+            // copy.
             Step::NotFound if self.tracker.events == 0 => MigrationAnswer::Stayed,
             Step::NotFound | Step::Orphaned => MigrationAnswer::LeftBehind,
         };
         let next = self.handover.step(CarryStep::NotStopped);
         let has_copy = self.migration.as_ref().is_some_and(Migration::has_copy);
-        // An engine that was lost before it could stop the generation leaves the first copy, and
-        // there may be no other.
+        // If the engine was lost before it could stop the generation, the first copy remains, and
+        // may be the only one.
         if next != Next::Recover || !has_copy {
             self.end_migration(answer);
         }
@@ -319,7 +322,7 @@
 }
 
 impl Drop for Relay {
-    /// The generation is over, or its caller has left, while a copy of it is made.
+    /// The generation has ended or its caller has left while a copy is being made.
     fn drop(&mut self) {
         if let Some(migration) = self.migration.take() {
             migration.discard(MigrationAnswer::Over);
--- a/crates/gateway/src/runs.rs
+++ b/crates/gateway/src/runs.rs
@@ -9,7 +9,7 @@
 
 use crate::instance::Destination;
 
-/// An order to carry a generation to another engine.
+/// An order to migrate a generation to another engine.
 pub(crate) struct MigrationOrder {
     pub(crate) to: Destination,
     pub(crate) answer: oneshot::Sender<MigrationAnswer>,
@@ -19,7 +19,7 @@
 struct Entry {
     cell: CellKey,
     statement: RunStatement,
-    /// To its relay; `None` while its engine has not begun to answer.
+    /// Sends to its relay; `None` until its engine begins to respond.
     orders: Option<mpsc::Sender<MigrationOrder>>,
 }
 
@@ -30,15 +30,16 @@
 }
 
 impl Runs {
-    /// A generation is sent to an engine, where it may wait for long before the answer begins.
+    /// Records that a generation is sent to an engine, where it may be queued for long before the
+    /// response begins.
     ///
-    /// Stated only once its answer began, it was forgotten by its home while it waited: the home
-    /// took the engine for emptier than it was and sent more there, and prompts waited for 3 to 6 s
-    /// on a few engines while others had room. Stated from here on, it is counted all the time.
+    /// If it were stated only once its response began, its home would not count it while it is
+    /// queued: the home would underestimate the engine's load and send more there, and prompts
+    /// would wait for 3 to 6 s on a few engines while others have capacity.
     pub(crate) fn place(&self, cell: CellKey, statement: RunStatement) {
         let mut entries = self.entries.lock();
         let known = entries.entry(statement.run);
-        // One that is made anew elsewhere keeps its relay.
+        // A generation that is regenerated elsewhere keeps its relay.
         known
             .and_modify(|entry| entry.statement = statement)
             .or_insert(Entry {
@@ -48,7 +49,8 @@
             });
     }
 
-    /// A generation's answer has begun; its relay gets the orders.
+    /// Records that a generation's response has begun; returns the channel on which its relay
+    /// receives migration orders.
     pub(crate) fn begin(&self, run: RunKey) -> mpsc::Receiver<MigrationOrder> {
         let (orders, received) = mpsc::channel(1);
         if let Some(entry) = self.entries.lock().get_mut(&run) {
@@ -57,20 +59,20 @@
         received
     }
 
-    /// Changes what is stated of a generation.
+    /// Changes the statement of a generation.
     pub(crate) fn update(&self, run: RunKey, change: impl FnOnce(&mut RunStatement)) {
         if let Some(entry) = self.entries.lock().get_mut(&run) {
             change(&mut entry.statement);
         }
     }
 
-    /// A generation is over; the tokens that had come of it.
+    /// Removes a generation that has ended; returns its output tokens.
     pub(crate) fn remove(&self, run: RunKey) -> Option<u32> {
         let entry = self.entries.lock().remove(&run)?;
         Some(entry.statement.out_tokens)
     }
 
-    /// All generations, by the cell that their engine is of now.
+    /// All generations, grouped by the current cell of their engine.
     pub(crate) fn restatements(
         &self,
         host: HostKey,
@@ -87,13 +89,13 @@
             .collect()
     }
 
-    /// Has a generation carried to another engine.
+    /// Has a generation migrated to another engine.
     pub(crate) async fn migrate(&self, run: RunKey, to: Destination) -> MigrationAnswer {
         let orders = match self.entries.lock().get(&run) {
             Some(entry) => entry.orders.clone(),
             None => return MigrationAnswer::Over,
         };
-        // Before its first token there is nothing to carry.
+        // Before the first token there is nothing to migrate.
         let Some(orders) = orders else {
             return MigrationAnswer::Stayed;
         };
--- a/crates/gateway/src/serve.rs
+++ b/crates/gateway/src/serve.rs
@@ -1,4 +1,4 @@
-//! Runs a host's gateway from its start to its end.
+//! Runs a host's gateway from start to shutdown.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -14,14 +14,14 @@
 
 use crate::gateway::Gateway;
 
-/// Where a gateway listens.
+/// The addresses on which a gateway listens.
 #[derive(Debug, Clone, Copy)]
 pub struct Listen {
     /// For callers.
     pub callers: SocketAddr,
-    /// For the balancer's question whether callers may come.
+    /// For the load balancer's readiness probe.
     pub readiness: SocketAddr,
-    /// For the collector of metrics.
+    /// For the metrics scraper.
     pub metrics: SocketAddr,
     /// For the other hosts.
     pub peers: SocketAddr,
@@ -32,9 +32,9 @@
 pub struct Listeners {
     /// For callers.
     pub callers: TcpListener,
-    /// For the balancer's question whether callers may come.
+    /// For the load balancer's readiness probe.
     pub readiness: TcpListener,
-    /// For the collector of metrics.
+    /// For the metrics scraper.
     pub metrics: TcpListener,
     /// For the other hosts.
     pub peers: TcpListener,
@@ -55,25 +55,26 @@
     }
 }
 
-/// A gateway could not start.
+/// A listener could not be opened.
 #[derive(Debug, thiserror::Error)]
 #[error("could not listen on {address}")]
 pub struct ListenError {
     /// The address.
     pub address: SocketAddr,
-    /// Why.
+    /// The cause.
     #[source]
     pub source: std::io::Error,
 }
 
-/// How long new callers are still taken after a stop's signal: the balancer asks once a second,
-/// sends callers on until the second miss, and a caller that was sent may take a second to come.
+/// How long new callers are still accepted after the stop signal: the load balancer probes once per
+/// second, routes callers here until the second failure, and a caller that was routed here may take
+/// a second to arrive.
 const LINGER_MS: Millis = 3_400;
-/// What is left of the grace for closing connections and ending the process.
+/// Part of the grace period reserved for closing connections and ending the process.
 const EXIT_MS: Millis = 400;
 
 impl Gateway {
-    /// Serves until `stopped`, then finishes what runs within the grace.
+    /// Serves until `stopped`, then finishes running requests within the grace period.
     pub async fn run(self: Arc<Self>, listeners: Listeners, stopped: impl Future<Output = ()>) {
         let Listeners {
             callers,
@@ -135,7 +136,7 @@
     }
 }
 
-/// The longest head of a probe.
+/// Maximum size of the head of a probe.
 const PROBE_HEADER_BYTES: usize = 8_192;
 
 fn readiness(is_ready: bool) -> Reply {
--- a/crates/gateway/src/start.rs
+++ b/crates/gateway/src/start.rs
@@ -1,4 +1,4 @@
-//! At which engine a generation starts, and at which others after that.
+//! Selects the engine on which a generation starts, and retries it on other engines.
 
 use std::pin::pin;
 use std::sync::Arc;
@@ -18,49 +18,49 @@
 use crate::relay::RunGuard;
 use crate::tracker::RequestTracker;
 
-/// Upstreams asked for one generation until one takes it.
+/// Maximum number of engines that one generation is sent to.
 const DISPATCHES: usize = 4;
-/// The part of the time to a first event for which a generation waits for room. What is left has
-/// to be enough for its prompt to be read.
+/// Fraction of the first-event target for which a generation waits for capacity. The remainder must
+/// suffice for the prefill.
 const WAIT_SHARE: f32 = 0.55;
-/// An engine is in doubt whose answer has not begun after so many times the time in which it is on
-/// time: on a crowded one it is merely late.
+/// An engine whose response has not begun after this multiple of the first-event target is reported
+/// as failing. After the target alone, a loaded engine would merely be late.
 const SILENCE_TARGETS: Millis = 2;
-/// Between two questions for room.
+/// Interval between two placement requests while the cell is full.
 const WAIT_PERIOD: Duration = Duration::from_millis(60);
 
-/// Where a generation starts.
+/// An engine selected for a generation, with the request counted there.
 struct Start {
     chosen: Chosen,
     backup: Option<Destination>,
 }
 
-/// A generation that an engine answers.
+/// A generation that an engine has begun to answer.
 pub(crate) struct StartedGeneration {
     pub(crate) answer: Answer,
-    /// The engine that keeps a running copy of its memory.
+    /// The engine that keeps a running copy of the generation's KV cache.
     pub(crate) backup: Option<Destination>,
 }
 
-/// The engines that one request was sent to.
+/// The engines that one request has been sent to.
 #[derive(Default)]
 pub(crate) struct Attempts {
     tried: Vec<Chosen>,
-    /// Those among them where it may have run.
+    /// Number of engines on which it may have run.
     runs: u32,
-    /// When it was lost at the last of them, where its stream had begun.
+    /// When the last engine was lost, if its stream had begun.
     lost_ms: Option<Millis>,
-    /// The last engine's own failure, which is the caller's answer where no other is found.
+    /// The last engine's own error response, returned to the caller if no other engine answers.
     failed: Option<StartedGeneration>,
 }
 
 impl Attempts {
-    /// The stream broke off at the last of them.
+    /// Records that the stream of the last engine broke off.
     pub(crate) fn mark_lost(&mut self, now_ms: Millis) {
         self.lost_ms = Some(now_ms);
     }
 
-    /// What a caller may be told: a request that may have run must never be said not to have run.
+    /// Replaces a problem that guarantees that the request has not run if it may have run.
     fn without_false_not_run(&self, problem: Problem) -> Problem {
         match self.runs > 0 && problem.guarantees_not_run() {
             true => Problem::Broken,
@@ -70,7 +70,8 @@
 }
 
 impl Gateway {
-    /// Sends a generation to an engine, and where that is safe to others, until one answers.
+    /// Sends a generation to an engine, and to further engines where a retry is safe, until one
+    /// answers.
     pub(crate) async fn start_generation(
         self: &Arc<Self>,
         inbound: &InboundRequest,
@@ -92,8 +93,8 @@
         }
     }
 
-    /// Sends a stream that broke off to another engine, which goes on behind `last_event`; `None`
-    /// where it may not run again or no engine takes it.
+    /// Sends a stream that broke off to another engine, which resumes after `last_event`. Returns
+    /// `None` if the generation may not run again or no engine accepts it.
     pub(crate) async fn restart_generation(
         self: &Arc<Self>,
         inbound: &InboundRequest,
@@ -136,7 +137,7 @@
                 .find_engine(inbound, run_guard, tracker, attempts)
                 .await?;
             let Some(start) = found else { break };
-            // It may have waited for room while others showed what it does.
+            // The circuit may have opened while the request waited for capacity.
             self.refuse_if_open(inbound)?;
             attempts.tried.push(start.chosen.clone());
             let tried = self.start_on(inbound, run_guard, tracker, start, last_event);
@@ -194,7 +195,7 @@
         let answer = self
             .report_silence(inbound, run_guard, engine, dispatch)
             .await;
-        // Without a signature a success isn't the engine's own.
+        // A successful response without a signature does not come from the engine itself.
         let answer = answer.and_then(|answer| {
             let is_success = answer.response.status().is_success();
             match is_success && !answer.head.is_signed {
@@ -212,8 +213,8 @@
         })
     }
 
-    /// Waits for an engine's answer, and tells the home where it stays away: an engine that hangs shows
-    /// nothing but silence, and looks empty.
+    /// Waits for an engine's response and reports the engine to the home if it stays silent: an
+    /// engine that hangs returns no errors and appears idle.
     async fn report_silence(
         self: &Arc<Self>,
         inbound: &InboundRequest,
@@ -230,7 +231,7 @@
         dispatch.await
     }
 
-    /// Whether this host, if it stops, stops after the generation has surely ended.
+    /// Whether the generation is certain to end before this host stops, if it is stopping.
     fn can_finish(&self, inbound: &InboundRequest) -> bool {
         let (Some(ends_ms), Some(generation)) = (self.ends_ms(), &inbound.generation) else {
             return true;
@@ -238,7 +239,8 @@
         can_finish(self.clock.now_ms(), ends_ms, generation.output_limit_tokens)
     }
 
-    /// Asks the cell's home until there is room; `None` where no engine is left to try.
+    /// Requests a placement from the cell's home until there is capacity. Returns `None` if no
+    /// engine is left to try.
     async fn find_engine(
         &self,
         inbound: &InboundRequest,
@@ -274,7 +276,8 @@
                 } => {
                     tracker.set_seen(seen);
                     if self.is_throttled(engine).await {
-                        // Others may take each of its starts: this one has no time left to try.
+                        // Other hosts may take every start of this engine, and this request has no
+                        // time left to retry.
                         refusing.extend(is_last_call.then_some(engine));
                         continue;
                     }
@@ -304,7 +307,8 @@
         }
     }
 
-    /// What the cell's home must know; `None` for a stream that isn't a generation.
+    /// Builds the placement request for the cell's home. Returns `None` for a stream that is not a
+    /// generation.
     fn placement_request(
         &self,
         inbound: &InboundRequest,
@@ -312,7 +316,7 @@
         without: Vec<UpstreamKey>,
     ) -> Option<PlacementRequest> {
         let generation = inbound.generation.as_ref()?;
-        // Engines that don't state their memory are chosen by their load alone.
+        // Engines that do not report their memory are selected by load alone.
         let traits = self.engine_traits(&inbound.service)?;
         if traits.memory_tokens == 0 {
             return None;
@@ -335,14 +339,15 @@
         })
     }
 
-    /// What engines of a service can do; `None` where its upstreams aren't engines.
+    /// Capabilities of a service's engines; `None` if its upstreams are not engines.
     pub(crate) fn engine_traits(&self, service: &str) -> Option<EngineTraits> {
         let in_force = self.in_force()?;
         in_force.service(service)?.engine.clone()
     }
 }
 
-/// Why an engine is in doubt after an answer, or for want of one.
+/// The verdict to report about an engine after a response or a failed dispatch; `None` if there is
+/// nothing to report.
 fn engine_verdict(answer: &Result<Answer, Failure>) -> Option<Verdict> {
     match answer {
         Ok(answer) if answer.response.status().is_server_error() => Some(Verdict::Failed),
--- a/crates/gateway/src/start_limits.rs
+++ b/crates/gateway/src/start_limits.rs
@@ -1,9 +1,10 @@
-//! Starts at upstreams that bear a few requests only, which one host for each hands out.
+//! Limits how many requests start per second on cold and on rate-limited upstreams.
 //!
-//! What a cold upstream bears, or one in need that names a limit, is summed over all hosts, and each sees
-//! its own requests only. A share for each host would be less than one request where hosts are many, and
-//! more than all of it where some believe others gone. So the host that the upstream's name points at
-//! hands out starts, at the price of a message for each request that goes there.
+//! The limit of a cold upstream, or the limit that an overloaded upstream advertises, applies to
+//! the sum over all hosts, while each host sees only its own requests. With many hosts a static
+//! share per host would be less than one request, and the shares would exceed the limit if some
+//! hosts considered others dead. Therefore one host per upstream, found by rendezvous hashing,
+//! grants the starts, at the cost of one message per request.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -21,28 +22,29 @@
 use crate::instances::Selection;
 use crate::problem::Problem;
 
-/// A home that doesn't answer in time: several ways there and back between data centres.
+/// Timeout of a start request: several round trips between data centres.
 const ASK_BOUND: Duration = Duration::from_millis(80);
-/// When to ask again where no home answers: another one is found within the time of some pings.
+/// Retry delay if no home answers: another home is determined within the time of a few pings.
 const NO_HOME_MS: Millis = 300;
-/// Cold upstreams that are asked for at most, one after the other: each question costs a way there
-/// and back.
+/// Maximum number of cold upstreams tried in sequence: each request costs a round trip.
 const ASKED: usize = 3;
-/// Connecting to a home and asking it: one that has lost its power answers nothing at all.
+/// Timeout for connecting to a home and requesting a start: a host that has lost power does not
+/// answer at all.
 const HOME_BOUND: Duration = Duration::from_millis(100);
-/// When to ask again at the latest where a share leaves none: it may be minutes until its next start, and
-/// there is a home again within seconds.
+/// Upper bound on the retry delay if this host's share is used up: the next start of a share may be
+/// minutes away, and a home is available again within seconds.
 const SHARE_WAIT_MS: Millis = 1_000;
-/// The part of a limit that hosts use, all together, which no home hands out to them. The home may be there
-/// for others, and hand out the whole.
+/// Fraction of a limit that all hosts together use without a home. The home may still be reachable
+/// for other hosts and grant them the full limit.
 const SHARE_WITHOUT_HOME: f32 = 0.25;
-/// How long a generation that goes on elsewhere waits for a start there: its caller sees a pause, and
-/// gives up after seconds.
+/// How long a generation that resumes on another engine waits for a start there: its caller sees a
+/// pause and disconnects after seconds.
 const CONTINUATION_WAIT_MS: Millis = 400;
-/// How long an evacuation lasts at least and at most, as callers are told: an operator's hand ends it.
+/// Bounds of the `Retry-After` returned during an evacuation, which lasts until an operator ends
+/// it.
 const EVACUATION_MS: std::ops::RangeInclusive<Millis> = 1_000..=30_000;
 
-/// The starts at one upstream that this host has handed out.
+/// The starts that this host has granted at one upstream.
 #[derive(Debug, Default)]
 struct Starts {
     cold: ColdStarts,
@@ -72,25 +74,25 @@
     }
 }
 
-/// What an upstream bears of the starts that one host hands out.
+/// Limits on the starts that one host grants at an upstream.
 #[derive(Debug, Clone, Copy, Default)]
 struct Bound {
-    /// In any one second, while it is cold.
+    /// Starts within any one second while the upstream is cold.
     cold: Option<u32>,
-    /// By the limit that it names.
+    /// The rate that follows from the limit that the upstream advertises.
     paced: Option<Pace>,
 }
 
-/// A rate, by the limit that an upstream names.
+/// A rate derived from the limit that an upstream advertises.
 #[derive(Debug, Clone, Copy)]
 enum Pace {
-    /// Handed out to all hosts.
+    /// The full rate, granted to all hosts by the home.
     Whole { per_s: f32 },
-    /// This host's part, where nobody hands it out.
+    /// This host's share, used if no home grants starts.
     Share { per_s: f32, hosts: usize },
 }
 
-/// The starts that this host has handed out.
+/// The starts that this host has granted as the home of upstreams.
 #[derive(Debug, Default)]
 pub(crate) struct StartLimiter {
     starts: Mutex<HashMap<UpstreamKey, Starts>>,
@@ -105,8 +107,8 @@
 }
 
 impl Gateway {
-    /// An upstream for a request; `None` where no other is left. One that bears no more now is waited
-    /// for until `until_ms`.
+    /// Selects an upstream for a request; `None` if no other is left. If all are at their limit,
+    /// waits until `until_ms` for a start.
     pub(crate) async fn find_upstream(
         &self,
         service: &str,
@@ -159,13 +161,13 @@
         }
     }
 
-    /// The first of some cold upstreams that may get a request now.
+    /// The first of the given cold upstreams that grants a start now.
     ///
     /// # Errors
     /// How long to wait for the next start at any of them, in ms.
     async fn first_start(&self, cold: &[UpstreamKey]) -> Result<Chosen, Millis> {
         let mut least_ms = NO_HOME_MS;
-        // Each host begins at another one, lest all ask the same home.
+        // Each host begins at a random upstream, which spreads the requests over the homes.
         let first = rand::random_range(0..cold.len());
         let order = cold.iter().cycle().skip(first).take(cold.len());
         for upstream in order.take(ASKED) {
@@ -182,8 +184,8 @@
         Err(least_ms)
     }
 
-    /// What a caller is told whom every upstream has refused that was asked: when to come back, where
-    /// those that take work have asked for rest meanwhile.
+    /// Adds a retry time to `AllRefused` if the upstreams that accept work have asked this host to
+    /// back off.
     pub(crate) fn refine_refusal(&self, problem: Problem, service: &str) -> Problem {
         let now_ms = self.clock.now_ms();
         match (problem, self.instances.opens_ms(now_ms, service)) {
@@ -194,7 +196,8 @@
         }
     }
 
-    /// Why no upstream of a service takes work, where its caller can be told more than that.
+    /// The reason why no upstream of a service accepts work: an evacuation, or `None` if nothing
+    /// more specific is known.
     fn explain_no_upstream(
         &self,
         now_ms: Millis,
@@ -204,17 +207,17 @@
             return Ok(None);
         }
         let since_ms = self.evacuations.lock().oldest_ms().unwrap_or(now_ms);
-        // An evacuation that has lasted for so long may be expected to last for as long again.
+        // An evacuation is expected to last as long again as it has lasted so far.
         let lasted_ms = now_ms.saturating_sub(since_ms);
         Err(Problem::Evacuated {
             retry_after_ms: lasted_ms.clamp(*EVACUATION_MS.start(), *EVACUATION_MS.end()),
         })
     }
 
-    /// Asks the home of an upstream for a start there.
+    /// Requests a start from the home of an upstream.
     ///
     /// # Errors
-    /// How long to wait before the next question, in ms.
+    /// How long to wait before the next request, in ms.
     async fn request_start(&self, upstream: UpstreamKey, ask: StartRequest) -> Result<(), Millis> {
         if ask == StartRequest::default() {
             return Ok(());
@@ -233,7 +236,7 @@
         Err(wait_ms)
     }
 
-    /// The host that hands out an upstream's starts; `None` where it is this one.
+    /// The host that grants an upstream's starts; `None` if it is this host.
     fn home_of_starts(&self, upstream: UpstreamKey) -> Option<MemberInfo> {
         let members = self.fleet.members.lock();
         let (key, note) = members.homes_of(upstream.0, 1).pop()?;
@@ -275,7 +278,7 @@
         }
     }
 
-    /// What this host may use of a limit by itself.
+    /// The share of a limit that this host may use without a home.
     fn share_of(&self, limit: AdvertisedLimit) -> Pace {
         Pace::Share {
             per_s: limit.per_s * SHARE_WITHOUT_HOME,
@@ -283,10 +286,11 @@
         }
     }
 
-    /// Hands out a start as the home of an upstream.
+    /// Grants a start as the home of an upstream.
     ///
-    /// A host that is cut off takes itself for the home of everything: one that has not heard another
-    /// just now hands out none at a cold upstream, and its own share of a limit.
+    /// A partitioned host considers itself the home of every upstream. A host that has not heard
+    /// from another host recently therefore grants no start at a cold upstream, and only its own
+    /// share of an advertised limit.
     pub(crate) fn grant_start(&self, upstream: UpstreamKey, ask: StartRequest) -> StartAnswer {
         let now_ms = self.clock.now_ms();
         if let Some(limit) = ask.limit {
@@ -312,10 +316,10 @@
         answer_of(self.start_limiter.grant(now_ms, upstream, bound))
     }
 
-    /// Asks for a start where the upstream is cold.
+    /// Requests a start if the upstream is cold.
     ///
     /// # Errors
-    /// How long to wait before the next question, in ms.
+    /// How long to wait before the next request, in ms.
     pub(crate) async fn request_start_if_cold(&self, upstream: UpstreamKey) -> Result<(), Millis> {
         let ask = StartRequest {
             is_cold: self.is_cold(upstream),
@@ -324,7 +328,7 @@
         self.request_start(upstream, ask).await
     }
 
-    /// Asks for a start where the upstream is cold or names a limit.
+    /// Requests a start if the upstream is cold or advertises a limit.
     async fn request_start_if_limited(&self, upstream: UpstreamKey) -> Result<(), Millis> {
         let ask = StartRequest {
             is_cold: self.is_cold(upstream),
@@ -338,8 +342,9 @@
         cold.is_some_and(|cold| self.clock.now_ms() < cold.until_ms)
     }
 
-    /// Whether the limit that an upstream names leaves no start for this host now. No other request
-    /// asks for one there before the home has said that there may be one.
+    /// Whether the advertised limit of an upstream leaves no start for this host now. In that case
+    /// the upstream is throttled locally until the time that the home gave, and other requests do
+    /// not ask the home before.
     pub(crate) async fn is_throttled(&self, upstream: UpstreamKey) -> bool {
         let ask = StartRequest {
             is_cold: false,
@@ -353,7 +358,7 @@
         asked.is_err()
     }
 
-    /// Counts a generation that goes on at an upstream, where it may before `until_ms`.
+    /// Counts a generation that resumes at an upstream, if it may do so before `until_ms`.
     pub(crate) async fn reserve_continuation(
         &self,
         upstream: UpstreamKey,
--- a/crates/gateway/src/stream.rs
+++ b/crates/gateway/src/stream.rs
@@ -1,4 +1,5 @@
-//! Generations: placed by their cell's home, run once at most unless their streams may be resumed.
+//! Generations: placed by their cell's home, and run at most once unless their streams may be
+//! resumed.
 
 use std::sync::Arc;
 
@@ -17,7 +18,7 @@
 use crate::tracker::RequestTracker;
 
 impl Gateway {
-    /// Starts a generation and passes its events on.
+    /// Starts a generation and relays its events.
     pub(crate) async fn stream(
         self: Arc<Self>,
         inbound: InboundRequest,
@@ -50,7 +51,7 @@
         reply
     }
 
-    /// Answers with an engine's own failure, which is short and no stream.
+    /// Forwards an engine's own error response, which is short and not a stream.
     async fn forward_failure(
         &self,
         inbound: &InboundRequest,
--- a/crates/gateway/src/tracker.rs
+++ b/crates/gateway/src/tracker.rs
@@ -1,4 +1,4 @@
-//! One request from its arrival to its end, and the line that the log gets of it.
+//! Tracks one request from its arrival to its end and writes its log line.
 
 use std::sync::Arc;
 
@@ -14,11 +14,11 @@
 use crate::problem::Problem;
 use crate::record::{Dispatch, REQUEST_PREFIX, RequestRecord, Size};
 
-/// How a dispatch ended whose answer's head came.
+/// Outcome of a dispatch whose response head arrived.
 pub(crate) const ANSWERED: &str = "answered";
 
 impl RouteKind {
-    /// Its name on metrics and log lines.
+    /// Its name in metrics and log lines.
     pub(crate) fn name(self) -> &'static str {
         match self {
             Self::Idempotent => "idempotent",
@@ -28,13 +28,13 @@
     }
 }
 
-/// One request from its arrival to its end. Dropped without an end, its caller has left.
+/// Tracks one request from its arrival to its end. If dropped without an end, the caller has left.
 pub(crate) struct RequestTracker {
     gateway: Arc<Gateway>,
     pub(crate) id: String,
     content: Option<ContentKey>,
     pub(crate) arrived_ms: Millis,
-    /// Events that were passed on.
+    /// Events that were sent to the caller.
     pub(crate) events: u32,
     placed_ms: Option<Millis>,
     size: Option<Size>,
@@ -71,18 +71,18 @@
         }
     }
 
-    /// The route is known.
+    /// Sets the route.
     pub(crate) fn set_route(&mut self, route: &Route) {
         self.route.clone_from(&route.name);
         self.kind = route.kind.name();
     }
 
-    /// What the request asks for, and for whom.
+    /// Sets the key of the request's content and organisation.
     pub(crate) fn set_content(&mut self, content: ContentKey) {
         self.content = Some(content);
     }
 
-    /// The request asks for a generation.
+    /// Sets the size of the requested generation.
     pub(crate) fn set_size(&mut self, generation: &GenerationHead) {
         self.size = Some(Size {
             prompt_tokens: generation.prompt_tokens,
@@ -91,18 +91,19 @@
         });
     }
 
-    /// The cell's home has chosen an engine, by what it saw.
+    /// Sets the state of the engine on which the cell's home based its selection.
     pub(crate) fn set_seen(&mut self, seen: Seen) {
         self.seen = Some(seen);
     }
 
-    /// An upstream was found that takes the request.
+    /// Records when an upstream was first selected for the request.
     pub(crate) fn mark_placed(&mut self, now_ms: Millis) {
         let since_ms = now_ms.saturating_sub(self.arrived_ms);
         self.placed_ms.get_or_insert(since_ms);
     }
 
-    /// Events are passed on; the pause since the last ones, where there were any.
+    /// Records events sent to the caller; returns the pause since the previous ones, if there were
+    /// any.
     pub(crate) fn record_events(&mut self, now_ms: Millis, events: u32) -> Option<Millis> {
         let is_first = self.events == 0;
         self.events += events;
@@ -116,36 +117,36 @@
         Some(pause_ms)
     }
 
-    /// From the placement to the first event, where the first dispatch brought it.
+    /// Time from the placement to the first event, if the first dispatch produced it.
     pub(crate) fn first_after_placed_ms(&self) -> Option<Millis> {
         let first = self.dispatches.first()?;
         let first_ms = self.first_event_ms?.checked_sub(self.placed_ms?)?;
         (first.outcome == ANSWERED).then_some(first_ms)
     }
 
-    /// When events were passed on last.
+    /// When events were last sent to the caller.
     pub(crate) fn last_event_ms(&self) -> Option<Millis> {
         (self.events > 0).then_some(self.event_at_ms)
     }
 
-    /// The request went to an upstream, or was about to.
+    /// Records that the request is being sent to an upstream.
     pub(crate) fn begin_dispatch(&mut self, dispatch: Dispatch) {
         self.dispatches.push(dispatch);
     }
 
-    /// The last dispatch ended.
+    /// Sets the outcome of the last dispatch.
     pub(crate) fn end_dispatch(&mut self, outcome: &'static str) {
         if let Some(last) = self.dispatches.last_mut() {
             outcome.clone_into(&mut last.outcome);
         }
     }
 
-    /// The caller gets an answer of our own.
+    /// Ends the request with a response of the gateway itself.
     pub(crate) fn end_with_problem(&mut self, problem: Problem) {
         self.end(problem.name(), problem.status().as_u16());
     }
 
-    /// The request is over.
+    /// Ends the request: counts it and writes its log line.
     pub(crate) fn end(&mut self, outcome: &'static str, status: u16) {
         if std::mem::replace(&mut self.ended, true) {
             return;
@@ -188,7 +189,8 @@
     }
 }
 
-/// A request at an upstream; without another verdict it counts as unheard when dropped.
+/// A request in flight at an upstream. Unless another verdict is set, it counts as `Unheard` when
+/// dropped.
 pub(crate) struct InFlightRequest {
     gateway: Arc<Gateway>,
     pub(crate) chosen: Chosen,
@@ -204,7 +206,7 @@
         }
     }
 
-    /// How the exchange went.
+    /// Sets the verdict on the exchange.
     pub(crate) fn note(&mut self, verdict: Verdict) {
         self.verdict = verdict;
     }
