--- a/crates/bench/src/cmd/decide.rs
+++ b/crates/bench/src/cmd/decide.rs
@@ -5,7 +5,7 @@
 
 use bpaf::Bpaf;
 use fulmarpath_policy::{
-    Ask, AskId, Candidate, Cell, CellEngine, EngineFigures, EngineLoad, Home, HomeSettings,
+    Ask, AskId, Candidate, Cell, CellEngine, EngineCapacity, EngineLoad, Home, HomeSettings,
     HostKey, Lengths, OrganisationKey, PlacementRequest, RunEnd, RunKey, RunStatement, ServiceKey,
     UpstreamKey, Weights, pick,
 };
@@ -192,7 +192,7 @@
         is_draining: false,
         is_evacuated: false,
         cold: None,
-        figures: EngineFigures {
+        capacity: EngineCapacity {
             memory_tokens: 24_000,
             slots: 24,
             token_bytes: 18_432,
@@ -224,12 +224,12 @@
         prompt_tokens,
         limit_tokens: 40,
         hint_tokens: None,
-        likeness: run,
+        retry_key: run,
         priority: 1,
-        patience_ms: 1_800,
+        max_wait_ms: 1_800,
         left_ms: 39_000,
-        is_last_call: false,
-        without: Vec::new(),
+        is_final_attempt: false,
+        excluded: Vec::new(),
         can_back_up: false,
     }
 }
--- a/crates/bench/src/reclaim/engine.rs
+++ b/crates/bench/src/reclaim/engine.rs
@@ -2,10 +2,10 @@
 
 use std::collections::VecDeque;
 
-use fulmarpath_policy::EngineFigures;
+use fulmarpath_policy::EngineCapacity;
 
 /// The users' figures of an engine of the grown deployments.
-pub(super) const FIGURES: EngineFigures = EngineFigures {
+pub(super) const FIGURES: EngineCapacity = EngineCapacity {
     memory_tokens: 21_874,
     slots: 24,
     token_bytes: 18_432,
--- a/crates/bench/src/reclaim/transfer.rs
+++ b/crates/bench/src/reclaim/transfer.rs
@@ -22,7 +22,7 @@
         if let Some(gone_us) = self.engines[engine].gone_at_us {
             let left_us = gone_us.saturating_sub(self.now_us) + REPORT_AGE_US;
             self.cell
-                .see_leaving(now_ms, key_of(engine), left_us / 1_000);
+                .set_time_left(now_ms, key_of(engine), left_us / 1_000);
         }
     }
 
--- a/crates/bench/src/reclaim/world.rs
+++ b/crates/bench/src/reclaim/world.rs
@@ -190,12 +190,12 @@
             prompt_tokens: asked.prompt_tokens,
             limit_tokens: asked.limit_tokens,
             hint_tokens: Some(self.hint(&asked)),
-            likeness: caller as u64,
+            retry_key: caller as u64,
             priority: asked.priority,
-            patience_ms: asked.target_ms.saturating_sub(waited_ms),
+            max_wait_ms: asked.target_ms.saturating_sub(waited_ms),
             left_ms: asked.deadline_ms.saturating_sub(waited_ms),
-            is_last_call,
-            without: Vec::new(),
+            is_final_attempt: is_last_call,
+            excluded: Vec::new(),
             can_back_up: matches!(self.settings.row, RowName::Kept | RowName::Unfair),
         };
         match self.cell.place(self.now_ms(), &request) {
@@ -348,7 +348,7 @@
         self.tries[run].is_over = true;
         let end = RunEnd {
             out_tokens: self.callers[self.tries[run].caller].length_tokens,
-            is_whole,
+            is_complete: is_whole,
             first_ms: self.first_ms(run),
         };
         self.cell.end(self.now_ms(), RunKey(run as u64), end);
@@ -378,7 +378,7 @@
                     .is_some_and(|gone_us| gone_us <= heard_us + loss::NOTICE_US.end),
                 is_evacuated: false,
                 cold: None,
-                figures: FIGURES,
+                capacity: FIGURES,
             })
             .collect();
         let now_ms = self.now_ms();
--- a/crates/gateway/src/cells.rs
+++ b/crates/gateway/src/cells.rs
@@ -3,7 +3,7 @@
 use std::collections::HashMap;
 
 use fulmarpath_policy::{
-    Cell, CellEngine, Division, EngineFigures, HostKey, Migration, MigrationOutcome, Millis,
+    Cell, CellEngine, Division, EngineCapacity, HostKey, Migration, MigrationOutcome, Millis,
     Placement, PlacementRequest, RunEnd, RunKey, UpstreamKey, Verdict,
 };
 use fulmarpath_wire::{CellKey, RelayedRuns};
@@ -151,7 +151,7 @@
 
     pub(crate) fn keep_hosts(&self, is_present: impl Fn(HostKey) -> bool) {
         for table in self.tables.lock().values_mut() {
-            table.cell.keep_hosts(&is_present);
+            table.cell.retain_hosts(&is_present);
         }
     }
 
@@ -159,7 +159,7 @@
     pub(crate) fn leaving(&self) -> Vec<(CellKey, UpstreamKey)> {
         let tables = self.tables.lock();
         let all = tables.iter().flat_map(|(cell, table)| {
-            let leaving = table.cell.leaving().into_iter();
+            let leaving = table.cell.leaving_engines().into_iter();
             leaving.map(|engine| (*cell, engine))
         });
         all.collect()
@@ -181,7 +181,7 @@
         verdict: Verdict,
     ) {
         if let Some(table) = self.tables.lock().get_mut(&cell) {
-            table.cell.see_failure(now_ms, engine, verdict);
+            table.cell.record_failure(now_ms, engine, verdict);
         }
     }
 
@@ -198,9 +198,9 @@
             return false;
         };
         match sight {
-            EngineStatus::There => table.cell.see_there(engine),
-            EngineStatus::Leaving { left_ms } => table.cell.see_leaving(now_ms, engine, left_ms),
-            EngineStatus::Gone => table.cell.see_gone(engine),
+            EngineStatus::There => table.cell.mark_reachable(engine),
+            EngineStatus::Leaving { left_ms } => table.cell.set_time_left(now_ms, engine, left_ms),
+            EngineStatus::Gone => table.cell.mark_unreachable(engine),
             EngineStatus::Unknown => false,
         }
     }
@@ -250,7 +250,7 @@
         is_draining: registration.state == RegisteredState::Draining,
         is_evacuated: availability.is_evacuated,
         cold: availability.cold,
-        figures: EngineFigures {
+        capacity: EngineCapacity {
             memory_tokens: traits.memory_tokens,
             slots: traits.slots,
             token_bytes: traits.token_bytes,
--- a/crates/gateway/src/homes.rs
+++ b/crates/gateway/src/homes.rs
@@ -101,7 +101,7 @@
     fn place_here(&self, cell: CellKey, mut request: PlacementRequest) -> Placement {
         let now_ms = self.clock.now_ms();
         if !self.fleet.is_in_touch(now_ms) {
-            request.without.extend(self.instances.cold(now_ms));
+            request.excluded.extend(self.instances.cold(now_ms));
         }
         self.cells.place(now_ms, cell, &request)
     }
--- a/crates/gateway/src/record.rs
+++ b/crates/gateway/src/record.rs
@@ -1,6 +1,6 @@
 //! The log line of a request, written once when it ends, with the data that explain its outcome.
 
-use fulmarpath_policy::{Millis, Revision, Seen};
+use fulmarpath_policy::{EngineSnapshot, Millis, Revision};
 use serde::{Deserialize, Serialize};
 
 /// Prefix of the line's payload; JSON follows.
@@ -59,7 +59,7 @@
     /// The requested size, for a generation.
     pub size: Option<Size>,
     /// The state of the engine as known to the cell's home.
-    pub seen: Option<Seen>,
+    pub seen: Option<EngineSnapshot>,
     /// Time from arrival until the first event was sent to the caller.
     pub first_event_ms: Option<Millis>,
     /// The longest time between two events that were sent to the caller.
--- a/crates/gateway/src/relay.rs
+++ b/crates/gateway/src/relay.rs
@@ -46,7 +46,7 @@
         let out_tokens = self.gateway.runs.remove(self.run);
         let end = RunEnd {
             out_tokens: out_tokens.unwrap_or_default(),
-            is_whole: self.is_whole,
+            is_complete: self.is_whole,
             first_ms: self.first_ms,
         };
         self.gateway.tell_end(self.cell, self.run, end);
--- a/crates/gateway/src/start.rs
+++ b/crates/gateway/src/start.rs
@@ -261,8 +261,8 @@
             let mut request = self.placement_request(inbound, run_guard, without);
             if let Some(request) = &mut request {
                 let waited_ms = asked_ms.saturating_sub(tracker.arrived_ms);
-                request.patience_ms = inbound.route.target_ms.saturating_sub(waited_ms);
-                request.is_last_call = is_last_call;
+                request.max_wait_ms = inbound.route.target_ms.saturating_sub(waited_ms);
+                request.is_final_attempt = is_last_call;
             }
             let placement = match &request {
                 Some(request) => self.place(run_guard.cell, request.clone()).await,
@@ -329,12 +329,12 @@
             prompt_tokens: generation.prompt_tokens,
             limit_tokens: generation.output_limit_tokens,
             hint_tokens: generation.length_hint_tokens,
-            likeness: inbound.likeness(),
+            retry_key: inbound.likeness(),
             priority: inbound.priority,
-            patience_ms: inbound.route.target_ms,
+            max_wait_ms: inbound.route.target_ms,
             left_ms: inbound.deadline_ms.saturating_sub(self.clock.now_ms()),
-            is_last_call: false,
-            without,
+            is_final_attempt: false,
+            excluded: without,
             can_back_up: traits.can_back_up,
         })
     }
--- a/crates/gateway/src/tracker.rs
+++ b/crates/gateway/src/tracker.rs
@@ -2,7 +2,7 @@
 
 use std::sync::Arc;
 
-use fulmarpath_policy::{ContentKey, Millis, Seen, Verdict};
+use fulmarpath_policy::{ContentKey, EngineSnapshot, Millis, Verdict};
 use spdlog::info;
 
 use crate::configuration::{Route, RouteKind};
@@ -38,7 +38,7 @@
     pub(crate) events: u32,
     placed_ms: Option<Millis>,
     size: Option<Size>,
-    seen: Option<Seen>,
+    seen: Option<EngineSnapshot>,
     first_event_ms: Option<Millis>,
     longest_pause_ms: Millis,
     event_at_ms: Millis,
@@ -92,7 +92,7 @@
     }
 
     /// Sets the state of the engine on which the cell's home based its selection.
-    pub(crate) fn set_seen(&mut self, seen: Seen) {
+    pub(crate) fn set_seen(&mut self, seen: EngineSnapshot) {
         self.seen = Some(seen);
     }
 
--- a/crates/policy/src/cell/engine.rs
+++ b/crates/policy/src/cell/engine.rs
@@ -23,7 +23,7 @@
 
 /// What is known of an engine's build.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct EngineFigures {
+pub struct EngineCapacity {
     /// Memory for prompts and answers.
     pub memory_tokens: u32,
     /// Generations in a batch.
@@ -52,7 +52,7 @@
     /// Set while it bears a few new requests a second only.
     pub cold: Option<Cold>,
     /// Its build.
-    pub figures: EngineFigures,
+    pub capacity: EngineCapacity,
 }
 
 #[derive(Debug, Clone)]
@@ -184,7 +184,7 @@
     /// Without counting it a home sends generations to engines that hold such a copy, where they wait in
     /// the engine's queue until it lapses.
     pub(super) fn leave_behind(&mut self, now_ms: Millis, tokens: f32) {
-        let lasts_ms = self.entry.figures.copy_ttl_ms as f32 * LEFT_BEHIND_TTLS;
+        let lasts_ms = self.entry.capacity.copy_ttl_ms as f32 * LEFT_BEHIND_TTLS;
         self.left_behind.retain(|one| one.until_ms > now_ms);
         self.left_behind.push(LeftBehind {
             tokens,
@@ -211,9 +211,9 @@
 
     /// How long so many tokens take to another engine.
     pub(super) fn transfer_ms(&self, tokens: u32, same_data_centre: bool) -> f32 {
-        let figures = self.entry.figures;
-        let bits = tokens as f32 * figures.token_bytes as f32 * 8.0;
-        let near_ms = bits / (figures.link_mbps.max(1.0) * 1_000.0);
+        let capacity = self.entry.capacity;
+        let bits = tokens as f32 * capacity.token_bytes as f32 * 8.0;
+        let near_ms = bits / (capacity.link_mbps.max(1.0) * 1_000.0);
         if same_data_centre {
             near_ms
         } else {
--- a/crates/policy/src/cell/forecast.rs
+++ b/crates/policy/src/cell/forecast.rs
@@ -62,7 +62,7 @@
     pub(super) fn peak_share(&self, engine: &Engine, claim: Claim) -> f32 {
         let load = self.load(engine.entry.key);
         let peak = load.peak_with(claim) + engine.left_behind_tokens(self.now_ms);
-        peak / engine.entry.figures.memory_tokens.max(1) as f32
+        peak / engine.entry.capacity.memory_tokens.max(1) as f32
     }
 
     /// Generations on an engine.
--- a/crates/policy/src/cell/migration.rs
+++ b/crates/policy/src/cell/migration.rs
@@ -61,7 +61,7 @@
 
 impl Cell {
     /// Engines that are leaving with generations on them.
-    pub fn leaving(&self) -> Vec<UpstreamKey> {
+    pub fn leaving_engines(&self) -> Vec<UpstreamKey> {
         let engines = self.engines.values().filter(|engine| engine.is_leaving());
         engines
             .map(|engine| engine.entry.key)
--- a/crates/policy/src/cell/mod.rs
+++ b/crates/policy/src/cell/mod.rs
@@ -19,9 +19,9 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-pub use engine::{CellEngine, EngineFigures};
+pub use engine::{CellEngine, EngineCapacity};
 pub use migration::{Migration, MigrationOutcome};
-pub use placement::{Placement, PlacementRequest, Seen};
+pub use placement::{EngineSnapshot, Placement, PlacementRequest};
 pub use run::{RunEnd, RunKey, RunStatement};
 
 use crate::gauge::Verdict;
@@ -101,7 +101,7 @@
     }
 
     /// A leaving engine has said how long it will be there; true where that was not known.
-    pub fn see_leaving(&mut self, now_ms: Millis, engine: UpstreamKey, left_ms: Millis) -> bool {
+    pub fn set_time_left(&mut self, now_ms: Millis, engine: UpstreamKey, left_ms: Millis) -> bool {
         let engine = self.engines.get_mut(&engine);
         engine.is_some_and(|engine| engine.state_time_left(now_ms, left_ms))
     }
@@ -109,7 +109,7 @@
     /// An engine can't be reached; true where it no longer gets work because of that.
     ///
     /// It is this host that may be cut off, so no more than a part of the engines is closed.
-    pub fn see_gone(&mut self, engine: UpstreamKey) -> bool {
+    pub fn mark_unreachable(&mut self, engine: UpstreamKey) -> bool {
         let gone = self.engines.values().filter(|one| one.is_gone).count();
         let most = (self.engines.len() as f32 * GONE_SHARE) as usize;
         let Some(engine) = self.engines.get_mut(&engine) else {
@@ -122,13 +122,13 @@
     }
 
     /// An engine can be reached; true where it could not before.
-    pub fn see_there(&mut self, engine: UpstreamKey) -> bool {
+    pub fn mark_reachable(&mut self, engine: UpstreamKey) -> bool {
         let engine = self.engines.get_mut(&engine);
         engine.is_some_and(|engine| std::mem::take(&mut engine.is_gone))
     }
 
     /// A generation did not begin on an engine as it should, or broke off there.
-    pub fn see_failure(&mut self, now_ms: Millis, engine: UpstreamKey, verdict: Verdict) {
+    pub fn record_failure(&mut self, now_ms: Millis, engine: UpstreamKey, verdict: Verdict) {
         let Some(engine) = self.engines.get_mut(&engine) else {
             return;
         };
@@ -150,7 +150,7 @@
         {
             self.reading.learn(expected_ms as f32, first_ms as f32);
         }
-        if end.is_whole {
+        if end.is_complete {
             if let Some(engine) = self.engines.get_mut(&run.engine()) {
                 engine.failures.learn(now_ms, 0.0);
             }
@@ -182,7 +182,7 @@
     }
 
     /// Generations of hosts that are gone are over: their callers' connections are.
-    pub fn keep_hosts(&mut self, is_present: impl Fn(HostKey) -> bool) {
+    pub fn retain_hosts(&mut self, is_present: impl Fn(HostKey) -> bool) {
         self.runs.retain(|_, run| is_present(run.host()));
     }
 
--- a/crates/policy/src/cell/placement.rs
+++ b/crates/policy/src/cell/placement.rs
@@ -72,24 +72,28 @@
     /// The caller's guess.
     pub hint_tokens: Option<u32>,
     /// What stays the same in a further try of its caller, hashed.
-    pub likeness: u64,
+    #[serde(rename = "likeness")]
+    pub retry_key: u64,
     /// The rank of its organisation or route; 0 is the most urgent.
     pub priority: u8,
     /// How long its first event may still take to be on time.
-    pub patience_ms: Millis,
+    #[serde(rename = "patience_ms")]
+    pub max_wait_ms: Millis,
     /// How long its caller will wait at all.
     pub left_ms: Millis,
     /// It has waited as long as it may: late is better for its caller than not at all.
-    pub is_last_call: bool,
+    #[serde(rename = "is_last_call")]
+    pub is_final_attempt: bool,
     /// Engines that have refused it already.
-    pub without: Vec<UpstreamKey>,
+    #[serde(rename = "without")]
+    pub excluded: Vec<UpstreamKey>,
     /// Whether engines keep running copies for one another.
     pub can_back_up: bool,
 }
 
 /// What the home saw of the engine that it chose.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Seen {
+pub struct EngineSnapshot {
     /// Generations there before this one.
     pub running: u32,
     /// The highest share of its memory that is predicted, in thousandths.
@@ -108,7 +112,7 @@
         /// The engine that keeps a running copy of its memory.
         backup: Option<UpstreamKey>,
         /// What decided.
-        seen: Seen,
+        seen: EngineSnapshot,
     },
     /// Nowhere now.
     Full {
@@ -132,7 +136,7 @@
 
     /// When its caller had better come back, where it finds no room.
     fn return_after_ms(&self) -> Millis {
-        let draw = (self.likeness % 1_000) as f32 / 1_000.0;
+        let draw = (self.retry_key % 1_000) as f32 / 1_000.0;
         let width = RETURN_SHARES.end - RETURN_SHARES.start;
         let share = RETURN_SHARES.start + width * draw;
         (self.left_ms as f32 * share) as Millis
@@ -145,7 +149,7 @@
 
     /// When it must start at the latest to be on time.
     pub(super) fn latest_ms(&self, now_ms: Millis, reading: &Reading) -> Millis {
-        (now_ms + self.patience_ms).saturating_sub(self.read_ms(reading) as Millis)
+        (now_ms + self.max_wait_ms).saturating_sub(self.read_ms(reading) as Millis)
     }
 
     /// What it says of its answer's length.
@@ -190,12 +194,14 @@
             .engines
             .values()
             .filter(|engine| engine.is_open())
-            .filter(|engine| !request.without.contains(&engine.entry.key))
+            .filter(|engine| !request.excluded.contains(&engine.entry.key))
             .collect();
         if open.is_empty() {
             return Placement::NoEngine;
         }
-        let largest = open.iter().map(|engine| engine.entry.figures.memory_tokens);
+        let largest = open
+            .iter()
+            .map(|engine| engine.entry.capacity.memory_tokens);
         if largest
             .max()
             .is_some_and(|largest| request.prompt_tokens >= largest)
@@ -214,7 +220,7 @@
             one.0.total_cmp(&other.0).then(by_key)
         });
         let Some((_, engine)) = best else {
-            match request.is_last_call {
+            match request.is_final_attempt {
                 true => self.waiting.refuse(now_ms, request),
                 false => self.waiting.wait(now_ms, &bid),
             }
@@ -278,7 +284,7 @@
         let (share, key) = shares.min_by(by_share)?;
         // A running copy begins with the whole prompt on its links. The last short copy of a generation
         // that leaves, for which it stands still, would wait behind it: a late answer.
-        (share < BACKUP_SHARE && self.leaving().is_empty()).then_some(key)
+        (share < BACKUP_SHARE && self.leaving_engines().is_empty()).then_some(key)
     }
 
     fn start(
@@ -312,8 +318,8 @@
     let share = forecast.peak_share(engine, bid.claim);
     let running = forecast.running(engine.entry.key);
     let wait_ms = engine.prefill_wait_ms(now_ms);
-    let patience_ms = request.patience_ms as f32;
-    let full_share = match request.is_last_call {
+    let patience_ms = request.max_wait_ms as f32;
+    let full_share = match request.is_final_attempt {
         false if wait_ms > patience_ms * PATIENCE_SHARE => return None,
         true if wait_ms + request.read_ms(reading) > patience_ms => {
             bid.full_share.min(LATE_FULL_SHARE)
@@ -321,8 +327,8 @@
         _ => bid.full_share,
     };
     let failing = engine.failures.share(now_ms);
-    let has_room = share <= full_share && running < engine.entry.figures.slots;
-    let may_wait = failing > SICK_SHARE && !request.is_last_call;
+    let has_room = share <= full_share && running < engine.entry.capacity.slots;
+    let may_wait = failing > SICK_SHARE && !request.is_final_attempt;
     if !has_room || may_wait || !engine.may_start(now_ms) {
         return None;
     }
@@ -334,9 +340,9 @@
     Some(wait_ms + crowd_ms + memory_ms + far_ms + sick_ms)
 }
 
-fn see(now_ms: Millis, forecast: &Forecast, engine: &Engine, bid: &Bid<'_>) -> Seen {
+fn see(now_ms: Millis, forecast: &Forecast, engine: &Engine, bid: &Bid<'_>) -> EngineSnapshot {
     let share = forecast.peak_share(engine, bid.claim);
-    Seen {
+    EngineSnapshot {
         running: forecast.running(engine.entry.key),
         peak_permille: (share * 1_000.0) as u32,
         prefill_wait_ms: engine.prefill_wait_ms(now_ms) as u32,
--- a/crates/policy/src/cell/run.rs
+++ b/crates/policy/src/cell/run.rs
@@ -41,7 +41,8 @@
     /// Tokens that have reached the host.
     pub out_tokens: u32,
     /// Its engine ended it, and neither its caller nor a failure.
-    pub is_whole: bool,
+    #[serde(rename = "is_whole")]
+    pub is_complete: bool,
     /// From its placement to its first event, where it was sent to one engine only.
     pub first_ms: Option<Millis>,
 }
--- a/crates/policy/src/cell/shares.rs
+++ b/crates/policy/src/cell/shares.rs
@@ -55,7 +55,7 @@
             *wanted.entry(organisation).or_default() += claim.whole();
         }
         let open = self.engines.values().filter(|engine| engine.is_open());
-        let room = open.map(|engine| engine.entry.figures.memory_tokens as f32);
+        let room = open.map(|engine| engine.entry.capacity.memory_tokens as f32);
         Shares {
             held,
             level: level(wanted.into_values().collect(), room.sum()),
--- a/crates/policy/src/cell/waiting.rs
+++ b/crates/policy/src/cell/waiting.rs
@@ -101,12 +101,12 @@
                 ..known.turn
             };
         }
-        let tried_ms = self.refused.get(&request.likeness);
+        let tried_ms = self.refused.get(&request.retry_key);
         let tried_ms = tried_ms.map_or(0, |one| now_ms.saturating_sub(one.first_ms));
         let behind_ms =
-            request.patience_ms as f32 * COST_SHARE * self.usual_cost.compare(reading, claim);
+            request.max_wait_ms as f32 * COST_SHARE * self.usual_cost.compare(reading, claim);
         Turn {
-            is_late: tried_ms >= request.patience_ms,
+            is_late: tried_ms >= request.max_wait_ms,
             is_over_share,
             priority: request.priority,
             due_ms: request.latest_ms(now_ms, reading) + behind_ms as Millis,
@@ -127,7 +127,7 @@
             since_ms: self.since_ms(now_ms, request.run),
             claim: bid.claim,
             full_share: bid.full_share,
-            without: request.without.clone(),
+            without: request.excluded.clone(),
             asked_ms: now_ms,
         };
         self.requests.insert(request.run, waiting);
@@ -139,7 +139,7 @@
             first_ms: self.since_ms(now_ms, request.run),
             until_ms: now_ms + request.left_ms,
         };
-        self.refused.entry(request.likeness).or_insert(refused);
+        self.refused.entry(request.retry_key).or_insert(refused);
         self.leave(request.run);
     }
 
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -45,8 +45,8 @@
 pub use backpressure::{Backpressure, Signals};
 pub use branches::{Listener, branches, parts};
 pub use cell::{
-    Cell, CellEngine, EngineFigures, Migration, MigrationOutcome, Placement, PlacementRequest,
-    RunEnd, RunKey, RunStatement, Seen,
+    Cell, CellEngine, EngineCapacity, EngineSnapshot, Migration, MigrationOutcome, Placement,
+    PlacementRequest, RunEnd, RunKey, RunStatement,
 };
 pub use choose::{Choice, choose};
 pub use circuit::{
--- a/crates/policy/tests/cell/carrying.rs
+++ b/crates/policy/tests/cell/carrying.rs
@@ -37,12 +37,12 @@
     cell.place(
         0,
         &PlacementRequest {
-            without: vec![UpstreamKey(2)],
+            excluded: vec![UpstreamKey(2)],
             ..request(4, 6_000, 900, 800)
         },
     );
     cell.set_engines(10, &[engine(1, NEAR, true), engine(2, NEAR, false)]);
-    assert_eq!(cell.leaving(), [UpstreamKey(1)]);
+    assert_eq!(cell.leaving_engines(), [UpstreamKey(1)]);
     assert_eq!(carried_in_turn(&mut cell, 20, 1), [1, 2]);
     let later = carried_in_turn(&mut cell, 900, 1);
     assert_eq!(later, [4], "its prompt has been read by now");
@@ -149,7 +149,7 @@
     let mut cell = cell(&[engine(1, NEAR, true), engine(2, NEAR, false)]);
     cell.restate(0, ME, &[statement(1, 1, 100, 1_700)]);
     if let Some(stated_ms) = case.stated_ms {
-        assert!(cell.see_leaving(600, UpstreamKey(1), stated_ms));
+        assert!(cell.set_time_left(600, UpstreamKey(1), stated_ms));
     }
     let carry = cell.next_migration(case.at_ms, UpstreamKey(1));
     assert_eq!(carry.is_some(), case.begins);
--- a/crates/policy/tests/cell/crowded.rs
+++ b/crates/policy/tests/cell/crowded.rs
@@ -80,7 +80,7 @@
 })]
 #[case::shorter_target_first(Turns {
     first: request(1, 3_000, 900, 100),
-    then: PlacementRequest { patience_ms: 1_500, ..request(2, 3_000, 900, 100) },
+    then: PlacementRequest { max_wait_ms: 1_500, ..request(2, 3_000, 900, 100) },
     apart_ms: 200,
     expected: 2,
 })]
@@ -128,15 +128,15 @@
     };
     cell.restate(0, ME, &crowd(8));
     let first = PlacementRequest {
-        is_last_call: true,
-        patience_ms: 800,
+        is_final_attempt: true,
+        max_wait_ms: 800,
         ..request(1, 3_000, 900, 100)
     };
     let waits = request(1, 3_000, 900, 100);
     assert!(matches!(cell.place(1_000, &waits), Placement::Full { .. }));
     assert!(matches!(cell.place(1_200, &first), Placement::Full { .. }));
     let back = PlacementRequest {
-        likeness: 1,
+        retry_key: 1,
         ..request(2, 3_000, 900, 100)
     };
     let other = request(3, 3_000, 900, 100);
@@ -165,7 +165,7 @@
 }
 
 struct Refusal {
-    likeness: u64,
+    retry_key: u64,
     left_ms: u64,
     /// When the caller is told to come back.
     after_ms: std::ops::Range<u64>,
@@ -174,18 +174,18 @@
 /// Callers are refused together in a crowd. Each is told to come back when a fifth to a third of the
 /// time that it has left is over, when most crowds are, and each at another moment.
 #[rstest]
-#[case::patient(Refusal { likeness: 0, left_ms: 38_000, after_ms: 7_600..7_601 })]
-#[case::patient_later(Refusal { likeness: 999, left_ms: 38_000, after_ms: 12_000..12_161 })]
-#[case::impatient(Refusal { likeness: 500, left_ms: 5_000, after_ms: 1_290..1_311 })]
-#[case::out_of_time(Refusal { likeness: 500, left_ms: 0, after_ms: 0..1 })]
+#[case::patient(Refusal { retry_key: 0, left_ms: 38_000, after_ms: 7_600..7_601 })]
+#[case::patient_later(Refusal { retry_key: 999, left_ms: 38_000, after_ms: 12_000..12_161 })]
+#[case::impatient(Refusal { retry_key: 500, left_ms: 5_000, after_ms: 1_290..1_311 })]
+#[case::out_of_time(Refusal { retry_key: 500, left_ms: 0, after_ms: 0..1 })]
 fn refused_callers_come_back_apart(#[case] case: Refusal) {
     let mut cell = cell(&[engine(1, NEAR, false)]);
     let crowd: Vec<RunStatement> = (50..58).map(|run| statement(run, 1, 400, 500)).collect();
     cell.restate(0, ME, &crowd);
     let refused = PlacementRequest {
-        likeness: case.likeness,
+        retry_key: case.retry_key,
         left_ms: case.left_ms,
-        is_last_call: true,
+        is_final_attempt: true,
         ..request(1, 3_000, 900, 100)
     };
     let placed = cell.place(1_000, &refused);
@@ -197,7 +197,7 @@
 
 struct LastCall {
     prompt_tokens: u32,
-    patience_ms: u64,
+    max_wait_ms: u64,
     /// Generations on the only engine.
     crowd: u64,
     starts: bool,
@@ -207,18 +207,18 @@
 /// room; where it can't, only on an engine with plenty, since late it is worth little to its caller
 /// and takes the room of one that would be on time.
 #[rstest]
-#[case::in_time(LastCall { prompt_tokens: 2_000, patience_ms: 800, crowd: 7, starts: true })]
-#[case::too_late(LastCall { prompt_tokens: 2_000, patience_ms: 200, crowd: 7, starts: false })]
-#[case::too_late_with_plenty(LastCall { prompt_tokens: 2_000, patience_ms: 200, crowd: 3, starts: true })]
-#[case::too_long_to_read(LastCall { prompt_tokens: 4_000, patience_ms: 400, crowd: 6, starts: false })]
+#[case::in_time(LastCall { prompt_tokens: 2_000, max_wait_ms: 800, crowd: 7, starts: true })]
+#[case::too_late(LastCall { prompt_tokens: 2_000, max_wait_ms: 200, crowd: 7, starts: false })]
+#[case::too_late_with_plenty(LastCall { prompt_tokens: 2_000, max_wait_ms: 200, crowd: 3, starts: true })]
+#[case::too_long_to_read(LastCall { prompt_tokens: 4_000, max_wait_ms: 400, crowd: 6, starts: false })]
 fn what_would_be_late_needs_plenty_of_room(#[case] case: LastCall) {
     let mut cell = cell(&[engine(1, NEAR, false)]);
     let runs = 50..50 + case.crowd;
     let crowd: Vec<RunStatement> = runs.map(|run| statement(run, 1, 400, 500)).collect();
     cell.restate(0, ME, &crowd);
     let asked = PlacementRequest {
-        patience_ms: case.patience_ms,
-        is_last_call: true,
+        max_wait_ms: case.max_wait_ms,
+        is_final_attempt: true,
         ..request(1, case.prompt_tokens, 900, 100)
     };
     let placed = cell.place(2_000, &asked);
--- a/crates/policy/tests/cell/engines.rs
+++ b/crates/policy/tests/cell/engines.rs
@@ -11,10 +11,10 @@
     let mut cell = cell(&[engine(1, NEAR, false), engine(2, NEAR, false)]);
     cell.restate(0, ME, &[statement(1, 1, 100, 900)]);
     cell.set_engines(10, &[engine(2, NEAR, false)]);
-    assert_eq!(cell.leaving(), [UpstreamKey(1)]);
+    assert_eq!(cell.leaving_engines(), [UpstreamKey(1)]);
     cell.end(20, RunKey(1), RunEnd::default());
     cell.set_engines(20, &[engine(2, NEAR, false)]);
-    assert_eq!(cell.leaving(), []);
+    assert_eq!(cell.leaving_engines(), []);
 }
 
 /// A home learns what it didn't see and forgets what a host no longer states, but not a placement
@@ -31,7 +31,7 @@
     );
     cell.restate(2_000, ME, &[statement(2, 1, 150, 900)]);
     assert_eq!(cell.run_count(), 1);
-    cell.keep_hosts(|host| host != ME);
+    cell.retain_hosts(|host| host != ME);
     assert_eq!(cell.run_count(), 0);
 }
 
@@ -44,11 +44,11 @@
     let mut cell = cell(&engines);
     let held: Vec<RunStatement> = (2..=4).map(|key| statement(key, key, 100, 900)).collect();
     cell.restate(0, ME, &held);
-    assert!(cell.see_gone(UpstreamKey(1)));
-    assert!(!cell.see_gone(UpstreamKey(1)), "it is known");
+    assert!(cell.mark_unreachable(UpstreamKey(1)));
+    assert!(!cell.mark_unreachable(UpstreamKey(1)), "it is known");
     let placed = engine_of(cell.place(10, &request(9, 3_000, 900, 800)));
     assert_ne!(placed, Some(1));
-    assert!(cell.see_there(UpstreamKey(1)));
+    assert!(cell.mark_reachable(UpstreamKey(1)));
     let placed = engine_of(cell.place(20, &request(10, 3_000, 900, 800)));
     assert_eq!(placed, Some(1));
 }
@@ -59,7 +59,7 @@
 fn a_home_that_is_cut_off_closes_half_at_the_most() {
     let engines: Vec<CellEngine> = (1..=4).map(|key| engine(key, NEAR, false)).collect();
     let mut cell = cell(&engines);
-    let closed = (1..=4).filter(|key| cell.see_gone(UpstreamKey(*key)));
+    let closed = (1..=4).filter(|key| cell.mark_unreachable(UpstreamKey(*key)));
     assert_eq!(closed.count(), 2);
     assert!(engine_of(cell.place(10, &request(9, 3_000, 900, 800))).is_some());
 }
@@ -72,7 +72,7 @@
     let mut cell = cell(&engines);
     cell.restate(0, ME, &[statement(1, 1, 100, 900)]);
     assert_eq!(cell.next_migration(5, UpstreamKey(1)), None);
-    assert!(cell.see_leaving(10, UpstreamKey(1), 1_500));
+    assert!(cell.set_time_left(10, UpstreamKey(1), 1_500));
     cell.set_engines(20, &engines);
     let carry = cell.next_migration(30, UpstreamKey(1));
     assert_eq!(carry.map(|carry| carry.run.0), Some(1));
@@ -97,7 +97,7 @@
     let other = engine(3 - first.0, NEAR, false);
     cell.set_engines(2_000, &[again, other]);
     assert_eq!(cell.run_count(), 1);
-    assert!(cell.leaving().is_empty());
+    assert!(cell.leaving_engines().is_empty());
     assert!(!cell.is_leaving(first));
     cell.end(2_000, RunKey(1), RunEnd::default());
     let next = cell.place(2_000, &request(3, 3_000, 900, 800));
--- a/crates/policy/tests/cell/fixtures.rs
+++ b/crates/policy/tests/cell/fixtures.rs
@@ -1,14 +1,14 @@
 //! Engines of the users' figures, and generations before them.
 
 use fulmarpath_policy::{
-    Cell, CellEngine, EngineFigures, HostKey, OrganisationKey, Placement, PlacementRequest, RunKey,
-    RunStatement, UpstreamKey,
+    Cell, CellEngine, EngineCapacity, HostKey, OrganisationKey, Placement, PlacementRequest,
+    RunKey, RunStatement, UpstreamKey,
 };
 
 pub(crate) const NEAR: u64 = 1;
 pub(crate) const FAR: u64 = 2;
 pub(crate) const ME: HostKey = HostKey(7);
-pub(crate) const FIGURES: EngineFigures = EngineFigures {
+pub(crate) const FIGURES: EngineCapacity = EngineCapacity {
     memory_tokens: 30_000,
     slots: 24,
     token_bytes: 18_432,
@@ -24,7 +24,7 @@
         is_draining,
         is_evacuated: false,
         cold: None,
-        figures: FIGURES,
+        capacity: FIGURES,
     }
 }
 
@@ -48,12 +48,12 @@
         prompt_tokens,
         limit_tokens,
         hint_tokens: Some(hint_tokens),
-        likeness: run,
+        retry_key: run,
         priority: 1,
-        patience_ms: 1_800,
+        max_wait_ms: 1_800,
         left_ms: 39_000,
-        is_last_call: false,
-        without: Vec::new(),
+        is_final_attempt: false,
+        excluded: Vec::new(),
         can_back_up: false,
     }
 }
--- a/crates/policy/tests/cell/floods.rs
+++ b/crates/policy/tests/cell/floods.rs
@@ -119,6 +119,6 @@
     let other = of(OTHER, request(91, 3_000, 900, 100));
     assert!(matches!(cell.place(2_000, &flood), Placement::Full { .. }));
     assert!(matches!(cell.place(2_100, &other), Placement::Full { .. }));
-    cell.keep_hosts(|host| host == hosts[0]);
+    cell.retain_hosts(|host| host == hosts[0]);
     assert_eq!(engine_of(cell.place(2_110, &other)), Some(1));
 }
--- a/crates/policy/tests/cell/lengths.rs
+++ b/crates/policy/tests/cell/lengths.rs
@@ -23,7 +23,7 @@
 fn whole(out_tokens: u32) -> Option<RunEnd> {
     Some(RunEnd {
         out_tokens,
-        is_whole: true,
+        is_complete: true,
         first_ms: None,
     })
 }
@@ -31,7 +31,7 @@
 fn cut(out_tokens: u32) -> Option<RunEnd> {
     Some(RunEnd {
         out_tokens,
-        is_whole: false,
+        is_complete: false,
         first_ms: None,
     })
 }
@@ -71,7 +71,7 @@
     let mut cell = cell(&[engine(1, NEAR, false), engine(2, NEAR, true)]);
     hear(&mut cell, &heard);
     let asked = (1_000..1_024).map(|run| PlacementRequest {
-        patience_ms: 60_000,
+        max_wait_ms: 60_000,
         ..request(run, 1_500, LIMIT_TOKENS, HINT_TOKENS)
     });
     let placed = asked.map(|request| cell.place(2_000, &request));
--- a/crates/policy/tests/cell/placing.rs
+++ b/crates/policy/tests/cell/placing.rs
@@ -35,7 +35,7 @@
 #[case::one_that_refused_is_left_out(Choice {
     engines: vec![engine(1, NEAR, false), engine(2, NEAR, false)],
     held: vec![],
-    request: PlacementRequest { without: vec![UpstreamKey(1)], ..request(9, 3_000, 900, 800) },
+    request: PlacementRequest { excluded: vec![UpstreamKey(1)], ..request(9, 3_000, 900, 800) },
     expected: Some(2),
 })]
 #[case::a_full_engine_is_full(Choice {
--- a/crates/policy/tests/cell/reading.rs
+++ b/crates/policy/tests/cell/reading.rs
@@ -18,7 +18,7 @@
         for (place, wait_ms) in waits_ms.iter_mut().enumerate() {
             let mut asked = request(2 * pair + place as u64, PROMPT_TOKENS, 16, 8);
             // An engine however slow is taken.
-            asked.patience_ms = 60_000;
+            asked.max_wait_ms = 60_000;
             if let Placement::On { seen, .. } = cell.place(now_ms, &asked) {
                 *wait_ms = seen.prefill_wait_ms;
             }
@@ -29,7 +29,7 @@
         for place in 0..2 {
             let end = RunEnd {
                 out_tokens: 8,
-                is_whole: true,
+                is_complete: true,
                 first_ms: Some(read_ms * (place + 1)),
             };
             cell.end(now_ms, RunKey(2 * pair + place), end);
--- a/crates/policy/tests/cell/sick.rs
+++ b/crates/policy/tests/cell/sick.rs
@@ -37,7 +37,7 @@
                     *key,
                     RunEnd {
                         out_tokens,
-                        is_whole: true,
+                        is_complete: true,
                         first_ms: None,
                     },
                 );
@@ -51,7 +51,7 @@
         all += 1;
         at_sick += u64::from(placed == SICK);
         if placed == SICK && at_sick.is_multiple_of(case.fails_one_in) {
-            cell.see_failure(now_ms, UpstreamKey(SICK), case.verdict);
+            cell.record_failure(now_ms, UpstreamKey(SICK), case.verdict);
             cell.end(now_ms, key, RunEnd::default());
         } else {
             running.push((now_ms + 1_000, key));
@@ -67,10 +67,10 @@
 fn where_all_are_sick_the_last_call_is_served() {
     let mut cell = cell(&[engine(1, NEAR, false)]);
     for _ in 0..8 {
-        cell.see_failure(0, UpstreamKey(1), Verdict::Failed);
+        cell.record_failure(0, UpstreamKey(1), Verdict::Failed);
     }
     assert_eq!(engine_of(cell.place(0, &request(1, 400, 160, 90))), None);
     let mut last = request(1, 400, 160, 90);
-    last.is_last_call = true;
+    last.is_final_attempt = true;
     assert_eq!(engine_of(cell.place(0, &last)), Some(1));
 }
--- a/crates/policy/tests/cell/standing.rs
+++ b/crates/policy/tests/cell/standing.rs
@@ -22,7 +22,10 @@
         let placed = engine_of(cell.place(20, &request(run, 500, 16, 8)));
         assert_eq!(placed, Some(2));
     }
-    assert!(cell.leaving().is_empty(), "what runs there ends there");
+    assert!(
+        cell.leaving_engines().is_empty(),
+        "what runs there ends there"
+    );
 }
 
 /// Guards against a leaving engine's generations that are carried to an evacuated data centre.
