--- a/crates/cluster/src/circuit_breakers.rs
+++ b/crates/cluster/src/circuit_breakers.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use fulmarpath_policy::{
-    Admission, Circuit, CircuitState, Circuits, ContentKey, CrashRecord, Millis, Successes,
+    Admission, Circuit, CircuitState, Circuits, ContentKey, CrashRecord, Millis, RecentSuccesses,
     UpstreamKey,
 };
 use parking_lot::Mutex;
@@ -23,7 +23,7 @@
 pub struct CircuitBreakers {
     crashes: Mutex<Crashes>,
     circuits: Mutex<Circuits>,
-    successes: Mutex<Successes>,
+    successes: Mutex<RecentSuccesses>,
 }
 
 /// As a home.
@@ -114,7 +114,7 @@
 
     /// A request of this content was answered whole; true where its homes have to hear of it.
     pub fn note_success(&self, now_ms: Millis, content: ContentKey) -> bool {
-        self.successes.lock().note(now_ms, content);
+        self.successes.lock().record(now_ms, content);
         let circuits = self.circuits.lock();
         let known = circuits.find(content);
         known.is_some_and(|known| known.state != CircuitState::Closed)
@@ -122,6 +122,6 @@
 
     /// Whether a content ended well here lately.
     pub fn has_succeeded(&self, now_ms: Millis, content: ContentKey) -> bool {
-        self.successes.lock().has(now_ms, content)
+        self.successes.lock().contains(now_ms, content)
     }
 }
--- a/crates/cluster/src/poison.rs
+++ b/crates/cluster/src/poison.rs
@@ -130,9 +130,9 @@
     content: ContentKey,
 ) -> Result<(), Quarantined> {
     let retry_after_ms = match host.breakers().admit(host.now_ms(), content) {
-        Admission::Free => return Ok(()),
-        Admission::AskHome if may_probe(host, service, content).await => return Ok(()),
-        Admission::AskHome => PROBE_RUNS_MS,
+        Admission::Allowed => return Ok(()),
+        Admission::NeedsProbe if may_probe(host, service, content).await => return Ok(()),
+        Admission::NeedsProbe => PROBE_RUNS_MS,
         Admission::Refused { retry_after_ms } => retry_after_ms,
     };
     Err(Quarantined { retry_after_ms })
--- a/crates/entry/src/crash.rs
+++ b/crates/entry/src/crash.rs
@@ -4,7 +4,7 @@
 
 use fulmarpath_cluster::Permit;
 use fulmarpath_http::CLOSING_WAIT;
-use fulmarpath_policy::may_have_ended_it;
+use fulmarpath_policy::is_crash_suspect;
 use fulmarpath_upstream::EngineError;
 use spdlog::warn;
 use tokio::time::{sleep, timeout};
@@ -39,7 +39,7 @@
     pub(crate) async fn may_go_on(&mut self, permit: &Permit) -> bool {
         let now_ms = self.clock.now_ms();
         let ran_ms = self.begun_ms.map(|begun| now_ms.saturating_sub(begun));
-        if !may_have_ended_it(ran_ms) || !self.has_ended(permit).await {
+        if !is_crash_suspect(ran_ms) || !self.has_ended(permit).await {
             return true;
         }
         let (service, content) = (self.job.request.service, self.job.content);
--- a/crates/gateway/src/crashes.rs
+++ b/crates/gateway/src/crashes.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use fulmarpath_http::still_listens;
-use fulmarpath_policy::{ContentKey, Millis, UpstreamKey, may_have_ended_it};
+use fulmarpath_policy::{ContentKey, Millis, UpstreamKey, is_crash_suspect};
 use spdlog::info;
 use tokio::time::timeout;
 
@@ -50,7 +50,7 @@
 
     /// Whether it may be what ended its upstream.
     pub(crate) fn is_suspect(&self) -> bool {
-        may_have_ended_it(self.ran_ms)
+        is_crash_suspect(self.ran_ms)
     }
 }
 
--- a/crates/gateway/src/poison.rs
+++ b/crates/gateway/src/poison.rs
@@ -105,7 +105,7 @@
             .circuit_breakers
             .admit(self.clock.now_ms(), inbound.content);
         match admission {
-            Admission::Free | Admission::AskHome => Ok(()),
+            Admission::Allowed | Admission::NeedsProbe => Ok(()),
             Admission::Refused { retry_after_ms } => Err(Problem::Quarantined { retry_after_ms }),
         }
     }
--- a/crates/gateway/src/recovery.rs
+++ b/crates/gateway/src/recovery.rs
@@ -138,7 +138,7 @@
     /// Reads the data that a stopped engine still has in transit.
     async fn drain(&mut self) {
         let until_ms = self.gateway.clock.now_ms() + DRAIN_MS;
-        while self.handover.reads() {
+        while self.handover.is_stream_open() {
             let read = self.stream.read(&mut self.events, until_ms, &self.gateway);
             if !matches!(read.await, StreamRead::Bytes) {
                 return;
--- a/crates/gateway/src/relay.rs
+++ b/crates/gateway/src/relay.rs
@@ -5,7 +5,9 @@
 
 use bytes::{Bytes, BytesMut};
 use fulmarpath_http::BodyBroken;
-use fulmarpath_policy::{CarryStep, Handover, Millis, Next, RunEnd, RunKey, StreamEnd, Verdict};
+use fulmarpath_policy::{
+    Handover, MigrationStep, Millis, NextStep, RunEnd, RunKey, StreamEnd, Verdict,
+};
 use fulmarpath_wire::{CellKey, MigrationAnswer};
 use spdlog::info;
 use tokio::sync::mpsc;
@@ -133,13 +135,13 @@
                 return Some(Err(self.fail("stream_overdue", BodyBroken)));
             };
             let continues = match next {
-                Next::Read | Next::AwaitCarry => true,
-                Next::Finish => {
+                NextStep::Read | NextStep::AwaitMigration => true,
+                NextStep::Finish => {
                     self.is_whole = true;
                     true
                 }
-                Next::GoOn => self.continue_after_stop().await || self.recover().await,
-                Next::Recover => self.recover().await,
+                NextStep::Resume => self.continue_after_stop().await || self.recover().await,
+                NextStep::Recover => self.recover().await,
             };
             if !continues {
                 return Some(Err(self.fail("stream_broken", BodyBroken)));
@@ -148,10 +150,10 @@
     }
 
     /// Waits for the next event of any kind; `None` if the deadline has passed.
-    async fn step(&mut self) -> Option<Next> {
+    async fn step(&mut self) -> Option<NextStep> {
         let until_ms = self.inbound.deadline_ms;
         let left_ms = until_ms.saturating_sub(self.gateway.clock.now_ms());
-        let reads = self.handover.reads();
+        let reads = self.handover.is_stream_open();
         let lost = self.stream.in_flight.chosen.lost.clone();
         let silence = self.silence_left();
         let read = tokio::select! {
@@ -160,7 +162,7 @@
             () = sleep(Duration::from_millis(left_ms)), if !reads => StreamRead::Overdue,
             () = lost.cancelled(), if reads => StreamRead::Broken,
             () = sleep(silence.unwrap_or_default()), if silence.is_some() => self.confirm_silence().await,
-            Some(order) = self.orders.recv(), if self.handover.may_begin() => {
+            Some(order) = self.orders.recv(), if self.handover.can_begin_migration() => {
                 self.begin(order);
                 StreamRead::Bytes
             }
@@ -169,16 +171,16 @@
             }
         };
         match read {
-            StreamRead::Bytes => Some(Next::Read),
-            StreamRead::End => Some(self.handover.end(StreamEnd::Whole)),
-            StreamRead::Broken => Some(self.handover.end(StreamEnd::Broken)),
+            StreamRead::Bytes => Some(NextStep::Read),
+            StreamRead::End => Some(self.handover.end_stream(StreamEnd::Complete)),
+            StreamRead::Broken => Some(self.handover.end_stream(StreamEnd::Broken)),
             StreamRead::Overdue => None,
         }
     }
 
     /// How long the engine may stay silent before the generation resumes from the running copy.
     fn silence_left(&self) -> Option<Duration> {
-        let may_leave = self.backup.is_some() && self.handover.may_begin();
+        let may_leave = self.backup.is_some() && self.handover.can_begin_migration();
         let target_ms = self.inbound.route.gap_target_ms?;
         // Time spent by the previous engine, for a final copy or in silence, does not count as this
         // engine's silence.
@@ -276,21 +278,21 @@
         let control = self.gateway.control.clone();
         let source = self.stream.address();
         let id = self.tracker.id.clone();
-        self.handover.begin();
+        self.handover.begin_migration();
         self.migration = Some(Migration::begin(control, source, id, order));
     }
 
     /// Handles the outcome of a migration step.
-    fn advance(&mut self, step: Step) -> Next {
+    fn advance(&mut self, step: Step) -> NextStep {
         let answer = match step {
-            Step::Copied => return self.handover.step(CarryStep::Copied),
+            Step::Copied => return self.handover.advance_migration(MigrationStep::Copied),
             Step::Stopped { to, copy } => {
                 self.stopped = Some(Stopped { to: Some(to), copy });
-                return self.handover.step(CarryStep::Stopped);
+                return self.handover.advance_migration(MigrationStep::Stopped);
             }
             Step::StoppedAtSource { copy } => {
                 self.stopped = Some(Stopped { to: None, copy });
-                return self.handover.step(CarryStep::Stopped);
+                return self.handover.advance_migration(MigrationStep::Stopped);
             }
             Step::Stayed => MigrationAnswer::Stayed,
             Step::Refused => MigrationAnswer::Refused,
@@ -299,11 +301,11 @@
             Step::NotFound if self.tracker.events == 0 => MigrationAnswer::Stayed,
             Step::NotFound | Step::Orphaned => MigrationAnswer::LeftBehind,
         };
-        let next = self.handover.step(CarryStep::NotStopped);
+        let next = self.handover.advance_migration(MigrationStep::NotStopped);
         let has_copy = self.migration.as_ref().is_some_and(Migration::has_copy);
         // If the engine was lost before it could stop the generation, the first copy remains, and
         // may be the only one.
-        if next != Next::Recover || !has_copy {
+        if next != NextStep::Recover || !has_copy {
             self.end_migration(answer);
         }
         next
--- a/crates/policy/src/circuit/circuits.rs
+++ b/crates/policy/src/circuit/circuits.rs
@@ -56,15 +56,15 @@
     /// Whether a request of this content may be sent.
     pub fn admit(&self, now_ms: Millis, content: ContentKey) -> Admission {
         let Some(kept) = self.kept.get(&content) else {
-            return Admission::Free;
+            return Admission::Allowed;
         };
         let left_ms = kept.circuit.open_ms().saturating_sub(kept.age_ms(now_ms));
         match kept.circuit.state {
-            CircuitState::Closed => Admission::Free,
+            CircuitState::Closed => Admission::Allowed,
             CircuitState::Open if left_ms > 0 => Admission::Refused {
                 retry_after_ms: left_ms,
             },
-            CircuitState::HalfOpen | CircuitState::Open => Admission::AskHome,
+            CircuitState::HalfOpen | CircuitState::Open => Admission::NeedsProbe,
         }
     }
 
--- a/crates/policy/src/circuit/mod.rs
+++ b/crates/policy/src/circuit/mod.rs
@@ -22,7 +22,7 @@
 pub use circuits::Circuits;
 pub use record::CrashRecord;
 pub use restoration::Restoration;
-pub use successes::Successes;
+pub use successes::RecentSuccesses;
 
 /// How requests of one content may run, in order of severity.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
@@ -84,9 +84,9 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Admission {
     /// It may.
-    Free,
+    Allowed,
     /// It may if the home grants it as the probe.
-    AskHome,
+    NeedsProbe,
     /// It may not.
     Refused {
         /// Until the circuit is half-open.
@@ -100,7 +100,7 @@
 
 /// Whether a run may be what ended its upstream, after so long there; `None` where nothing of its
 /// answer had come.
-pub fn may_have_ended_it(ran_ms: Option<Millis>) -> bool {
+pub fn is_crash_suspect(ran_ms: Option<Millis>) -> bool {
     ran_ms.is_none_or(|ran_ms| ran_ms < BEGUN_MS)
 }
 
--- a/crates/policy/src/circuit/successes.rs
+++ b/crates/policy/src/circuit/successes.rs
@@ -14,21 +14,21 @@
 /// these are no suspects of a crash: a check that many callers repeat would otherwise be on every
 /// upstream that ends.
 #[derive(Debug, Clone, Default)]
-pub struct Successes {
+pub struct RecentSuccesses {
     recent: HashSet<ContentKey>,
     before: HashSet<ContentKey>,
     turned_ms: Millis,
 }
 
-impl Successes {
+impl RecentSuccesses {
     /// A request of this content was answered whole.
-    pub fn note(&mut self, now_ms: Millis, content: ContentKey) {
+    pub fn record(&mut self, now_ms: Millis, content: ContentKey) {
         self.version(now_ms);
         self.recent.insert(content);
     }
 
     /// Whether one was lately.
-    pub fn has(&mut self, now_ms: Millis, content: ContentKey) -> bool {
+    pub fn contains(&mut self, now_ms: Millis, content: ContentKey) -> bool {
         self.version(now_ms);
         self.recent.contains(&content) || self.before.contains(&content)
     }
--- a/crates/policy/src/handover.rs
+++ b/crates/policy/src/handover.rs
@@ -24,14 +24,14 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum StreamEnd {
     /// As its framing says.
-    Whole,
+    Complete,
     /// Broken off, or its engine is known to be gone.
     Broken,
 }
 
 /// What a carry has come to.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum CarryStep {
+pub enum MigrationStep {
     /// The long copy is there, and the engine is told to stop the generation.
     Copied,
     /// The carry is over, and the engine has not stopped the generation.
@@ -42,17 +42,17 @@
 
 /// What to do next.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Next {
+pub enum NextStep {
     /// Read on.
     Read,
     /// Nothing more is to be read before the carry tells what became of the generation.
-    AwaitCarry,
+    AwaitMigration,
     /// The answer is whole.
     Finish,
     /// The generation is lost with its engine: go on from a copy of its memory.
     Recover,
     /// The generation is stopped: go on from where its memory is.
-    GoOn,
+    Resume,
 }
 
 /// One stream and the carry of its generation.
@@ -64,17 +64,17 @@
 
 impl Handover {
     /// Whether the engine's stream may still bring something.
-    pub fn reads(&self) -> bool {
+    pub fn is_stream_open(&self) -> bool {
         self.ended.is_none()
     }
 
     /// Whether a carry may begin: not beside another, nor when there is nothing left to carry.
-    pub fn may_begin(&self) -> bool {
-        self.stage == Stage::Idle && self.reads()
+    pub fn can_begin_migration(&self) -> bool {
+        self.stage == Stage::Idle && self.is_stream_open()
     }
 
     /// A carry begins.
-    pub fn begin(&mut self) {
+    pub fn begin_migration(&mut self) {
         self.stage = Stage::Copying;
     }
 
@@ -82,29 +82,29 @@
     ///
     /// An engine that stops a generation ends its stream, and an answer without a length then looks
     /// whole. Only the carry can tell the one from the other.
-    pub fn end(&mut self, end: StreamEnd) -> Next {
+    pub fn end_stream(&mut self, end: StreamEnd) -> NextStep {
         self.ended = Some(end);
         if self.stage == Stage::Stopping {
-            return Next::AwaitCarry;
+            return NextStep::AwaitMigration;
         }
         self.stage = Stage::Idle;
         over(end)
     }
 
     /// The carry has come to something.
-    pub fn step(&mut self, step: CarryStep) -> Next {
+    pub fn advance_migration(&mut self, step: MigrationStep) -> NextStep {
         match step {
-            CarryStep::Copied => {
+            MigrationStep::Copied => {
                 self.stage = Stage::Stopping;
-                self.ended.map_or(Next::Read, over)
+                self.ended.map_or(NextStep::Read, over)
             }
-            CarryStep::NotStopped => {
+            MigrationStep::NotStopped => {
                 self.stage = Stage::Idle;
-                self.ended.map_or(Next::Read, over)
+                self.ended.map_or(NextStep::Read, over)
             }
-            CarryStep::Stopped => {
+            MigrationStep::Stopped => {
                 self.stage = Stage::Idle;
-                Next::GoOn
+                NextStep::Resume
             }
         }
     }
@@ -115,9 +115,9 @@
     }
 }
 
-fn over(end: StreamEnd) -> Next {
+fn over(end: StreamEnd) -> NextStep {
     match end {
-        StreamEnd::Whole => Next::Finish,
-        StreamEnd::Broken => Next::Recover,
+        StreamEnd::Complete => NextStep::Finish,
+        StreamEnd::Broken => NextStep::Recover,
     }
 }
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -50,8 +50,8 @@
 };
 pub use choose::{Choice, choose};
 pub use circuit::{
-    Admission, Circuit, CircuitState, Circuits, CrashRecord, Restoration, Successes,
-    may_have_ended_it,
+    Admission, Circuit, CircuitState, Circuits, CrashRecord, RecentSuccesses, Restoration,
+    is_crash_suspect,
 };
 pub use cold::{Cold, ColdBound, ColdStarts};
 pub use division::Division;
@@ -60,7 +60,7 @@
 pub use fair::Fairness;
 pub use fit::{FitRule, Footprint};
 pub use gauge::{FlightId, Gauge, StatedLoad, Verdict};
-pub use handover::{CarryStep, Handover, Next, StreamEnd};
+pub use handover::{Handover, MigrationStep, NextStep, StreamEnd};
 pub use home::{Home, HomeLoad};
 pub use home_settings::HomeSettings;
 pub use join::Join;
--- a/crates/policy/tests/circuit.rs
+++ b/crates/policy/tests/circuit.rs
@@ -1,8 +1,8 @@
 //! Poison requests: who is suspected, who is let run, and for how long.
 
 use fulmarpath_policy::{
-    Admission, Circuit, CircuitState, Circuits, ContentKey, CrashRecord, Millis, Restoration,
-    Successes, UpstreamKey,
+    Admission, Circuit, CircuitState, Circuits, ContentKey, CrashRecord, Millis, RecentSuccesses,
+    Restoration, UpstreamKey,
 };
 use rstest::rstest;
 
@@ -105,7 +105,7 @@
         home.crash(upstream, &[P, X]);
     }
     home.settle();
-    assert_eq!(home.admit(X), Admission::AskHome);
+    assert_eq!(home.admit(X), Admission::NeedsProbe);
     assert!(home.record.grant_probe(home.now_ms, X));
     let freed = home.clear(X).expect("it had a circuit");
     assert_eq!(freed.state, CircuitState::Closed);
@@ -122,14 +122,14 @@
     let mut home = Home::default();
     let mut crashes = 0;
     while !matches!(home.admit(P), Admission::Refused { .. }) {
-        if home.now_ms.is_multiple_of(250) && home.admit(P) == Admission::Free {
+        if home.now_ms.is_multiple_of(250) && home.admit(P) == Admission::Allowed {
             home.crash(crashes, &[P]);
             crashes += 1;
         }
         home.now_ms += 50;
         home.record.evaluate(home.now_ms, &mut home.circuits);
         assert!(home.now_ms < 3_000, "{crashes} crashes, and it is not open");
-        if home.admit(P) == Admission::AskHome && home.record.grant_probe(home.now_ms, P) {
+        if home.admit(P) == Admission::NeedsProbe && home.record.grant_probe(home.now_ms, P) {
             home.crash(crashes, &[P]);
             crashes += 1;
         }
@@ -149,7 +149,7 @@
     assert!(home.record.grant_probe(home.now_ms + 5_000, P));
     home.now_ms += 5_000;
     home.clear(P);
-    assert_eq!(home.admit(P), Admission::Free);
+    assert_eq!(home.admit(P), Admission::Allowed);
 }
 
 /// Reports of one crash come from several hosts, and for several tries of one caller.
@@ -193,7 +193,7 @@
     let retry_after_ms = until_ms - home.now_ms;
     assert_eq!(home.admit(P), Admission::Refused { retry_after_ms });
     home.now_ms = until_ms;
-    assert_eq!(home.admit(P), Admission::AskHome);
+    assert_eq!(home.admit(P), Admission::NeedsProbe);
     home.crash(4, &[P]);
     home.settle();
     let retry_after_ms = 12 * FIRST_OPEN_MS;
@@ -303,18 +303,18 @@
     home.crash(100_000, &[P]);
     home.settle();
     home.clear(P).expect("it had a circuit");
-    assert_eq!(home.admit(P), Admission::Free);
+    assert_eq!(home.admit(P), Admission::Allowed);
 }
 
 /// A content that ended well lately is no cause. Its word is forgotten after a while.
 #[test]
 fn a_success_counts_for_a_while() {
-    let mut successes = Successes::default();
-    successes.note(0, P);
-    assert!(successes.has(29_999, P));
-    assert!(successes.has(45_000, P));
-    assert!(!successes.has(75_000, P));
-    assert!(!successes.has(75_000, X));
+    let mut successes = RecentSuccesses::default();
+    successes.record(0, P);
+    assert!(successes.contains(29_999, P));
+    assert!(successes.contains(45_000, P));
+    assert!(!successes.contains(75_000, P));
+    assert!(!successes.contains(75_000, X));
 }
 
 /// Guards against a circuit that opens once more for crashes it was opened for already, as another
@@ -335,11 +335,11 @@
     home.crash(6, &[P, X]);
     home.settle();
     home.now_ms += FIRST_OPEN_MS;
-    assert_eq!(home.admit(P), Admission::AskHome);
+    assert_eq!(home.admit(P), Admission::NeedsProbe);
     assert!(home.record.grant_probe(home.now_ms, X));
     home.clear(X).expect("it had a circuit");
     assert!(home.settle().is_empty(), "nothing has crashed since");
-    assert_eq!(home.admit(P), Admission::AskHome);
+    assert_eq!(home.admit(P), Admission::NeedsProbe);
 }
 
 struct Mending {
--- a/crates/policy/tests/handover.rs
+++ b/crates/policy/tests/handover.rs
@@ -1,62 +1,62 @@
 //! Whatever comes first of a stream's end and its generation's carry, the stream is read, waited for
 //! or over.
 
-use fulmarpath_policy::{CarryStep, Handover, Next, StreamEnd};
+use fulmarpath_policy::{Handover, MigrationStep, NextStep, StreamEnd};
 use rstest::rstest;
 
 #[derive(Debug, Clone, Copy)]
 enum Event {
     Begin,
     End(StreamEnd),
-    Step(CarryStep),
+    Step(MigrationStep),
 }
 
-use CarryStep::{Copied, NotStopped, Stopped};
 use Event::{Begin, End, Step};
-use StreamEnd::{Broken, Whole};
+use MigrationStep::{Copied, NotStopped, Stopped};
+use StreamEnd::{Broken, Complete};
 
 struct Course {
     events: &'static [Event],
     /// What the last of them calls for.
-    next: Next,
+    next: NextStep,
 }
 
 /// An engine's stream ends or breaks before a carry, during its long copy, or while the engine is
 /// told to stop; and the carry then stops the generation or does not. The caller gets the end of a
 /// whole answer, or the generation goes on; it never waits for what can't come.
 #[rstest]
-#[case::ends(Course { events: &[End(Whole)], next: Next::Finish })]
-#[case::breaks(Course { events: &[End(Broken)], next: Next::Recover })]
-#[case::ends_while_copied(Course { events: &[Begin, End(Whole)], next: Next::Finish })]
-#[case::breaks_while_copied(Course { events: &[Begin, End(Broken)], next: Next::Recover })]
-#[case::not_stopped(Course { events: &[Begin, Step(NotStopped)], next: Next::Read })]
-#[case::copied(Course { events: &[Begin, Step(Copied)], next: Next::Read })]
-#[case::stopped(Course { events: &[Begin, Step(Copied), Step(Stopped)], next: Next::GoOn })]
-#[case::refused_a_stop(Course { events: &[Begin, Step(Copied), Step(NotStopped)], next: Next::Read })]
-#[case::ends_at_the_stop(Course { events: &[Begin, Step(Copied), End(Whole)], next: Next::AwaitCarry })]
-#[case::breaks_at_the_stop(Course { events: &[Begin, Step(Copied), End(Broken)], next: Next::AwaitCarry })]
-#[case::ended_by_the_stop(Course { events: &[Begin, Step(Copied), End(Whole), Step(Stopped)], next: Next::GoOn })]
-#[case::broken_by_the_stop(Course { events: &[Begin, Step(Copied), End(Broken), Step(Stopped)], next: Next::GoOn })]
-#[case::ended_by_itself(Course { events: &[Begin, Step(Copied), End(Whole), Step(NotStopped)], next: Next::Finish })]
-#[case::broken_by_itself(Course { events: &[Begin, Step(Copied), End(Broken), Step(NotStopped)], next: Next::Recover })]
-#[case::ends_after_a_carry(Course { events: &[Begin, Step(NotStopped), End(Whole)], next: Next::Finish })]
+#[case::ends(Course { events: &[End(Complete)], next: NextStep::Finish })]
+#[case::breaks(Course { events: &[End(Broken)], next: NextStep::Recover })]
+#[case::ends_while_copied(Course { events: &[Begin, End(Complete)], next: NextStep::Finish })]
+#[case::breaks_while_copied(Course { events: &[Begin, End(Broken)], next: NextStep::Recover })]
+#[case::not_stopped(Course { events: &[Begin, Step(NotStopped)], next: NextStep::Read })]
+#[case::copied(Course { events: &[Begin, Step(Copied)], next: NextStep::Read })]
+#[case::stopped(Course { events: &[Begin, Step(Copied), Step(Stopped)], next: NextStep::Resume })]
+#[case::refused_a_stop(Course { events: &[Begin, Step(Copied), Step(NotStopped)], next: NextStep::Read })]
+#[case::ends_at_the_stop(Course { events: &[Begin, Step(Copied), End(Complete)], next: NextStep::AwaitMigration })]
+#[case::breaks_at_the_stop(Course { events: &[Begin, Step(Copied), End(Broken)], next: NextStep::AwaitMigration })]
+#[case::ended_by_the_stop(Course { events: &[Begin, Step(Copied), End(Complete), Step(Stopped)], next: NextStep::Resume })]
+#[case::broken_by_the_stop(Course { events: &[Begin, Step(Copied), End(Broken), Step(Stopped)], next: NextStep::Resume })]
+#[case::ended_by_itself(Course { events: &[Begin, Step(Copied), End(Complete), Step(NotStopped)], next: NextStep::Finish })]
+#[case::broken_by_itself(Course { events: &[Begin, Step(Copied), End(Broken), Step(NotStopped)], next: NextStep::Recover })]
+#[case::ends_after_a_carry(Course { events: &[Begin, Step(NotStopped), End(Complete)], next: NextStep::Finish })]
 fn a_stream_has_a_next_step(#[case] course: Course) {
     let mut handover = Handover::default();
-    let mut next = Next::Read;
+    let mut next = NextStep::Read;
     for event in course.events {
         next = play(&mut handover, *event);
     }
     assert_eq!(next, course.next);
 }
 
-fn play(handover: &mut Handover, event: Event) -> Next {
+fn play(handover: &mut Handover, event: Event) -> NextStep {
     match event {
         Begin => {
-            handover.begin();
-            Next::Read
+            handover.begin_migration();
+            NextStep::Read
         }
-        End(end) => handover.end(end),
-        Step(step) => handover.step(step),
+        End(end) => handover.end_stream(end),
+        Step(step) => handover.advance_migration(step),
     }
 }
 
@@ -64,16 +64,18 @@
 /// open; where it is to wait, a carry is under way that will come to something.
 #[test]
 fn no_course_waits_for_nothing() {
-    let mut courses = vec![(Handover::default(), Next::Read, false)];
+    let mut courses = vec![(Handover::default(), NextStep::Read, false)];
     let mut looked_at = 0;
     for _ in 0..6 {
         courses = courses.into_iter().flat_map(follow).collect();
         for (handover, next, carries) in &courses {
             looked_at += 1;
             match next {
-                Next::Read => assert!(handover.reads(), "{handover:?}"),
-                Next::AwaitCarry => assert!(*carries && !handover.reads(), "{handover:?}"),
-                Next::Finish | Next::Recover | Next::GoOn => {}
+                NextStep::Read => assert!(handover.is_stream_open(), "{handover:?}"),
+                NextStep::AwaitMigration => {
+                    assert!(*carries && !handover.is_stream_open(), "{handover:?}")
+                }
+                NextStep::Finish | NextStep::Recover | NextStep::Resume => {}
             }
         }
     }
@@ -81,26 +83,28 @@
 }
 
 /// What may follow, with whether a carry is under way then.
-fn follow((handover, next, carries): (Handover, Next, bool)) -> Vec<(Handover, Next, bool)> {
+fn follow(
+    (handover, next, carries): (Handover, NextStep, bool),
+) -> Vec<(Handover, NextStep, bool)> {
     let mut after = Vec::new();
     let mut add = |event: Event, carries: bool| {
         let mut later = handover;
         let next = play(&mut later, event);
         after.push((later, next, carries));
     };
-    if matches!(next, Next::Finish | Next::Recover) {
+    if matches!(next, NextStep::Finish | NextStep::Recover) {
         return after;
     }
-    if next == Next::GoOn {
+    if next == NextStep::Resume {
         let mut later = handover;
         later.restart();
-        return vec![(later, Next::Read, false)];
+        return vec![(later, NextStep::Read, false)];
     }
-    if handover.reads() {
-        add(End(Whole), carries);
+    if handover.is_stream_open() {
+        add(End(Complete), carries);
         add(End(Broken), carries);
     }
-    if handover.may_begin() {
+    if handover.can_begin_migration() {
         add(Begin, true);
     }
     if carries {
