--- a/crates/gateway/src/attempt.rs
+++ b/crates/gateway/src/attempt.rs
@@ -11,7 +11,7 @@
 use hyper::{Request, Response, StatusCode};
 use tokio::time::timeout;
 
-use crate::crashes::BrokenRun;
+use crate::crashes::InterruptedRun;
 use crate::gateway::Gateway;
 use crate::head::{Continuation, Outbound, ResponseHead};
 use crate::inbound::InboundRequest;
@@ -140,7 +140,7 @@
             exchanged = exchange => exchanged,
             () = lost.cancelled() => {
                 in_flight.note(Verdict::Unheard);
-                self.note_broken(BrokenRun::new(&in_flight.chosen, inbound, id, None));
+                self.check_for_crash(InterruptedRun::new(&in_flight.chosen, inbound, id, None));
                 return Err(Failure::Unknown);
             }
         };
@@ -152,7 +152,7 @@
             }
             Ok(Err(_)) => {
                 in_flight.note(Verdict::Failed);
-                self.note_broken(BrokenRun::new(&in_flight.chosen, inbound, id, None));
+                self.check_for_crash(InterruptedRun::new(&in_flight.chosen, inbound, id, None));
                 return Err(Failure::Unknown);
             }
             Err(_) => {
@@ -167,7 +167,7 @@
         let is_stray = !head.is_not_run && head.id.as_deref() != Some(id);
         let is_other = response.status() == StatusCode::MISDIRECTED_REQUEST;
         if !is_stray && !is_other {
-            self.hear_signals(&in_flight.chosen, head.signals);
+            self.apply_signals(&in_flight.chosen, head.signals);
         }
         if head.is_not_run {
             in_flight.note(Verdict::Shed);
--- a/crates/gateway/src/backpressure.rs
+++ b/crates/gateway/src/backpressure.rs
@@ -10,11 +10,11 @@
 
 impl Gateway {
     /// Takes what the head of an upstream's own answer asks for.
-    pub(crate) fn hear_signals(&self, chosen: &Chosen, signals: Signals) {
+    pub(crate) fn apply_signals(&self, chosen: &Chosen, signals: Signals) {
         let now_ms = self.clock.now_ms();
         let heard = self
             .instances
-            .hear_signals(now_ms, chosen.upstream, signals);
+            .apply_signals(now_ms, chosen.upstream, signals);
         let (before, after) = heard;
         let instance = &chosen.instance;
         match (before.limit_per_s(), after.limit_per_s()) {
@@ -35,7 +35,7 @@
 
 impl Instances {
     /// Takes what an answer asks of this upstream's callers; what it asked for before and after.
-    pub(crate) fn hear_signals(
+    pub(crate) fn apply_signals(
         &self,
         now_ms: Millis,
         upstream: UpstreamKey,
@@ -54,14 +54,14 @@
     }
 
     /// Takes a limit that another host was told at a moment.
-    pub(crate) fn hear_limit(&self, upstream: UpstreamKey, per_s: f32, heard_ms: Millis) {
+    pub(crate) fn apply_limit(&self, upstream: UpstreamKey, per_s: f32, heard_ms: Millis) {
         let mut table = self.table.lock();
         let asked = table.backpressure.entry(upstream).or_default();
         asked.hear_limit(per_s, heard_ms);
     }
 
     /// An upstream's limit leaves no start for this host before `until_ms`.
-    pub(crate) fn hold(&self, upstream: UpstreamKey, until_ms: Millis) {
+    pub(crate) fn throttle_until(&self, upstream: UpstreamKey, until_ms: Millis) {
         let mut table = self.table.lock();
         let asked = table.backpressure.entry(upstream).or_default();
         asked.hold(until_ms);
@@ -82,11 +82,11 @@
     }
 
     /// Upstreams that take nothing new of this host now, by what they ask for.
-    pub(crate) fn closed(&self, now_ms: Millis) -> Vec<UpstreamKey> {
+    pub(crate) fn throttled(&self, now_ms: Millis) -> Vec<UpstreamKey> {
         let table = self.table.lock();
         let asked = table.backpressure.iter();
-        let closed = asked.filter(|(_, asked)| asked.is_closed(now_ms));
-        closed.map(|(upstream, _)| *upstream).collect()
+        let throttled = asked.filter(|(_, asked)| asked.is_closed(now_ms));
+        throttled.map(|(upstream, _)| *upstream).collect()
     }
 
     /// Registered upstreams that have said to this host that they leave.
@@ -95,7 +95,7 @@
     }
 
     /// Registered upstreams that want nothing from this host now.
-    pub(crate) fn resting_count(&self, now_ms: Millis) -> usize {
+    pub(crate) fn backing_off_count(&self, now_ms: Millis) -> usize {
         self.count_asking(|asked| asked.rests(now_ms))
     }
 
@@ -113,12 +113,12 @@
 
     /// When the first upstream of a service takes more of this host; `None` where one does now, or
     /// where none takes work at all.
-    pub(crate) fn opens_ms(&self, now_ms: Millis, service: &str) -> Option<Millis> {
+    pub(crate) fn available_at_ms(&self, now_ms: Millis, service: &str) -> Option<Millis> {
         let table = self.table.lock();
         let same = table.by_service.get(service)?;
         let open = same.iter().map(|key| &table.arena[*key]);
         let open = open.filter(|one| table.takes_work(one));
-        let first_ms = open.map(|one| table.opens_ms(one.upstream)).min()?;
+        let first_ms = open.map(|one| table.available_at_ms(one.upstream)).min()?;
         (first_ms > now_ms).then_some(first_ms)
     }
 }
--- a/crates/gateway/src/layout.rs
+++ b/crates/gateway/src/cell_layout.rs
@@ -6,7 +6,7 @@
 use fulmarpath_wire::CellKey;
 
 use crate::directory::Registration;
-use crate::key::{cell_of, name_of};
+use crate::key::{cell_key, name_key};
 
 /// The cell of each engine.
 pub(crate) type CellsByEngine = HashMap<UpstreamKey, CellKey>;
@@ -28,11 +28,14 @@
 ) -> HashMap<CellKey, Vec<&'a Registration>> {
     let mut by_cell: HashMap<CellKey, Vec<&Registration>> = HashMap::new();
     if division == &Division::default() {
-        by_cell.insert(cell_of(service, None), Vec::new());
+        by_cell.insert(cell_key(service, None), Vec::new());
     }
     for one in registered {
-        let part = division.part_with(&one.data_centre, name_of(one));
-        by_cell.entry(cell_of(service, part)).or_default().push(one);
+        let part = division.part_with(&one.data_centre, name_key(one));
+        by_cell
+            .entry(cell_key(service, part))
+            .or_default()
+            .push(one);
     }
     by_cell
 }
@@ -44,5 +47,5 @@
     data_centre: &str,
     run: RunKey,
 ) -> CellKey {
-    cell_of(service, division.part_for(data_centre, run.0))
+    cell_key(service, division.part_for(data_centre, run.0))
 }
--- a/crates/gateway/src/cells.rs
+++ b/crates/gateway/src/cells.rs
@@ -10,11 +10,11 @@
 use parking_lot::Mutex;
 
 use crate::availability::Availability;
+use crate::cell_layout::{self, CellsByEngine};
 use crate::configuration::{ActiveConfiguration, EngineTraits};
 use crate::control::EngineStatus;
 use crate::directory::{Directory, RegisteredState, Registration};
-use crate::key::{centre_of, name_of, upstream_of};
-use crate::layout::{self, CellsByEngine};
+use crate::key::{data_centre_key, name_key, upstream_key};
 
 /// One cell and the service that it is of.
 struct Table {
@@ -23,7 +23,7 @@
 }
 
 /// How a service is divided now.
-struct LaidOut {
+struct DivisionChange {
     division: Division,
     /// Engines are of other cells than before.
     is_new: bool,
@@ -42,7 +42,7 @@
 
 impl Cells {
     /// Takes the engines that are registered now; true where homes have to learn anew what runs.
-    pub(crate) fn adopt(
+    pub(crate) fn apply_directory(
         &self,
         now_ms: Millis,
         in_force: &ActiveConfiguration,
@@ -61,9 +61,10 @@
                 continue;
             };
             let registered = by_service.remove(service.name.as_str()).unwrap_or_default();
-            let laid_out = self.lay_out(&service.name, &registered);
-            let by_cell = layout::divide(&laid_out.division, &service.name, &registered);
-            if laid_out.is_new {
+            let division_change = self.update_division(&service.name, &registered);
+            let by_cell =
+                cell_layout::divide(&division_change.division, &service.name, &registered);
+            if division_change.is_new {
                 is_new = true;
                 // Engines that are of another cell now would be taken for leaving; homes learn of
                 // the generations anew by the next statements.
@@ -77,7 +78,7 @@
             }
             for (cell, engines) in by_cell {
                 let engines = engines.iter().map(|one| {
-                    let availability = availability_of(upstream_of(one));
+                    let availability = availability_of(upstream_key(one));
                     engine(one, traits, availability)
                 });
                 let engines: Vec<CellEngine> = engines.collect();
@@ -94,19 +95,19 @@
         is_new
     }
 
-    fn lay_out(&self, service: &str, registered: &[&Registration]) -> LaidOut {
+    fn update_division(&self, service: &str, registered: &[&Registration]) -> DivisionChange {
         let mut divisions = self.divisions.lock();
         let before = divisions.get(service).cloned().unwrap_or_default();
-        let division = before.next(&layout::count(registered));
+        let division = before.next(&cell_layout::count(registered));
         divisions.insert(service.to_owned(), division.clone());
-        LaidOut {
+        DivisionChange {
             is_new: !division.has_cells_of(&before),
             division,
         }
     }
 
     /// The cell that an engine is of now.
-    pub(crate) fn cell_with(&self, engine: UpstreamKey) -> Option<CellKey> {
+    pub(crate) fn cell_of_engine(&self, engine: UpstreamKey) -> Option<CellKey> {
         self.by_engine.lock().get(&engine).copied()
     }
 
@@ -119,7 +120,7 @@
     pub(crate) fn cell_for(&self, service: &str, data_centre: &str, run: RunKey) -> CellKey {
         let divisions = self.divisions.lock();
         let division = divisions.get(service).cloned().unwrap_or_default();
-        layout::cell_for(&division, service, data_centre, run)
+        cell_layout::cell_for(&division, service, data_centre, run)
     }
 
     pub(crate) fn place(
@@ -149,7 +150,7 @@
         }
     }
 
-    pub(crate) fn keep_hosts(&self, is_present: impl Fn(HostKey) -> bool) {
+    pub(crate) fn retain_hosts(&self, is_present: impl Fn(HostKey) -> bool) {
         for table in self.tables.lock().values_mut() {
             table.cell.retain_hosts(&is_present);
         }
@@ -173,7 +174,7 @@
     }
 
     /// A generation did not begin on an engine as it should, or broke off there.
-    pub(crate) fn see_failure(
+    pub(crate) fn record_failure(
         &self,
         now_ms: Millis,
         cell: CellKey,
@@ -186,7 +187,7 @@
     }
 
     /// Takes what an engine has shown; true where it changes what is believed of it.
-    pub(crate) fn see(
+    pub(crate) fn apply_probe(
         &self,
         now_ms: Millis,
         cell: CellKey,
@@ -215,7 +216,7 @@
         all.collect()
     }
 
-    pub(crate) fn next_carry(
+    pub(crate) fn next_migration(
         &self,
         now_ms: Millis,
         cell: CellKey,
@@ -225,7 +226,7 @@
         tables.get_mut(&cell)?.cell.next_migration(now_ms, from)
     }
 
-    pub(crate) fn carried(
+    pub(crate) fn finish_migration(
         &self,
         now_ms: Millis,
         cell: CellKey,
@@ -244,9 +245,9 @@
     availability: Availability,
 ) -> CellEngine {
     CellEngine {
-        key: upstream_of(registration),
-        name: name_of(registration),
-        data_centre: centre_of(&registration.data_centre),
+        key: upstream_key(registration),
+        name: name_key(registration),
+        data_centre: data_centre_key(&registration.data_centre),
         is_draining: registration.state == RegisteredState::Draining,
         is_evacuated: availability.is_evacuated,
         cold: availability.cold,
--- a/crates/gateway/src/follower.rs
+++ b/crates/gateway/src/collection_reader.rs
@@ -21,26 +21,26 @@
 const SOON_RETRIES: u32 = 3;
 
 /// What the store tells of a collection.
-pub(crate) enum Heard<T> {
+pub(crate) enum StoreUpdate<T> {
     /// All there is.
-    All(Snapshot<T>),
+    Snapshot(Snapshot<T>),
     /// What has changed.
-    News(Changes<T>),
+    Changes(Changes<T>),
 }
 
-impl<T> Heard<T> {
+impl<T> StoreUpdate<T> {
     /// The revision that it tells of.
     pub(crate) fn revision(&self) -> Revision {
         match self {
-            Self::All(all) => all.revision,
-            Self::News(changes) => changes.revision,
+            Self::Snapshot(all) => all.revision,
+            Self::Changes(changes) => changes.revision,
         }
     }
 }
 
 /// One collection of the store that this host follows.
 #[derive(Debug)]
-pub(crate) struct Follower {
+pub(crate) struct CollectionReader {
     /// What it is called in the log.
     what: &'static str,
     /// What it is called in metrics.
@@ -51,7 +51,7 @@
     lists: u32,
 }
 
-impl Follower {
+impl CollectionReader {
     pub(crate) fn new(what: &'static str, label: &'static str) -> Self {
         Self {
             what,
@@ -62,28 +62,31 @@
     }
 
     /// Asks the store for what has changed since a revision, or for all.
-    pub(crate) async fn ask<T>(
+    pub(crate) async fn read<T>(
         &mut self,
         gateway: &Gateway,
         source: &dyn Collection<T>,
         since: Option<Revision>,
         wait: Duration,
-    ) -> Result<Heard<T>, StoreError> {
+    ) -> Result<StoreUpdate<T>, StoreError> {
         let heard = match since {
-            None => source.list(Freshness::Newest).await.map(Heard::All),
-            Some(held) => source.watch(held, wait).await.map(Heard::News),
+            None => source
+                .list(Freshness::Newest)
+                .await
+                .map(StoreUpdate::Snapshot),
+            Some(held) => source.watch(held, wait).await.map(StoreUpdate::Changes),
         };
         let heard = heard.and_then(|heard| self.check(gateway, since, heard));
         gateway.metrics.store_call(self.label, outcome(&heard));
         let heard = heard?;
         match &heard {
-            Heard::All(all) => {
+            StoreUpdate::Snapshot(all) => {
                 self.lists += 1;
-                gateway.skip_of_list(self.what, all);
+                gateway.report_unusable_in_list(self.what, all);
             }
-            Heard::News(changes) => {
+            StoreUpdate::Changes(changes) => {
                 self.lists = 0;
-                gateway.skip_of_changes(self.what, changes);
+                gateway.report_unusable_in_changes(self.what, changes);
             }
         }
         if std::mem::take(&mut self.failures) > 0 {
@@ -97,10 +100,10 @@
         &self,
         gateway: &Gateway,
         since: Option<Revision>,
-        heard: Heard<T>,
-    ) -> Result<Heard<T>, StoreError> {
+        heard: StoreUpdate<T>,
+    ) -> Result<StoreUpdate<T>, StoreError> {
         let revision = heard.revision();
-        gateway.hear_era(revision, format_args!("the store with {}", self.what));
+        gateway.observe_era(revision, format_args!("the store with {}", self.what));
         match (since, gateway.store_era.latest()) {
             (None, Some(latest)) if revision.era < latest => Err(StoreError::StaleEra {
                 received: revision,
@@ -116,7 +119,7 @@
 
     /// After a failed call: tells of it, and waits before the next. All is to be read anew then, as
     /// after an outage a list tells more than a watch from an old revision.
-    pub(crate) async fn fail(&mut self, gateway: &Arc<Gateway>, error: &StoreError) {
+    pub(crate) async fn handle_failure(&mut self, gateway: &Arc<Gateway>, error: &StoreError) {
         if !error.is_outage() {
             info!("store: {} to be read anew: {error}", self.what);
             if self.lists > 1 {
@@ -130,7 +133,7 @@
             warn!("store: {} can't be read: {error}", self.what);
         }
         gateway.metrics.store_failures.inc();
-        gateway.announce_blindness();
+        gateway.announce_store_unreadable();
         pause(self.failures).await;
     }
 }
--- a/crates/gateway/src/crashes.rs
+++ b/crates/gateway/src/crashes.rs
@@ -18,7 +18,7 @@
 
 /// A run that ended with its connection, before its answer did.
 #[derive(Debug, Clone)]
-pub(crate) struct BrokenRun {
+pub(crate) struct InterruptedRun {
     chosen: Chosen,
     request: String,
     pub(crate) content: ContentKey,
@@ -27,7 +27,7 @@
     ran_ms: Option<Millis>,
 }
 
-impl BrokenRun {
+impl InterruptedRun {
     pub(crate) fn new(
         chosen: &Chosen,
         inbound: &InboundRequest,
@@ -59,12 +59,12 @@
     ///
     /// A connection that was reset and an upstream that ended look alike from the connection.
     /// Taken for each other, requests would be suspected for what a link does.
-    pub(crate) fn note_broken(self: &Arc<Self>, run: BrokenRun) {
+    pub(crate) fn check_for_crash(self: &Arc<Self>, run: InterruptedRun) {
         let gateway = self.clone();
         tokio::spawn(async move {
             if gateway.has_ended(&run.chosen).await {
-                gateway.note_crash(&run);
-                gateway.report_broken(&run);
+                gateway.log_crash(&run);
+                gateway.report_suspect(&run);
             }
         });
     }
@@ -90,7 +90,7 @@
             .is_ok()
     }
 
-    fn note_crash(&self, run: &BrokenRun) {
+    fn log_crash(&self, run: &InterruptedRun) {
         let is_suspect = run.is_suspect();
         self.metrics.crash(is_suspect);
         let ran = match run.ran_ms {
--- a/crates/gateway/src/spread.rs
+++ b/crates/gateway/src/dissemination.rs
@@ -24,8 +24,8 @@
 
 use crate::directory::DirectoryChange;
 use crate::encoding::{EncodingError, decode, encode};
-use crate::follow::tell_of_return;
 use crate::gateway::Gateway;
+use crate::store_sync::log_store_restored;
 
 /// A host that can't read the store says so again with each failed call; silence ends it.
 const BLIND_MS: Millis = 2_500;
@@ -37,7 +37,7 @@
 
 /// What this host has passed on, and what it has heard of the store from others.
 #[derive(Debug, Default)]
-pub(crate) struct Spread {
+pub(crate) struct Dissemination {
     /// The revision of the upstreams up to which this host has passed them on.
     announced: Mutex<Revision>,
     /// Hosts of this area that can't read the store, and until when that is believed.
@@ -50,7 +50,7 @@
 impl Gateway {
     /// Whether this host watches the upstreams.
     pub(crate) fn watches_upstreams(&self) -> bool {
-        self.is_watcher() || (self.may_watch() && self.has_cell())
+        self.is_watcher() || (self.may_watch() && self.is_home_of_any_cell())
     }
 
     /// Whether this host knows enough of the others to tell who watches.
@@ -65,7 +65,7 @@
             return false;
         }
         let now_ms = self.clock.now_ms();
-        let blind = self.spread.blind.lock().clone();
+        let blind = self.dissemination.blind.lock().clone();
         let members = self.fleet.members.lock();
         let me = members.my_key();
         let area = self.area(&members);
@@ -89,10 +89,10 @@
     }
 
     /// Tells this area that this host can't read the store.
-    pub(crate) fn announce_blindness(self: &Arc<Self>) {
+    pub(crate) fn announce_store_unreadable(self: &Arc<Self>) {
         let now_ms = self.clock.now_ms();
         {
-            let mut told_ms = self.spread.told_blind_ms.lock();
+            let mut told_ms = self.dissemination.told_blind_ms.lock();
             if now_ms.saturating_sub(*told_ms) < BLIND_AGAIN_MS {
                 return;
             }
@@ -105,10 +105,10 @@
         );
     }
 
-    fn hear_blindness(&self, value: &[u8]) -> Result<(), EncodingError> {
+    fn handle_store_unreadable(&self, value: &[u8]) -> Result<(), EncodingError> {
         let host: HostKey = decode(ReplicatedState::StoreUnreadable, value)?;
         let until_ms = self.clock.now_ms() + BLIND_MS;
-        self.spread.blind.lock().insert(host, until_ms);
+        self.dissemination.blind.lock().insert(host, until_ms);
         Ok(())
     }
 
@@ -122,23 +122,30 @@
     }
 
     /// This host reads the upstreams anew, to pass on from then on what has changed since.
-    pub(crate) fn begin_announcing(&self) {
+    pub(crate) fn reset_announced_revision(&self) {
         let held = self.roster.lock().revision();
-        *self.spread.announced.lock() = held;
+        *self.dissemination.announced.lock() = held;
     }
 
     /// Passes on what has changed of the upstreams, with all that changes within a moment.
     ///
     /// The home of a cell takes each change as it comes. Passed on one by one, hundreds a second
     /// would each be a message to every host.
-    pub(crate) fn announce_directory_soon(self: &Arc<Self>) {
-        if self.spread.is_announcing.swap(true, Ordering::Relaxed) {
+    pub(crate) fn schedule_directory_announcement(self: &Arc<Self>) {
+        if self
+            .dissemination
+            .is_announcing
+            .swap(true, Ordering::Relaxed)
+        {
             return;
         }
         let gateway = self.clone();
         tokio::spawn(async move {
             sleep(ANNOUNCE_DELAY).await;
-            gateway.spread.is_announcing.store(false, Ordering::Relaxed);
+            gateway
+                .dissemination
+                .is_announcing
+                .store(false, Ordering::Relaxed);
             gateway.announce_directory();
         });
     }
@@ -149,7 +156,7 @@
         }
         let change = {
             let roster = self.roster.lock();
-            let mut announced = self.spread.announced.lock();
+            let mut announced = self.dissemination.announced.lock();
             let before = std::mem::replace(&mut *announced, roster.revision());
             if roster.revision() <= before {
                 return;
@@ -240,19 +247,19 @@
     }
 
     /// Takes news and passes it on.
-    pub(crate) fn hear_announcement(self: &Arc<Self>, announcement: Announcement) {
+    pub(crate) fn handle_announcement(self: &Arc<Self>, announcement: Announcement) {
         let Announcement {
             holding,
             value,
             audience,
         } = announcement;
         let taken = match holding {
-            ReplicatedState::Configuration => self.take_configuration(&value),
-            ReplicatedState::Upstreams => self.take_change(&value),
-            ReplicatedState::StoreUnreadable => self.hear_blindness(&value),
-            ReplicatedState::Members => self.take_members(&value),
-            ReplicatedState::Circuits => self.take_circuits(&value),
-            ReplicatedState::Evacuations => self.take_evacuations(&value),
+            ReplicatedState::Configuration => self.handle_configuration(&value),
+            ReplicatedState::Upstreams => self.handle_directory_change(&value),
+            ReplicatedState::StoreUnreadable => self.handle_store_unreadable(&value),
+            ReplicatedState::Members => self.handle_members(&value),
+            ReplicatedState::Circuits => self.handle_circuits(&value),
+            ReplicatedState::Evacuations => self.handle_evacuations(&value),
         };
         if let Err(error) = taken {
             warn!("spread: could not read news: {error}");
@@ -261,26 +268,26 @@
         self.pass_on(holding, &value, parts(&audience));
     }
 
-    fn take_members(&self, value: &[u8]) -> Result<(), EncodingError> {
+    fn handle_members(&self, value: &[u8]) -> Result<(), EncodingError> {
         let news: Vec<Rumour> = decode(ReplicatedState::Members, value)?;
-        self.learn(&news);
+        self.merge_rumours(&news);
         Ok(())
     }
 
-    fn take_configuration(&self, value: &[u8]) -> Result<(), EncodingError> {
-        self.adopt(decode(ReplicatedState::Configuration, value)?, "a watcher");
+    fn handle_configuration(&self, value: &[u8]) -> Result<(), EncodingError> {
+        self.apply_configuration(decode(ReplicatedState::Configuration, value)?, "a watcher");
         Ok(())
     }
 
-    fn take_change(&self, value: &[u8]) -> Result<(), EncodingError> {
+    fn handle_directory_change(&self, value: &[u8]) -> Result<(), EncodingError> {
         let change: DirectoryChange = decode(ReplicatedState::Upstreams, value)?;
-        self.hear_era(change.revision, "a watcher");
+        self.observe_era(change.revision, "a watcher");
         let mut roster = self.roster.lock();
         let before = roster.revision();
         if roster.apply_peer_change(self.clock.now_ms(), change) {
-            self.adopt_directory(&roster.directory());
+            self.apply_directory(&roster.directory());
         }
-        tell_of_return(before, &roster);
+        log_store_restored(before, &roster);
         Ok(())
     }
 }
--- a/crates/gateway/src/evacuations.rs
+++ b/crates/gateway/src/evacuations.rs
@@ -9,38 +9,38 @@
 use spdlog::{info, warn};
 use tokio::time::sleep;
 
+use crate::collection_reader::{CollectionReader, StoreUpdate, outcome};
 use crate::encoding::{EncodingError, decode};
-use crate::follow::WATCH_SHARE;
-use crate::follower::{Follower, Heard, outcome};
 use crate::gateway::Gateway;
 use crate::metadata::{Change, Changes, Freshness, Snapshot};
+use crate::store_sync::WATCH_SHARE;
 
 const WHAT: &str = "the evacuations";
 
 impl Gateway {
     /// Follows the operator's evacuations, which have to be in force within `bound_ms`.
-    pub(crate) async fn follow_evacuations(self: Arc<Self>, bound_ms: Millis) {
+    pub(crate) async fn sync_evacuations(self: Arc<Self>, bound_ms: Millis) {
         let source = &*self.metadata.evacuations;
         let wait = Duration::from_millis((bound_ms as f32 * WATCH_SHARE) as Millis);
-        let mut follower = Follower::new(WHAT, "evacuations");
+        let mut reader = CollectionReader::new(WHAT, "evacuations");
         let mut revision = None;
         loop {
             if !self.is_watcher() {
                 revision = None;
-                sleep(self.until_next_look()).await;
+                sleep(self.watch_check_period()).await;
                 continue;
             }
-            match follower.ask(&self, source, revision, wait).await {
+            match reader.read(&self, source, revision, wait).await {
                 Ok(heard) => {
                     revision = Some(heard.revision());
                     match heard {
-                        Heard::All(all) => self.take_evacuation_list(all),
-                        Heard::News(changes) => self.take_evacuation_changes(changes),
+                        StoreUpdate::Snapshot(all) => self.apply_evacuation_list(all),
+                        StoreUpdate::Changes(changes) => self.apply_evacuation_changes(changes),
                     }
                 }
                 Err(error) => {
                     revision = None;
-                    follower.fail(&self, &error).await;
+                    reader.handle_failure(&self, &error).await;
                 }
             }
         }
@@ -60,13 +60,13 @@
                     data_centres: names(&all),
                     ..EvacuationState::default()
                 };
-                self.hear_evacuations(state, "the store, maybe old");
+                self.apply_evacuations(state, "the store, maybe old");
             }
             Err(error) => warn!("store: {WHAT} can't be read: {error}"),
         }
     }
 
-    fn take_evacuation_list(self: &Arc<Self>, all: Snapshot<String>) {
+    fn apply_evacuation_list(self: &Arc<Self>, all: Snapshot<String>) {
         let names = names(&all);
         let is_new = self.change_evacuations("the store", |evacuations, now_ms| {
             evacuations.replace(now_ms, all.revision, names)
@@ -76,7 +76,7 @@
         }
     }
 
-    fn take_evacuation_changes(self: &Arc<Self>, changes: Changes<String>) {
+    fn apply_evacuation_changes(self: &Arc<Self>, changes: Changes<String>) {
         let steps = changes.changes.into_iter().filter_map(step);
         let is_new = self.change_evacuations("the store", |evacuations, now_ms| {
             evacuations.apply(now_ms, changes.revision, steps)
@@ -87,14 +87,14 @@
     }
 
     /// Takes a peer's state.
-    pub(crate) fn hear_evacuations(&self, told: EvacuationState, source: &str) {
-        self.hear_era(told.revision, source);
+    pub(crate) fn apply_evacuations(&self, told: EvacuationState, source: &str) {
+        self.observe_era(told.revision, source);
         self.change_evacuations(source, |evacuations, now_ms| evacuations.hear(now_ms, told));
     }
 
     /// Takes a watcher's news.
-    pub(crate) fn take_evacuations(&self, value: &[u8]) -> Result<(), EncodingError> {
-        self.hear_evacuations(decode(ReplicatedState::Evacuations, value)?, "a watcher");
+    pub(crate) fn handle_evacuations(&self, value: &[u8]) -> Result<(), EncodingError> {
+        self.apply_evacuations(decode(ReplicatedState::Evacuations, value)?, "a watcher");
         Ok(())
     }
 
@@ -132,7 +132,7 @@
                 names.join(", ")
             ),
         }
-        self.adopt_directory(&roster.directory());
+        self.apply_directory(&roster.directory());
         true
     }
 
--- a/crates/gateway/src/fleet.rs
+++ b/crates/gateway/src/fleet.rs
@@ -27,7 +27,7 @@
 use crate::directory::{Directory, DirectoryChange, HostRegistration};
 use crate::encoding::decode;
 use crate::gateway::Gateway;
-use crate::join::Newcomers;
+use crate::join::JoiningHosts;
 use crate::presence_log::PresenceLog;
 
 /// Between two pings. Each goes to one member, so a host's share doesn't grow with the fleet.
@@ -46,7 +46,7 @@
     pub(crate) peers: Peers<GatewayPeerClient>,
     /// How far this host has come since its start.
     pub(crate) join: Mutex<Join>,
-    pub(crate) newcomers: Newcomers,
+    pub(crate) joining: JoiningHosts,
     /// How far this host's list of upstreams is behind its peers'.
     lag: Mutex<Lag>,
     drift: Mutex<Drift>,
@@ -57,7 +57,7 @@
     has_written_entry: AtomicBool,
     has_entry: AtomicBool,
     /// When another host last answered or asked.
-    heard_ms: AtomicU64,
+    last_contact_ms: AtomicU64,
 }
 
 impl Fleet {
@@ -77,14 +77,14 @@
             members: Mutex::new(Members::new(note, 1)),
             peers: Peers::new(crate::peer::client),
             join: Mutex::new(Join::new(now_ms, has_seeds)),
-            newcomers: Newcomers::default(),
+            joining: JoiningHosts::default(),
             lag: Mutex::default(),
             drift: Mutex::new(Drift::new(now_ms)),
             presence: Mutex::default(),
             fetching: Mutex::default(),
             has_written_entry: AtomicBool::new(false),
             has_entry: AtomicBool::new(false),
-            heard_ms: AtomicU64::new(0),
+            last_contact_ms: AtomicU64::new(0),
         }
     }
 
@@ -99,25 +99,25 @@
     }
 
     /// The entry is written.
-    pub(crate) fn note_entry(&self) {
+    pub(crate) fn mark_entry_written(&self) {
         self.has_written_entry.store(true, Ordering::Relaxed);
         self.has_entry.store(true, Ordering::Relaxed);
     }
 
     /// The store has come back from a copy, which may lack the entry.
-    pub(crate) fn forget_entry(&self) {
+    pub(crate) fn mark_entry_lost(&self) {
         self.has_entry.store(false, Ordering::Relaxed);
     }
 
     /// Whether what this host believes of the others is likely true: it has spoken to one just now, or
     /// has never met any.
-    pub(crate) fn is_in_touch(&self, now_ms: Millis) -> bool {
+    pub(crate) fn has_recent_contact(&self, now_ms: Millis) -> bool {
         let join = *self.join.lock();
         if !join.has_met() {
             return join.may_watch(now_ms);
         }
-        let heard_ms = self.heard_ms.load(Ordering::Relaxed);
-        join.may_watch(now_ms) && now_ms.saturating_sub(heard_ms) < TOUCH_MS
+        let last_contact_ms = self.last_contact_ms.load(Ordering::Relaxed);
+        join.may_watch(now_ms) && now_ms.saturating_sub(last_contact_ms) < TOUCH_MS
     }
 
     /// Hosts that are believed present, this one with them.
@@ -143,7 +143,7 @@
             let others = members.homes().filter(|(key, _)| *key != me);
             others.map(|(key, note)| (key, note.name.clone())).collect()
         };
-        self.presence.lock().see(now_ms, present)
+        self.presence.lock().update(now_ms, present)
     }
 }
 
@@ -159,10 +159,10 @@
     }
 
     /// Pings an address, and takes what its host holds in a later version.
-    pub(crate) async fn greet(self: &Arc<Self>, address: SocketAddr) {
+    pub(crate) async fn ping_address(self: &Arc<Self>, address: SocketAddr) {
         let (ping, digest) = self.fleet.ping_message(self.versions());
-        if let Some((pong, theirs)) = self.ping_once(address, ping, digest).await {
-            self.hear_pong(address, pong, theirs).await;
+        if let Some((pong, theirs)) = self.send_ping(address, ping, digest).await {
+            self.handle_pong(address, pong, theirs).await;
         }
     }
 
@@ -175,7 +175,7 @@
                 members.next_target(rand::rng().random())
             };
             if let Some(target) = target {
-                tokio::spawn(self.clone().probe(target));
+                tokio::spawn(self.clone().ping_member(target));
             }
             self.fleet.peers.close_idle();
             if let Some(line) = self.fleet.presence_line(self.clock.now_ms()) {
@@ -184,16 +184,16 @@
         }
     }
 
-    async fn probe(self: Arc<Self>, target: MemberInfo) {
+    async fn ping_member(self: Arc<Self>, target: MemberInfo) {
         let (ping, digest) = self.fleet.ping_message(self.versions());
         let key = HostKey::of(&target.name);
-        match self.ping_once(target.address, ping, digest).await {
+        match self.send_ping(target.address, ping, digest).await {
             Some((pong, theirs)) => {
                 if pong.from.member.name != target.name {
                     // The address is in use again: the start that had it before is gone.
-                    self.bury(&target);
+                    self.mark_dead(&target);
                 }
-                self.hear_pong(target.address, pong, theirs).await;
+                self.handle_pong(target.address, pong, theirs).await;
             }
             None => {
                 warn!("fleet: {} does not answer", target.name);
@@ -203,7 +203,7 @@
         }
     }
 
-    fn bury(&self, gone: &MemberInfo) {
+    fn mark_dead(&self, gone: &MemberInfo) {
         let now_ms = self.clock.now_ms();
         let mut members = self.fleet.members.lock();
         let Some(known) = members.find(HostKey::of(&gone.name)).cloned() else {
@@ -216,7 +216,7 @@
         members.hear(now_ms, rumour);
     }
 
-    async fn ping_once(
+    async fn send_ping(
         &self,
         address: SocketAddr,
         ping: Ping,
@@ -228,14 +228,14 @@
         self.fleet.peers.call(address, call).await.ok()
     }
 
-    async fn hear_pong(self: &Arc<Self>, address: SocketAddr, pong: Pong, theirs: MembersDigest) {
-        self.hear(&pong.from, pong.rumours);
-        self.compare(address, pong.versions, theirs).await;
+    async fn handle_pong(self: &Arc<Self>, address: SocketAddr, pong: Pong, theirs: MembersDigest) {
+        self.record_contact(&pong.from, pong.rumours);
+        self.fetch_newer(address, pong.versions, theirs).await;
     }
 
-    fn hear(&self, from: &Rumour, rumours: Vec<Rumour>) {
+    fn record_contact(&self, from: &Rumour, rumours: Vec<Rumour>) {
         let now_ms = self.clock.now_ms();
-        self.fleet.heard_ms.store(now_ms, Ordering::Relaxed);
+        self.fleet.last_contact_ms.store(now_ms, Ordering::Relaxed);
         let mut members = self.fleet.members.lock();
         members.answered(now_ms, from);
         for rumour in rumours {
@@ -244,7 +244,7 @@
     }
 
     /// Takes what reaches every member on another way than by rumours.
-    pub(crate) fn learn(&self, news: &[Rumour]) {
+    pub(crate) fn merge_rumours(&self, news: &[Rumour]) {
         let now_ms = self.clock.now_ms();
         let mut members = self.fleet.members.lock();
         for rumour in news {
@@ -253,16 +253,16 @@
     }
 
     /// Answers a ping, and learns from it.
-    pub(crate) fn pong(
+    pub(crate) fn handle_ping(
         self: &Arc<Self>,
         ping: Ping,
         theirs: MembersDigest,
     ) -> (Pong, MembersDigest) {
         let address = ping.from.member.address;
-        self.hear(&ping.from, ping.rumours);
+        self.record_contact(&ping.from, ping.rumours);
         let versions = ping.versions;
         let gateway = self.clone();
-        tokio::spawn(async move { gateway.compare(address, versions, theirs).await });
+        tokio::spawn(async move { gateway.fetch_newer(address, versions, theirs).await });
         let (answer, digest) = self.fleet.ping_message(self.versions());
         let pong = Pong {
             from: answer.from,
@@ -273,7 +273,7 @@
     }
 
     /// Fetches what a peer holds in a later version.
-    async fn compare(&self, peer: SocketAddr, theirs: Versions, members: MembersDigest) {
+    async fn fetch_newer(&self, peer: SocketAddr, theirs: Versions, members: MembersDigest) {
         // Before the configuration, with which a host begins to serve.
         if self.evacuations.lock().is_behind(theirs.evacuations) {
             self.fetch_evacuations(peer).await;
@@ -281,14 +281,14 @@
         if theirs.root > self.version()
             && let Some(configuration) = self.fetch_configuration(peer).await
         {
-            self.adopt(configuration, "a peer");
+            self.apply_configuration(configuration, "a peer");
         }
         if self.is_behind(theirs.upstreams)
             && let Some(change) = self.fetch_upstreams(peer).await
         {
-            self.take_upstreams(change);
+            self.apply_peer_upstreams(change);
         }
-        if self.drifts_from(members) {
+        if self.has_diverged(members) {
             self.exchange_members(peer).await;
         }
         if theirs.circuits != self.versions().circuits {
@@ -296,7 +296,7 @@
         }
     }
 
-    fn drifts_from(&self, theirs: MembersDigest) -> bool {
+    fn has_diverged(&self, theirs: MembersDigest) -> bool {
         let own = self.fleet.members.lock().digest();
         let mut drift = self.fleet.drift.lock();
         drift.hear(self.clock.now_ms(), own == theirs.0)
@@ -310,7 +310,7 @@
         };
         match self.fleet.peers.call(peer, call).await {
             Ok(theirs) => {
-                self.learn(&theirs);
+                self.merge_rumours(&theirs);
                 true
             }
             Err(error) => {
@@ -321,9 +321,9 @@
     }
 
     /// Answers a peer's beliefs of members with this host's.
-    pub(crate) fn answer_beliefs(&self, theirs: &[Rumour]) -> Vec<Rumour> {
+    pub(crate) fn handle_member_exchange(&self, theirs: &[Rumour]) -> Vec<Rumour> {
         let beliefs = self.fleet.members.lock().beliefs();
-        self.learn(theirs);
+        self.merge_rumours(theirs);
         beliefs
     }
 
@@ -349,7 +349,7 @@
             client.holding(context, holding).await
         };
         if let Some(state) = self.fetch(peer, holding, call).await {
-            self.hear_evacuations(state, "a peer");
+            self.apply_evacuations(state, "a peer");
         }
     }
 
--- a/crates/gateway/src/forward.rs
+++ b/crates/gateway/src/forward.rs
@@ -14,7 +14,7 @@
 
 use crate::attempt::{Answer, DispatchOptions, Failure};
 use crate::configuration::RouteKind;
-use crate::crashes::BrokenRun;
+use crate::crashes::InterruptedRun;
 use crate::gateway::Gateway;
 use crate::hop;
 use crate::inbound::InboundRequest;
@@ -206,7 +206,7 @@
             .as_ref()
             .is_err_and(|failure| *failure == Failure::Unknown)
         {
-            self.note_broken(BrokenRun::new(&sent, inbound, &tracker.id, None));
+            self.check_for_crash(InterruptedRun::new(&sent, inbound, &tracker.id, None));
         }
         if outcome.is_err() {
             tracker.end_dispatch("broken");
--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -18,17 +18,17 @@
 use crate::configuration::{ActiveConfiguration, Configuration};
 use crate::control::EngineControl;
 use crate::directory::{Directory, HostRegistration};
+use crate::dissemination::Dissemination;
 use crate::fleet::Fleet;
 use crate::head::Dialect;
-use crate::homes::Duties;
+use crate::homes::CellDuties;
 use crate::instances::Instances;
-use crate::look::Looks;
+use crate::log_throttle::LogThrottle;
 use crate::metadata::Metadata;
 use crate::metrics::{Metrics, Readings};
+use crate::probe::ProbeTimes;
 use crate::roster::Roster;
 use crate::runs::Runs;
-use crate::spacing::Spacing;
-use crate::spread::Spread;
 use crate::start_limits::StartLimiter;
 use crate::store_era::StoreEra;
 
@@ -71,11 +71,11 @@
     pub(crate) fleet: Fleet,
     pub(crate) cells: Cells,
     pub(crate) runs: Runs,
-    pub(crate) duties: Duties,
-    pub(crate) looks: Looks,
-    pub(crate) spread: Spread,
+    pub(crate) cell_duties: CellDuties,
+    pub(crate) probe_times: ProbeTimes,
+    pub(crate) dissemination: Dissemination,
     pub(crate) circuit_breakers: CircuitBreakers,
-    pub(crate) skipped: Spacing,
+    pub(crate) unusable_log: LogThrottle,
     pub(crate) store_era: StoreEra,
     pub(crate) control: Arc<dyn EngineControl>,
     in_force: ArcSwapOption<ActiveConfiguration>,
@@ -84,7 +84,7 @@
     /// When the configuration in force came.
     adopted_ms: AtomicU64,
     /// When the process ends, once it was told to; 0 before.
-    ends_ms: AtomicU64,
+    stops_at_ms: AtomicU64,
     /// The store's era in which this host has read the circuits there.
     pub(crate) circuits_era: Mutex<Option<u64>>,
 }
@@ -106,11 +106,11 @@
             clock,
             cells: Cells::default(),
             runs: Runs::default(),
-            duties: Duties::default(),
-            looks: Looks::default(),
-            spread: Spread::default(),
+            cell_duties: CellDuties::default(),
+            probe_times: ProbeTimes::default(),
+            dissemination: Dissemination::default(),
             circuit_breakers: CircuitBreakers::default(),
-            skipped: Spacing::default(),
+            unusable_log: LogThrottle::default(),
             store_era: StoreEra::default(),
             control,
             dialect,
@@ -123,7 +123,7 @@
             retries: Mutex::default(),
             retry_bound: Mutex::new(settings.retries),
             adopted_ms: AtomicU64::new(0),
-            ends_ms: AtomicU64::new(0),
+            stops_at_ms: AtomicU64::new(0),
             circuits_era: Mutex::default(),
             settings,
         }
@@ -144,7 +144,7 @@
     ///
     /// The store and peers tell of versions in any order. Taking an older one would revert a
     /// change that callers have seen; versions grow, so comparing them is enough.
-    pub(crate) fn adopt(&self, configuration: Configuration, source: &str) -> bool {
+    pub(crate) fn apply_configuration(&self, configuration: Configuration, source: &str) -> bool {
         let version = configuration.version;
         let newer = Arc::new(ActiveConfiguration::new(configuration));
         let held = self.in_force.rcu(|held| match held {
@@ -160,12 +160,12 @@
         self.adopted_ms.store(now_ms, Ordering::Relaxed);
         info!("configuration: version {version} from {source} replaces {held}");
         let directory = self.roster.lock().directory();
-        self.adopt_directory(&directory);
+        self.apply_directory(&directory);
         true
     }
 
     /// Takes what the roster says now.
-    pub(crate) fn adopt_directory(&self, directory: &Directory) {
+    pub(crate) fn apply_directory(&self, directory: &Directory) {
         let now_ms = self.clock.now_ms();
         let in_force = self.in_force();
         let cold_limits = ColdLimits::of(self.settings.cold_bound, in_force.as_deref());
@@ -177,10 +177,10 @@
         let availability_of = |engine| self.instances.availability(engine);
         let is_new = in_force.is_some_and(|in_force| {
             self.cells
-                .adopt(now_ms, &in_force, directory, availability_of)
+                .apply_directory(now_ms, &in_force, directory, availability_of)
         });
         if is_new || !self.cells.leaving().is_empty() {
-            self.duties.restate_now.notify_one();
+            self.cell_duties.restate_now.notify_one();
         }
     }
 
@@ -221,18 +221,18 @@
 
     /// Whether this host stops.
     pub(crate) fn is_draining(&self) -> bool {
-        self.ends_ms().is_some()
+        self.stops_at_ms().is_some()
     }
 
     /// When the process ends, once it was told to.
-    pub(crate) fn ends_ms(&self) -> Option<Millis> {
-        let ends_ms = self.ends_ms.load(Ordering::Relaxed);
-        (ends_ms > 0).then_some(ends_ms)
+    pub(crate) fn stops_at_ms(&self) -> Option<Millis> {
+        let stops_at_ms = self.stops_at_ms.load(Ordering::Relaxed);
+        (stops_at_ms > 0).then_some(stops_at_ms)
     }
 
     /// From now on callers are told to leave.
-    pub(crate) fn drain(&self, ends_ms: Millis) {
-        self.ends_ms.store(ends_ms, Ordering::Relaxed);
+    pub(crate) fn drain(&self, stops_at_ms: Millis) {
+        self.stops_at_ms.store(stops_at_ms, Ordering::Relaxed);
     }
 
     /// Takes what may change of the settings while the host runs.
@@ -286,7 +286,7 @@
             cold: self.cold_count() as i64,
             limited: self.instances.limited_count() as i64,
             leaving: self.instances.leaving_count() as i64,
-            backing_off: self.instances.resting_count(now_ms) as i64,
+            backing_off: self.instances.backing_off_count(now_ms) as i64,
             retries_left: left.collect(),
         }
     }
--- a/crates/gateway/src/homes.rs
+++ b/crates/gateway/src/homes.rs
@@ -25,11 +25,11 @@
 
 /// What this host does for cells.
 #[derive(Default)]
-pub(crate) struct Duties {
+pub(crate) struct CellDuties {
     /// Engines whose generations this host is carrying off.
-    carrying_off: Mutex<HashSet<UpstreamKey>>,
+    migrating_off: Mutex<HashSet<UpstreamKey>>,
     /// Cells whose home did not answer lately: this host acts for its own generations.
-    homeless: Mutex<HashSet<CellKey>>,
+    unreachable_homes: Mutex<HashSet<CellKey>>,
     /// Wakes the statement of what this host relays.
     pub(crate) restate_now: tokio::sync::Notify,
 }
@@ -44,7 +44,7 @@
     }
 
     /// Whether this host is home of any cell.
-    pub(crate) fn has_cell(&self) -> bool {
+    pub(crate) fn is_home_of_any_cell(&self) -> bool {
         self.cells.keys().into_iter().any(|cell| self.is_home(cell))
     }
 
@@ -59,9 +59,9 @@
         if let Some((key, note)) = self.home_of(cell)
             && key != self.host_key()
         {
-            let asked = request.clone();
+            let request_copy = request.clone();
             let call = |client: GatewayPeerClient, context| async move {
-                client.place(context, cell, asked).await
+                client.place(context, cell, request_copy).await
             };
             let peers = &self.fleet.peers;
             match peers
@@ -73,7 +73,7 @@
                 Err(error) => warn!("cells: placed without a home: {error}"),
             }
         }
-        let placement = self.place_here(cell, request);
+        let placement = self.place_locally(cell, request);
         // A cell's home counts what it starts at a cold engine; a host in its place has to ask.
         if let Placement::On { engine, .. } = placement
             && !self.is_home(cell)
@@ -85,29 +85,29 @@
     }
 
     /// Places as the cell's home.
-    pub(crate) fn answer_place(
+    pub(crate) fn handle_place(
         &self,
         cell: CellKey,
         request: &PlacementRequest,
     ) -> Option<Placement> {
         self.is_home(cell)
-            .then(|| self.place_here(cell, request.clone()))
+            .then(|| self.place_locally(cell, request.clone()))
     }
 
     /// Places by this host's own table.
     ///
     /// A host that has just started takes itself for the home of every cell until it has met the others:
     /// where all start at once, each would start what a cold engine bears. It leaves those to others.
-    fn place_here(&self, cell: CellKey, mut request: PlacementRequest) -> Placement {
+    fn place_locally(&self, cell: CellKey, mut request: PlacementRequest) -> Placement {
         let now_ms = self.clock.now_ms();
-        if !self.fleet.is_in_touch(now_ms) {
+        if !self.fleet.has_recent_contact(now_ms) {
             request.excluded.extend(self.instances.cold(now_ms));
         }
         self.cells.place(now_ms, cell, &request)
     }
 
     /// Tells the cell's home that a generation is over.
-    pub(crate) fn tell_end(self: &Arc<Self>, cell: CellKey, run: RunKey, end: RunEnd) {
+    pub(crate) fn report_end(self: &Arc<Self>, cell: CellKey, run: RunKey, end: RunEnd) {
         self.cells.end(self.clock.now_ms(), cell, run, end);
         let Some((key, note)) = self.home_of(cell) else {
             return;
@@ -130,15 +130,15 @@
     /// States to each cell's home what this host relays, again and again and when it matters.
     pub(crate) async fn restate_runs(self: Arc<Self>) {
         loop {
-            let notified = self.duties.restate_now.notified();
+            let notified = self.cell_duties.restate_now.notified();
             let _ = tokio::time::timeout(RESTATE_PERIOD, notified).await;
             let present: HashSet<HostKey> = {
                 let members = self.fleet.members.lock();
                 members.homes().map(|(key, _)| key).collect()
             };
-            self.cells.keep_hosts(|host| present.contains(&host));
-            let cell_with = |engine| self.cells.cell_with(engine);
-            for restatement in self.runs.restatements(self.host_key(), cell_with) {
+            self.cells.retain_hosts(|host| present.contains(&host));
+            let cell_of_engine = |engine| self.cells.cell_of_engine(engine);
+            for restatement in self.runs.restatements(self.host_key(), cell_of_engine) {
                 self.restate(restatement).await;
             }
         }
@@ -151,17 +151,17 @@
             return;
         };
         if key == self.host_key() {
-            self.duties.homeless.lock().remove(&cell);
+            self.cell_duties.unreachable_homes.lock().remove(&cell);
             return;
         }
         let call = |client: GatewayPeerClient, context| async move {
             client.restate(context, restatement).await
         };
         let heard = self.fleet.peers.call(note.address, call).await;
-        let mut homeless = self.duties.homeless.lock();
+        let mut unreachable_homes = self.cell_duties.unreachable_homes.lock();
         let changed = match heard {
-            Ok(()) => homeless.remove(&cell),
-            Err(_) => homeless.insert(cell),
+            Ok(()) => unreachable_homes.remove(&cell),
+            Err(_) => unreachable_homes.insert(cell),
         };
         if changed && heard.is_err() {
             warn!("cells: {} is home of a cell and does not answer", note.name);
@@ -171,56 +171,59 @@
     /// Whether this host carries generations of a cell off: as the home, or in its place for those
     /// that this host relays itself.
     fn acts_for(&self, cell: CellKey) -> bool {
-        self.is_home(cell) || self.duties.homeless.lock().contains(&cell)
+        self.is_home(cell) || self.cell_duties.unreachable_homes.lock().contains(&cell)
     }
 
-    /// Looks for leaving engines whose generations are to be carried off.
-    pub(crate) async fn carry_off_leaving(self: Arc<Self>) {
+    /// ProbeTimes for leaving engines whose generations are to be carried off.
+    pub(crate) async fn migrate_off_leaving(self: Arc<Self>) {
         loop {
             tokio::time::sleep(LOOK_PERIOD).await;
             for (cell, engine) in self.cells.leaving() {
-                if !self.acts_for(cell) || !self.duties.carrying_off.lock().insert(engine) {
+                if !self.acts_for(cell) || !self.cell_duties.migrating_off.lock().insert(engine) {
                     continue;
                 }
-                tokio::spawn(self.clone().learn_time_left(cell, engine));
+                tokio::spawn(self.clone().probe_time_left(cell, engine));
                 let gateway = self.clone();
                 tokio::spawn(async move {
-                    gateway.carry_off(cell, engine).await;
-                    gateway.duties.carrying_off.lock().remove(&engine);
+                    gateway.migrate_off(cell, engine).await;
+                    gateway.cell_duties.migrating_off.lock().remove(&engine);
                 });
             }
         }
     }
 
     /// Carries off one generation after the other while there are any.
-    async fn carry_off(self: &Arc<Self>, cell: CellKey, engine: UpstreamKey) {
+    async fn migrate_off(self: &Arc<Self>, cell: CellKey, engine: UpstreamKey) {
         let mut moved = 0;
         while self.cells.is_leaving(cell, engine) && self.acts_for(cell) {
             let now_ms = self.clock.now_ms();
-            let Some(carry) = self.cells.next_carry(now_ms, cell, engine) else {
+            let Some(migration) = self.cells.next_migration(now_ms, cell, engine) else {
                 tokio::time::sleep(LOOK_PERIOD).await;
                 continue;
             };
-            let end = self.order(carry).await;
+            let end = self.request_migration(migration).await;
             info!(
                 "cells: {:016x} from {:016x} to {:016x}: {end:?} after {} ms",
-                carry.run.0,
-                carry.from.0,
-                carry.to.0,
+                migration.run.0,
+                migration.from.0,
+                migration.to.0,
                 self.clock.now_ms().saturating_sub(now_ms)
             );
-            let labels = TransferLabels { end: name(end) };
+            let labels = TransferLabels {
+                end: metric_label(end),
+            };
             self.metrics.transfers.get_or_create(&labels).inc();
             moved += u32::from(end == MigrationOutcome::Moved);
-            self.cells.carried(self.clock.now_ms(), cell, carry, end);
+            self.cells
+                .finish_migration(self.clock.now_ms(), cell, migration, end);
         }
         info!("cells: {moved} generations carried off {:016x}", engine.0);
     }
 
-    async fn order(self: &Arc<Self>, carry: Migration) -> MigrationOutcome {
-        let Migration { run, to, host, .. } = carry;
+    async fn request_migration(self: &Arc<Self>, migration: Migration) -> MigrationOutcome {
+        let Migration { run, to, host, .. } = migration;
         if host == self.host_key() {
-            return end(self.carry_here(run, to).await);
+            return end(self.migrate_here(run, to).await);
         }
         let note = {
             let members = self.fleet.members.lock();
@@ -246,7 +249,7 @@
     }
 
     /// Carries a generation that this host relays to another engine.
-    pub(crate) async fn carry_here(&self, run: RunKey, to: UpstreamKey) -> MigrationAnswer {
+    pub(crate) async fn migrate_here(&self, run: RunKey, to: UpstreamKey) -> MigrationAnswer {
         let Some(destination) = self.instances.destination(self.clock.now_ms(), to) else {
             return MigrationAnswer::Stayed;
         };
@@ -255,7 +258,7 @@
 }
 
 /// Its name on metrics.
-fn name(end: MigrationOutcome) -> &'static str {
+fn metric_label(end: MigrationOutcome) -> &'static str {
     match end {
         MigrationOutcome::Moved => "moved",
         MigrationOutcome::NotMoved => "stayed",
--- a/crates/gateway/src/instance.rs
+++ b/crates/gateway/src/instance.rs
@@ -8,7 +8,7 @@
 
 use crate::availability::ColdLimit;
 use crate::directory::{RegisteredState, Registration};
-use crate::key::upstream_of;
+use crate::key::upstream_key;
 
 new_key_type! {
     /// Key of an upstream's start in this host's arena.
@@ -38,7 +38,7 @@
 impl Instance {
     pub(crate) fn new(registration: Registration) -> Self {
         Self {
-            upstream: upstream_of(&registration),
+            upstream: upstream_key(&registration),
             registration,
             gauge: Gauge::default(),
             is_leaving: false,
--- a/crates/gateway/src/instances.rs
+++ b/crates/gateway/src/instances.rs
@@ -10,7 +10,7 @@
 use crate::availability::{Availability, ColdLimits};
 use crate::directory::{Directory, Registration};
 use crate::instance::{Chosen, Destination, Instance, InstanceKey};
-use crate::key::upstream_of;
+use crate::key::upstream_key;
 use crate::upstream_table::UpstreamTable;
 
 /// The outcome of selecting an upstream for a request.
@@ -72,7 +72,7 @@
             if let Some(ended_ms) = evacuations.ended_ms(&registration.data_centre) {
                 one.mark_cold(ended_ms);
             }
-            by_upstream.insert(upstream_of(registration), key);
+            by_upstream.insert(upstream_key(registration), key);
             by_name.insert(registration.instance.clone(), key);
             let same = by_service.entry(registration.service.clone()).or_default();
             same.push(key);
@@ -103,7 +103,7 @@
         let same = table.by_service.get(service).map_or(&[][..], Vec::as_slice);
         let same = same.iter().filter(|key| !without.contains(key));
         let open = same.filter(|key| table.takes_work(&table.arena[**key]));
-        let opens_ms = |key: &InstanceKey| table.opens_ms(table.arena[*key].upstream);
+        let opens_ms = |key: &InstanceKey| table.available_at_ms(table.arena[*key].upstream);
         let first_ms = open.clone().map(opens_ms).min();
         let open = open.filter(|key| opens_ms(key) <= now_ms);
         let (cold, warm): (Vec<InstanceKey>, Vec<InstanceKey>) =
@@ -217,7 +217,7 @@
     /// An engine that a generation may be migrated to; `None` if it receives no work now.
     pub(crate) fn destination(&self, now_ms: Millis, upstream: UpstreamKey) -> Option<Destination> {
         let is_evacuated = self.availability(upstream).is_evacuated;
-        let is_closed = self.table.lock().is_closed(now_ms, upstream);
+        let is_closed = self.table.lock().is_throttled(now_ms, upstream);
         let found = self.find(upstream);
         found.filter(|_| !is_evacuated && !is_closed)
     }
--- a/crates/gateway/src/join.rs
+++ b/crates/gateway/src/join.rs
@@ -18,7 +18,7 @@
 use tokio::sync::mpsc;
 use tokio::time::sleep;
 
-use crate::follower::outcome;
+use crate::collection_reader::outcome;
 use crate::gateway::Gateway;
 use crate::metadata::Freshness;
 
@@ -33,20 +33,20 @@
 /// Between two looks of a watcher at the entries: how long a part of the fleet that knows nothing of
 /// the rest may stay so.
 const ENTRY_CHECK_PERIOD: Duration = Duration::from_secs(5);
-/// Members that a newcomer is told of, those of its own data centre first. With a tenth of them gone it
+/// Members that a joining_host is told of, those of its own data centre first. With a tenth of them gone it
 /// is all but sure to reach one.
 const SAMPLE: usize = 8;
 /// Members asked for what all hold, one after the other, until one answers.
 const TELLERS: usize = 3;
 /// Hosts of the store's entries that are spoken to at once.
 const NAMED: usize = 3;
-/// Newcomers of this time are announced together: all hosts start within 0.3 s, and each
+/// JoiningHosts of this time are announced together: all hosts start within 0.3 s, and each
 /// announcement is a message to everybody.
 const ANNOUNCE_DELAY: Duration = Duration::from_millis(50);
 
-/// Newcomers that this host is to announce.
+/// JoiningHosts that this host is to announce.
 #[derive(Debug, Default)]
-pub(crate) struct Newcomers {
+pub(crate) struct JoiningHosts {
     waiting: Mutex<Vec<Rumour>>,
 }
 
@@ -58,7 +58,7 @@
         let seeds: Vec<SocketAddr> = seeds.into_iter().filter(|seed| *seed != own).collect();
         while !self.meet_any(&seeds).await {
             let period = match self.is_lonely() {
-                true => self.look_for_others().await,
+                true => self.discover_from_store().await,
                 false => MEET_PERIOD,
             };
             sleep(period).await;
@@ -86,7 +86,7 @@
         };
         self.fleet.join.lock().meet(self.clock.now_ms());
         info!("fleet: met, {} members named", sample.len());
-        self.learn_from(sample).await;
+        self.sync_with_any(sample).await;
         self.fleet.join.lock().ask_peers();
         true
     }
@@ -123,40 +123,40 @@
     }
 
     /// Takes what all hold from one of a few members.
-    async fn learn_from(self: &Arc<Self>, mut sample: Vec<Rumour>) {
-        self.learn(&sample);
+    async fn sync_with_any(self: &Arc<Self>, mut sample: Vec<Rumour>) {
+        self.merge_rumours(&sample);
         let own = self.host_key();
         sample.retain(|one| HostKey::of(&one.member.name) != own);
         for teller in sample.into_iter().take(TELLERS) {
             let address = teller.member.address;
             if self.exchange_members(address).await {
-                self.greet(address).await;
+                self.ping_address(address).await;
                 return;
             }
         }
     }
 
-    /// Answers a newcomer, and has all others hear of it.
-    pub(crate) fn welcome(self: &Arc<Self>, newcomer: Rumour) -> Vec<Rumour> {
+    /// Answers a joining_host, and has all others hear of it.
+    pub(crate) fn handle_join(self: &Arc<Self>, joining_host: Rumour) -> Vec<Rumour> {
         let now_ms = self.clock.now_ms();
         let (is_news, sample) = {
             let mut members = self.fleet.members.lock();
-            let is_news = members.learn(now_ms, newcomer.clone());
+            let is_news = members.learn(now_ms, joining_host.clone());
             (
                 is_news,
-                members.sample(&newcomer.member, rand::random(), SAMPLE),
+                members.sample(&joining_host.member, rand::random(), SAMPLE),
             )
         };
         if is_news {
-            self.announce_soon(newcomer);
+            self.schedule_join_announcement(joining_host);
         }
         sample
     }
 
-    fn announce_soon(self: &Arc<Self>, newcomer: Rumour) {
+    fn schedule_join_announcement(self: &Arc<Self>, joining_host: Rumour) {
         let is_first = {
-            let mut waiting = self.fleet.newcomers.waiting.lock();
-            waiting.push(newcomer);
+            let mut waiting = self.fleet.joining.waiting.lock();
+            waiting.push(joining_host);
             waiting.len() == 1
         };
         if !is_first {
@@ -165,8 +165,8 @@
         let gateway = self.clone();
         tokio::spawn(async move {
             sleep(ANNOUNCE_DELAY).await;
-            let newcomers = std::mem::take(&mut *gateway.fleet.newcomers.waiting.lock());
-            gateway.announce_members(&newcomers);
+            let joining = std::mem::take(&mut *gateway.fleet.joining.waiting.lock());
+            gateway.announce_members(&joining);
         });
     }
 
@@ -196,7 +196,7 @@
     }
 
     /// Writes this host's entry and speaks to others that have one; how long to wait then.
-    async fn look_for_others(self: &Arc<Self>) -> Duration {
+    async fn discover_from_store(self: &Arc<Self>) -> Duration {
         if !self.write_entry().await {
             return ENTRY_PERIOD;
         }
@@ -266,7 +266,7 @@
         self.metrics.store_call("hosts", outcome(&listed));
         match listed {
             Ok(listed) => {
-                self.skip_of_list("the hosts", &listed);
+                self.report_unusable_in_list("the hosts", &listed);
                 let own = self.settings.host.address;
                 let others = listed.items.into_iter().filter(|host| host.address != own);
                 Some(others.map(|host| (host.name, host.address)).collect())
@@ -284,10 +284,10 @@
         self.metrics.store_call("own_entry", outcome(&written));
         match written {
             Ok(()) => {
-                self.fleet.note_entry();
+                self.fleet.mark_entry_written();
                 // Written just before the store came back from a copy, it is lost.
                 if era.is_some() && self.store_era.latest() != era {
-                    self.fleet.forget_entry();
+                    self.fleet.mark_entry_lost();
                 }
             }
             Err(error) => warn!("fleet: could not write this host's entry: {error}"),
--- a/crates/gateway/src/key.rs
+++ b/crates/gateway/src/key.rs
@@ -6,7 +6,7 @@
 use crate::directory::Registration;
 
 /// The key of an upstream's start.
-pub(crate) fn upstream_of(registration: &Registration) -> UpstreamKey {
+pub(crate) fn upstream_key(registration: &Registration) -> UpstreamKey {
     match registration.started_at_ms {
         Some(started_at_ms) => {
             UpstreamKey::of(&format!("{}/{started_at_ms}", registration.instance))
@@ -16,22 +16,22 @@
 }
 
 /// The key of an upstream whatever its start.
-pub(crate) fn name_of(registration: &Registration) -> u64 {
+pub(crate) fn name_key(registration: &Registration) -> u64 {
     hash(&registration.instance)
 }
 
 /// The key of a generation, from its caller's request.
-pub(crate) fn run_of(request_id: &str) -> RunKey {
+pub(crate) fn run_key(request_id: &str) -> RunKey {
     RunKey(hash(request_id))
 }
 
 /// The key of a data centre.
-pub(crate) fn centre_of(data_centre: &str) -> u64 {
+pub(crate) fn data_centre_key(data_centre: &str) -> u64 {
     hash(data_centre)
 }
 
 /// The key of a cell: of the whole service, or of a part of a data centre's engines.
-pub(crate) fn cell_of(service: &str, part: Option<(&str, u64)>) -> CellKey {
+pub(crate) fn cell_key(service: &str, part: Option<(&str, u64)>) -> CellKey {
     CellKey(match part {
         Some((data_centre, part)) => hash(&format!("{service}/{data_centre}/{part}")),
         None => hash(service),
--- a/crates/gateway/src/peer.rs
+++ b/crates/gateway/src/peer.rs
@@ -29,7 +29,7 @@
 
 impl Gateway {
     /// Answers peers until the process ends.
-    pub(crate) async fn answer_peers(self: Arc<Self>, listener: TcpListener) {
+    pub(crate) async fn serve_peers(self: Arc<Self>, listener: TcpListener) {
         loop {
             let Ok((socket, _)) = listener.accept().await else {
                 continue;
@@ -69,17 +69,17 @@
 impl GatewayPeer for Server {
     async fn ping(self, _: Context, ping: Ping, members: MembersDigest) -> (Pong, MembersDigest) {
         self.count("ping");
-        self.gateway.pong(ping, members)
+        self.gateway.handle_ping(ping, members)
     }
 
-    async fn join(self, _: Context, newcomer: Rumour) -> Vec<Rumour> {
+    async fn join(self, _: Context, joining_host: Rumour) -> Vec<Rumour> {
         self.count("join");
-        self.gateway.welcome(newcomer)
+        self.gateway.handle_join(joining_host)
     }
 
     async fn exchange_members(self, _: Context, beliefs: Vec<Rumour>) -> Vec<Rumour> {
         self.count("exchange_members");
-        self.gateway.answer_beliefs(&beliefs)
+        self.gateway.handle_member_exchange(&beliefs)
     }
 
     async fn holding(self, _: Context, holding: ReplicatedState) -> Vec<u8> {
@@ -109,7 +109,7 @@
 
     async fn announce(self, _: Context, announcement: Announcement) {
         self.count("announce");
-        self.gateway.hear_announcement(announcement);
+        self.gateway.handle_announcement(announcement);
     }
 
     async fn place(
@@ -119,7 +119,7 @@
         request: PlacementRequest,
     ) -> Option<Placement> {
         self.count("place");
-        self.gateway.answer_place(cell, &request)
+        self.gateway.handle_place(cell, &request)
     }
 
     async fn ended(self, _: Context, cell: CellKey, run: RunKey, end: RunEnd) {
@@ -137,13 +137,15 @@
     async fn doubt(self, _: Context, cell: CellKey, engine: UpstreamKey, verdict: Verdict) {
         self.count("doubt");
         if self.gateway.is_home(cell) {
-            self.gateway.hear_doubt(cell, engine, verdict).await;
+            self.gateway
+                .handle_engine_failure(cell, engine, verdict)
+                .await;
         }
     }
 
     async fn carry(self, _: Context, run: RunKey, to: UpstreamKey) -> MigrationAnswer {
         self.count("carry");
-        self.gateway.carry_here(run, to).await
+        self.gateway.migrate_here(run, to).await
     }
 
     async fn ask_start(self, _: Context, upstream: UpstreamKey, ask: StartRequest) -> StartAnswer {
--- a/crates/gateway/src/poison.rs
+++ b/crates/gateway/src/poison.rs
@@ -9,7 +9,7 @@
 use fulmarpath_policy::{Admission, Circuit, ContentKey, HostKey, Millis, ServiceKey, UpstreamKey};
 use fulmarpath_wire::{GatewayPeerClient, MemberInfo, NoAnswer, ReplicatedState};
 
-use crate::crashes::BrokenRun;
+use crate::crashes::InterruptedRun;
 use crate::encoding::{EncodingError, decode};
 use crate::gateway::Gateway;
 use crate::inbound::InboundRequest;
@@ -85,7 +85,7 @@
     }
 
     /// Reports a run that may be what ended its upstream to the homes of its service.
-    pub(crate) fn report_broken(self: &Arc<Self>, run: &BrokenRun) {
+    pub(crate) fn report_suspect(self: &Arc<Self>, run: &InterruptedRun) {
         if run.is_suspect() {
             let service = ServiceKey::of(&run.service);
             let host = self.as_circuit_host();
@@ -94,7 +94,7 @@
     }
 
     /// Takes a home's news.
-    pub(crate) fn take_circuits(&self, value: &[u8]) -> Result<(), EncodingError> {
+    pub(crate) fn handle_circuits(&self, value: &[u8]) -> Result<(), EncodingError> {
         poison::adopt_circuits(self, decode(ReplicatedState::Circuits, value)?, "a home");
         Ok(())
     }
--- a/crates/gateway/src/presence_log.rs
+++ b/crates/gateway/src/presence_log.rs
@@ -34,7 +34,7 @@
 
 impl PresenceLog {
     /// Sees who is present now; the line to write where one is due.
-    pub fn see(&mut self, now_ms: Millis, present: PresentHosts) -> Option<String> {
+    pub fn update(&mut self, now_ms: Millis, present: PresentHosts) -> Option<String> {
         match &mut self.burst {
             None if present == self.told => return None,
             None => {
--- a/crates/gateway/src/look.rs
+++ b/crates/gateway/src/probe.rs
@@ -31,11 +31,11 @@
 
 /// When each engine was last looked at.
 #[derive(Debug, Default)]
-pub(crate) struct Looks {
+pub(crate) struct ProbeTimes {
     at_ms: Mutex<HashMap<UpstreamKey, Millis>>,
 }
 
-impl Looks {
+impl ProbeTimes {
     /// Whether an engine is to be looked at now.
     fn begin(&self, now_ms: Millis, engine: UpstreamKey) -> bool {
         let mut at_ms = self.at_ms.lock();
@@ -47,13 +47,18 @@
 impl Gateway {
     /// Tells a cell's home that this host has reason to doubt an engine, by what became of a request
     /// there.
-    pub(crate) fn doubt(self: &Arc<Self>, cell: CellKey, engine: UpstreamKey, verdict: Verdict) {
+    pub(crate) fn report_engine_failure(
+        self: &Arc<Self>,
+        cell: CellKey,
+        engine: UpstreamKey,
+        verdict: Verdict,
+    ) {
         let Some((key, note)) = self.home_of(cell) else {
             return;
         };
         let gateway = self.clone();
         if key == self.host_key() {
-            tokio::spawn(async move { gateway.hear_doubt(cell, engine, verdict).await });
+            tokio::spawn(async move { gateway.handle_engine_failure(cell, engine, verdict).await });
             return;
         }
         tokio::spawn(async move {
@@ -70,39 +75,39 @@
     ///
     /// An engine that fails a part of what it gets says that it is well, and looks emptier than the
     /// others: each host meets it once or twice, and only the home hears of all.
-    pub(crate) async fn hear_doubt(
+    pub(crate) async fn handle_engine_failure(
         self: &Arc<Self>,
         cell: CellKey,
         engine: UpstreamKey,
         verdict: Verdict,
     ) {
         let now_ms = self.clock.now_ms();
-        self.cells.see_failure(now_ms, cell, engine, verdict);
-        self.clone().look_at(cell, engine).await;
+        self.cells.record_failure(now_ms, cell, engine, verdict);
+        self.clone().probe_engine(cell, engine).await;
     }
 
-    /// Looks at an engine, unless that was done just now.
-    pub(crate) async fn look_at(self: Arc<Self>, cell: CellKey, engine: UpstreamKey) {
-        if !self.looks.begin(self.clock.now_ms(), engine) {
+    /// ProbeTimes at an engine, unless that was done just now.
+    pub(crate) async fn probe_engine(self: Arc<Self>, cell: CellKey, engine: UpstreamKey) {
+        if !self.probe_times.begin(self.clock.now_ms(), engine) {
             return;
         }
         let Some(destination) = self.instances.find(engine) else {
             return;
         };
         let look = self.control.probe(destination.address).await;
-        if !self.is_word_of(engine, look) {
+        if !self.is_current_start(engine, look) {
             return;
         }
         let sight = look.status;
         let now_ms = self.clock.now_ms();
-        if self.cells.see(now_ms, cell, engine, sight) {
+        if self.cells.apply_probe(now_ms, cell, engine, sight) {
             info!("cells: {:016x} was looked at: {sight:?}", engine.0);
         }
     }
 
     /// Whether what was heard is of the start that was asked. A later one makes itself known by it; an
     /// earlier one's word was late.
-    fn is_word_of(&self, engine: UpstreamKey, look: ProbeResult) -> bool {
+    fn is_current_start(&self, engine: UpstreamKey, look: ProbeResult) -> bool {
         let known = self.instances.registration(engine);
         let Some((known, heard_ms)) = known.zip(look.born_ms) else {
             return true;
@@ -113,21 +118,21 @@
         if heard_ms > known_ms {
             let mut roster = self.roster.lock();
             if roster.observe_start(&known.instance, heard_ms) {
-                self.adopt_directory(&roster.directory());
+                self.apply_directory(&roster.directory());
             }
         }
         heard_ms == known_ms
     }
 
-    /// Looks at the engines of this host's cells while their registrations can't tell who leaves, and
+    /// ProbeTimes at the engines of this host's cells while their registrations can't tell who leaves, and
     /// at those that could not be reached.
-    pub(crate) async fn look_around(self: Arc<Self>) {
+    pub(crate) async fn probe_uncertain_engines(self: Arc<Self>) {
         loop {
             sleep(ROUND_PERIOD).await;
             let is_blind = self.roster.lock().is_uncertain(self.clock.now_ms());
             for (cell, engine, is_gone) in self.cells.engines() {
                 if (is_blind || is_gone) && self.is_home(cell) {
-                    tokio::spawn(self.clone().look_at(cell, engine));
+                    tokio::spawn(self.clone().probe_engine(cell, engine));
                 }
             }
         }
@@ -137,10 +142,10 @@
     ///
     /// Notices differ by a third. With the shortest assumed, the last third of a longer one went
     /// unused; with a longer one assumed, transfers were cut by the engine's end.
-    pub(crate) async fn learn_time_left(self: Arc<Self>, cell: CellKey, engine: UpstreamKey) {
+    pub(crate) async fn probe_time_left(self: Arc<Self>, cell: CellKey, engine: UpstreamKey) {
         for wait in ASK_TIME_LEFT {
             sleep(wait).await;
-            self.clone().look_at(cell, engine).await;
+            self.clone().probe_engine(cell, engine).await;
         }
     }
 }
--- a/crates/gateway/src/recovery.rs
+++ b/crates/gateway/src/recovery.rs
@@ -7,7 +7,7 @@
 use spdlog::info;
 
 use crate::attempt::{Answer, DispatchOptions};
-use crate::crashes::BrokenRun;
+use crate::crashes::InterruptedRun;
 use crate::engine_stream::{EngineStream, StreamRead};
 use crate::head::Continuation;
 use crate::instance::Destination;
@@ -29,7 +29,7 @@
         self.stream.in_flight.note(Verdict::Failed);
         let broken = self.broken_run();
         let is_suspect = broken.is_suspect();
-        self.gateway.note_broken(broken);
+        self.gateway.check_for_crash(broken);
         self.recoveries += 1;
         if self.recoveries > RECOVERIES {
             return false;
@@ -41,7 +41,7 @@
         }
         let lost = self.stream.engine();
         self.gateway
-            .doubt(self.run_guard.cell, lost.upstream, Verdict::Failed);
+            .report_engine_failure(self.run_guard.cell, lost.upstream, Verdict::Failed);
         if let Some(migration) = self.migration.take() {
             let has_continued = match migration.copied() {
                 Some((to, copy)) => self.continue_at(&to, lost.address, &copy).await,
@@ -63,12 +63,12 @@
     }
 
     /// Describes the run that the engine broke off.
-    fn broken_run(&self) -> BrokenRun {
+    fn broken_run(&self) -> InterruptedRun {
         let now_ms = self.gateway.clock.now_ms();
         let begun_ms = self.stream.begun_ms;
         let ran_ms = begun_ms.map(|begun_ms| now_ms.saturating_sub(begun_ms));
         let chosen = &self.stream.in_flight.chosen;
-        BrokenRun::new(chosen, &self.inbound, &self.tracker.id, ran_ms)
+        InterruptedRun::new(chosen, &self.inbound, &self.tracker.id, ran_ms)
     }
 
     /// Abandons an engine that is silent in the middle of a stream and resumes from the running
@@ -91,8 +91,11 @@
             .await
         {
             self.gateway.metrics.continuation("left_silent");
-            self.gateway
-                .doubt(self.run_guard.cell, silent.upstream, Verdict::Failed);
+            self.gateway.report_engine_failure(
+                self.run_guard.cell,
+                silent.upstream,
+                Verdict::Failed,
+            );
         }
     }
 
--- a/crates/gateway/src/relay.rs
+++ b/crates/gateway/src/relay.rs
@@ -51,7 +51,7 @@
             is_complete: self.is_whole,
             first_ms: self.first_ms,
         };
-        self.gateway.tell_end(self.cell, self.run, end);
+        self.gateway.report_end(self.cell, self.run, end);
     }
 }
 
--- a/crates/gateway/src/returns.rs
+++ b/crates/gateway/src/restored_entries.rs
@@ -10,7 +10,7 @@
 const LAPSE_MARGIN_MS: Millis = 400;
 
 #[derive(Debug, Clone)]
-struct Returned {
+struct RestoredEntry {
     registration: Registration,
     /// What is there still by then is alive.
     until_ms: Millis,
@@ -18,13 +18,13 @@
 
 /// Upstreams that had gone and may be there again.
 #[derive(Debug)]
-pub(crate) struct Returns {
-    held: HashMap<String, Returned>,
+pub(crate) struct RestoredEntries {
+    held: HashMap<String, RestoredEntry>,
     /// How long an entry outlives its upstream's silence.
     registration_ttl_ms: Millis,
 }
 
-impl Returns {
+impl RestoredEntries {
     pub(crate) fn new(registration_ttl_ms: Millis) -> Self {
         Self {
             held: HashMap::new(),
@@ -41,7 +41,7 @@
         let name = registration.instance.clone();
         let held = self.held.get(&name).map(|held| held.until_ms);
         let until_ms = held.unwrap_or(now_ms + self.registration_ttl_ms + LAPSE_MARGIN_MS);
-        let returned = Returned {
+        let returned = RestoredEntry {
             registration,
             until_ms,
         };
--- a/crates/gateway/src/roster.rs
+++ b/crates/gateway/src/roster.rs
@@ -17,7 +17,7 @@
 use crate::departures::Departures;
 use crate::directory::{Departure, Directory, DirectoryChange, RegisteredState, Registration};
 use crate::metadata::{Change, Changes, Snapshot, UnusableEntry};
-use crate::returns::Returns;
+use crate::restored_entries::RestoredEntries;
 
 /// Upstreams that live are registered again within about two seconds of the store's return.
 const RETURN_MS: Millis = 2_200;
@@ -56,7 +56,7 @@
     services_with_start_time: HashSet<String>,
     /// Upstreams that went.
     departures: Departures,
-    returns: Returns,
+    returns: RestoredEntries,
     /// What changed up to this revision can't be told one by one.
     listed: Revision,
 }
@@ -78,7 +78,7 @@
             grace_until_ms: 0,
             services_with_start_time: HashSet::new(),
             departures: Departures::default(),
-            returns: Returns::new(registration_ttl_ms),
+            returns: RestoredEntries::new(registration_ttl_ms),
             listed: Revision::default(),
         }
     }
--- a/crates/gateway/src/serve.rs
+++ b/crates/gateway/src/serve.rs
@@ -86,16 +86,16 @@
         let (_keep, never) = watch::channel(false);
         tokio::spawn(self.clone().answer_readiness(readiness, never.clone()));
         tokio::spawn(self.clone().answer_metrics(metrics, never));
-        tokio::spawn(self.clone().answer_peers(peers));
-        tokio::spawn(self.clone().follow_configuration());
-        tokio::spawn(self.clone().follow_registrations());
+        tokio::spawn(self.clone().serve_peers(peers));
+        tokio::spawn(self.clone().sync_configuration());
+        tokio::spawn(self.clone().sync_registrations());
         if let Some(bound_ms) = self.settings.evacuation_bound_ms {
-            tokio::spawn(self.clone().follow_evacuations(bound_ms));
+            tokio::spawn(self.clone().sync_evacuations(bound_ms));
         }
-        tokio::spawn(self.clone().expire_kept());
+        tokio::spawn(self.clone().expire_unconfirmed());
         tokio::spawn(self.clone().restate_runs());
-        tokio::spawn(self.clone().carry_off_leaving());
-        tokio::spawn(self.clone().look_around());
+        tokio::spawn(self.clone().migrate_off_leaving());
+        tokio::spawn(self.clone().probe_uncertain_engines());
         tokio::spawn(self.clone().join_fleet(self.settings.seeds.clone()));
         let gateway = self.clone();
         let handler = move |request| gateway.clone().handle(request);
--- a/crates/gateway/src/start.rs
+++ b/crates/gateway/src/start.rs
@@ -13,7 +13,7 @@
 use crate::gateway::Gateway;
 use crate::inbound::InboundRequest;
 use crate::instance::{Chosen, Destination};
-use crate::key::centre_of;
+use crate::key::data_centre_key;
 use crate::problem::Problem;
 use crate::relay::RunGuard;
 use crate::tracker::RequestTracker;
@@ -204,7 +204,7 @@
             }
         });
         if let Some(verdict) = engine_verdict(&answer) {
-            self.doubt(run_guard.cell, engine, verdict);
+            self.report_engine_failure(run_guard.cell, engine, verdict);
         }
         let answer = answer?;
         Ok(StartedGeneration {
@@ -227,13 +227,13 @@
         if let Ok(answer) = timeout(patience, dispatch.as_mut()).await {
             return answer;
         }
-        self.doubt(run_guard.cell, engine, Verdict::Failed);
+        self.report_engine_failure(run_guard.cell, engine, Verdict::Failed);
         dispatch.await
     }
 
     /// Whether the generation is certain to end before this host stops, if it is stopping.
     fn can_finish(&self, inbound: &InboundRequest) -> bool {
-        let (Some(ends_ms), Some(generation)) = (self.ends_ms(), &inbound.generation) else {
+        let (Some(ends_ms), Some(generation)) = (self.stops_at_ms(), &inbound.generation) else {
             return true;
         };
         can_finish(self.clock.now_ms(), ends_ms, generation.output_limit_tokens)
@@ -257,7 +257,7 @@
             let asked_ms = self.clock.now_ms();
             let is_last_call = asked_ms >= until_ms;
             let mut without = refusing.clone();
-            without.extend(self.instances.closed(asked_ms));
+            without.extend(self.instances.throttled(asked_ms));
             let mut request = self.placement_request(inbound, run_guard, without);
             if let Some(request) = &mut request {
                 let waited_ms = asked_ms.saturating_sub(tracker.arrived_ms);
@@ -325,7 +325,7 @@
             run: run_guard.run,
             host: self.host_key(),
             organisation: inbound.organisation_key(),
-            data_centre: centre_of(&self.settings.host.data_centre),
+            data_centre: data_centre_key(&self.settings.host.data_centre),
             prompt_tokens: generation.prompt_tokens,
             limit_tokens: generation.output_limit_tokens,
             hint_tokens: generation.length_hint_tokens,
--- a/crates/gateway/src/start_limits.rs
+++ b/crates/gateway/src/start_limits.rs
@@ -188,7 +188,7 @@
     /// back off.
     pub(crate) fn refine_refusal(&self, problem: Problem, service: &str) -> Problem {
         let now_ms = self.clock.now_ms();
-        match (problem, self.instances.opens_ms(now_ms, service)) {
+        match (problem, self.instances.available_at_ms(now_ms, service)) {
             (Problem::AllRefused, Some(opens_ms)) => Problem::Throttled {
                 retry_after_ms: opens_ms - now_ms,
             },
@@ -295,16 +295,16 @@
         let now_ms = self.clock.now_ms();
         if let Some(limit) = ask.limit {
             let heard_ms = now_ms.saturating_sub(limit.age_ms);
-            self.instances.hear_limit(upstream, limit.per_s, heard_ms);
+            self.instances.apply_limit(upstream, limit.per_s, heard_ms);
         }
-        let is_in_touch = self.fleet.is_in_touch(now_ms);
+        let has_recent_contact = self.fleet.has_recent_contact(now_ms);
         let cold = self.instances.availability(upstream).cold;
-        if ask.is_cold && (cold.is_none() || !is_in_touch) {
+        if ask.is_cold && (cold.is_none() || !has_recent_contact) {
             return StartAnswer::Later {
                 wait_ms: NO_HOME_MS,
             };
         }
-        let is_home = is_in_touch && self.home_of_starts(upstream).is_none();
+        let is_home = has_recent_contact && self.home_of_starts(upstream).is_none();
         let limit = self.instances.named_limit(now_ms, upstream);
         let bound = Bound {
             cold: cold.filter(|_| ask.is_cold).map(|cold| cold.starts),
@@ -353,7 +353,7 @@
         let asked = self.request_start(upstream, ask).await;
         if let Err(wait_ms) = asked {
             let until_ms = self.clock.now_ms() + wait_ms;
-            self.instances.hold(upstream, until_ms);
+            self.instances.throttle_until(upstream, until_ms);
         }
         asked.is_err()
     }
--- a/crates/gateway/src/store_era.rs
+++ b/crates/gateway/src/store_era.rs
@@ -8,7 +8,7 @@
 
 use crate::directory::Directory;
 use crate::gateway::Gateway;
-use crate::spacing::Spacing;
+use crate::log_throttle::LogThrottle;
 
 /// Between two lines of the log about answers that are dropped: calls may come many a second, and the
 /// counter has all of them.
@@ -21,7 +21,7 @@
 #[derive(Debug, Default)]
 pub(crate) struct StoreEra {
     latest: Mutex<Option<u64>>,
-    dropped: Spacing,
+    dropped_log: LogThrottle,
 }
 
 impl StoreEra {
@@ -31,22 +31,22 @@
     }
 
     /// Hears an era.
-    fn hear(&self, era: u64) -> EraNews {
+    fn observe(&self, era: u64) -> EraUpdate {
         let mut latest = self.latest.lock();
         let before = latest.replace(era);
         match before {
-            None => EraNews::First,
-            Some(before) if before < era => EraNews::Return { before },
+            None => EraUpdate::First,
+            Some(before) if before < era => EraUpdate::Return { before },
             Some(before) => {
                 *latest = Some(before);
-                EraNews::Nothing
+                EraUpdate::Nothing
             }
         }
     }
 }
 
 /// What is new about an era that was heard.
-enum EraNews {
+enum EraUpdate {
     /// It is the first.
     First,
     /// The store has come back from a copy.
@@ -61,27 +61,27 @@
 impl Gateway {
     /// Hears of a state of the store, from itself or from a peer. One that nobody knows for certain tells
     /// no era.
-    pub(crate) fn hear_era(&self, revision: Revision, source: impl Display) {
+    pub(crate) fn observe_era(&self, revision: Revision, source: impl Display) {
         if revision <= Directory::PROVISIONAL {
             return;
         }
         let era = revision.era;
-        match self.store_era.hear(era) {
-            EraNews::First => info!("store: era {era}, told by {source}"),
-            EraNews::Return { before } => {
+        match self.store_era.observe(era) {
+            EraUpdate::First => info!("store: era {era}, told by {source}"),
+            EraUpdate::Return { before } => {
                 warn!("{STORE_RESTORED_PREFIX}era {era} follows {before}, told by {source}");
-                self.fleet.forget_entry();
+                self.fleet.mark_entry_lost();
             }
-            EraNews::Nothing => return,
+            EraUpdate::Nothing => return,
         }
         self.metrics.store_era.set(era as i64);
     }
 
     /// Counts an answer of the store that tells of a state before the one that is known.
-    pub(crate) fn drop_answer(&self, what: &'static str, heard: Revision, held: Revision) {
+    pub(crate) fn report_stale_answer(&self, what: &'static str, heard: Revision, held: Revision) {
         self.metrics.drop_answer(what);
         let now_ms = self.clock.now_ms();
-        if self.store_era.dropped.may_tell(now_ms, SILENCE_MS) {
+        if self.store_era.dropped_log.allows(now_ms, SILENCE_MS) {
             warn!(
                 "store: an answer on {what} is dropped: revision {heard}, after {held} was heard"
             );
--- a/crates/gateway/src/follow.rs
+++ b/crates/gateway/src/store_sync.rs
@@ -9,9 +9,9 @@
 use spdlog::{info, warn};
 use tokio::time::sleep;
 
+use crate::collection_reader::{CollectionReader, StoreUpdate, outcome};
 use crate::configuration::Configuration;
 use crate::directory::{Directory, DirectoryChange, Registration};
-use crate::follower::{Follower, Heard, outcome};
 use crate::gateway::Gateway;
 use crate::metadata::{Change, Freshness};
 use crate::roster::Roster;
@@ -52,10 +52,10 @@
 
 impl Gateway {
     /// Follows the operator's configuration.
-    pub(crate) async fn follow_configuration(self: Arc<Self>) {
+    pub(crate) async fn sync_configuration(self: Arc<Self>) {
         let source = &*self.metadata.configuration;
         let wait = self.part_of_change_bound(WATCH_SHARE);
-        let mut follower = Follower::new("the configuration", "configuration");
+        let mut reader = CollectionReader::new("the configuration", "configuration");
         let mut untold = Untold::default();
         let mut revision = None;
         loop {
@@ -64,41 +64,41 @@
                 if self.version() == 0 && untold.is_due(&self) {
                     self.read_configuration().await;
                 }
-                sleep(self.until_next_look()).await;
+                sleep(self.watch_check_period()).await;
                 continue;
             }
-            match follower.ask(&self, source, revision, wait).await {
+            match reader.read(&self, source, revision, wait).await {
                 Ok(heard) => {
                     revision = Some(heard.revision());
                     for configuration in configurations(heard) {
-                        self.take_stored(configuration);
+                        self.apply_stored(configuration);
                     }
                     self.read_circuits().await;
                 }
                 Err(error) => {
                     revision = None;
-                    follower.fail(&self, &error).await;
+                    reader.handle_failure(&self, &error).await;
                 }
             }
         }
     }
 
     /// Takes what the store has as the configuration, and passes it on.
-    fn take_stored(self: &Arc<Self>, configuration: Configuration) {
+    fn apply_stored(self: &Arc<Self>, configuration: Configuration) {
         let (stored, held) = (configuration.version, self.version());
         if stored < held {
             info!("configuration: the store has version {stored}, {held} stays in force");
         }
-        if self.adopt(configuration, "the store") {
+        if self.apply_configuration(configuration, "the store") {
             self.announce_configuration();
         }
     }
 
     /// Follows the upstreams' registrations.
-    pub(crate) async fn follow_registrations(self: Arc<Self>) {
+    pub(crate) async fn sync_registrations(self: Arc<Self>) {
         let source = &*self.metadata.registrations;
         let wait = self.part_of_change_bound(WATCH_SHARE);
-        let mut follower = Follower::new("the upstreams", "upstreams");
+        let mut reader = CollectionReader::new("the upstreams", "upstreams");
         let mut untold = Untold::default();
         let mut is_listed = false;
         loop {
@@ -107,20 +107,20 @@
                 if !self.knows_upstreams() && untold.is_due(&self) {
                     self.read_registrations().await;
                 }
-                sleep(self.until_next_look()).await;
+                sleep(self.watch_check_period()).await;
                 continue;
             }
             let held = self.roster.lock().revision();
             if !is_listed {
-                self.begin_announcing();
+                self.reset_announced_revision();
             }
             let since = is_listed.then_some(held);
-            match follower.ask(&self, source, since, wait).await {
+            match reader.read(&self, source, since, wait).await {
                 Ok(heard) => {
                     is_listed = true;
-                    self.take_registrations(heard);
-                    self.announce_directory_soon();
-                    if !self.has_cell() {
+                    self.apply_registrations(heard);
+                    self.schedule_directory_announcement();
+                    if !self.is_home_of_any_cell() {
                         sleep(self.part_of_change_bound(MERGE_SHARE)).await;
                     }
                 }
@@ -131,21 +131,21 @@
                             .lock()
                             .mark_store_unavailable(self.clock.now_ms());
                     }
-                    follower.fail(&self, &error).await;
+                    reader.handle_failure(&self, &error).await;
                 }
             }
         }
     }
 
     /// Takes what the store tells of the upstreams, or drops it where peers have told later news.
-    fn take_registrations(&self, heard: Heard<Registration>) {
+    fn apply_registrations(&self, heard: StoreUpdate<Registration>) {
         let held = self.roster.lock().revision();
         if heard.revision() < held {
-            self.drop_answer("the upstreams", heard.revision(), held);
+            self.report_stale_answer("the upstreams", heard.revision(), held);
         }
         self.roster_step(|roster, now_ms| match heard {
-            Heard::All(list) => roster.replace(now_ms, list),
-            Heard::News(changes) => roster.apply(now_ms, changes),
+            StoreUpdate::Snapshot(list) => roster.replace(now_ms, list),
+            StoreUpdate::Changes(changes) => roster.apply(now_ms, changes),
         });
     }
 
@@ -165,7 +165,7 @@
     }
 
     /// How long a host that doesn't watch waits until it looks again whether it should.
-    pub(crate) fn until_next_look(&self) -> Duration {
+    pub(crate) fn watch_check_period(&self) -> Duration {
         match self.may_read() {
             true => IDLE_PERIOD,
             false => JOIN_PERIOD,
@@ -182,9 +182,9 @@
         self.metrics.store_call("configuration", outcome(&listed));
         match listed {
             Ok(all) => {
-                self.skip_of_list("the configuration", &all);
+                self.report_unusable_in_list("the configuration", &all);
                 for configuration in all.items {
-                    self.adopt(configuration, "the store, maybe old");
+                    self.apply_configuration(configuration, "the store, maybe old");
                 }
                 self.read_circuits().await;
             }
@@ -205,7 +205,7 @@
         self.metrics.store_call("upstreams", outcome(&listed));
         match listed {
             Ok(list) => {
-                self.skip_of_list("the upstreams", &list);
+                self.report_unusable_in_list("the upstreams", &list);
                 self.roster_step(|roster, now_ms| roster.load_provisional(now_ms, list));
             }
             Err(error) => {
@@ -216,20 +216,20 @@
     }
 
     /// Ends what was kept only until the store, back from an outage or a copy, would tell of it again.
-    pub(crate) async fn expire_kept(self: Arc<Self>) {
+    pub(crate) async fn expire_unconfirmed(self: Arc<Self>) {
         loop {
             sleep(EXPIRE_PERIOD).await;
             self.expire_evacuations();
             let mut roster = self.roster.lock();
             if roster.expire(self.clock.now_ms()) {
-                self.adopt_directory(&roster.directory());
+                self.apply_directory(&roster.directory());
             }
         }
     }
 
     /// Takes what a peer knows of the upstreams and this host doesn't.
-    pub(crate) fn take_upstreams(&self, change: DirectoryChange) {
-        self.hear_era(change.revision, "a peer");
+    pub(crate) fn apply_peer_upstreams(&self, change: DirectoryChange) {
+        self.observe_era(change.revision, "a peer");
         let now_ms = self.clock.now_ms();
         let is_complete = change.is_complete();
         let mut roster = self.roster.lock();
@@ -238,9 +238,9 @@
             let revision = roster.revision();
             let how = if is_complete { "whole" } else { "in part" };
             info!("upstreams: revision {revision} is a peer's, {how}, after {before}");
-            self.adopt_directory(&roster.directory());
+            self.apply_directory(&roster.directory());
         }
-        tell_of_return(before, &roster);
+        log_store_restored(before, &roster);
     }
 
     fn roster_step(&self, step: impl FnOnce(&mut Roster, Millis) -> bool) {
@@ -255,14 +255,14 @@
                 directory.registrations.len(),
                 directory.revision
             );
-            self.adopt_directory(&directory);
+            self.apply_directory(&directory);
         }
-        tell_of_return(before, &roster);
+        log_store_restored(before, &roster);
     }
 }
 
 /// Tells the log what is kept against a store that has come back from a copy since a revision.
-pub(crate) fn tell_of_return(before: Revision, roster: &Roster) {
+pub(crate) fn log_store_restored(before: Revision, roster: &Roster) {
     let revision = roster.revision();
     if !revision.is_return_since(before, Directory::PROVISIONAL) {
         return;
@@ -276,10 +276,10 @@
 
 /// The configurations that an answer of the store names, in order. One that is gone leaves the one in
 /// force.
-fn configurations(heard: Heard<Configuration>) -> Vec<Configuration> {
+fn configurations(heard: StoreUpdate<Configuration>) -> Vec<Configuration> {
     match heard {
-        Heard::All(all) => all.items,
-        Heard::News(changes) => {
+        StoreUpdate::Snapshot(all) => all.items,
+        StoreUpdate::Changes(changes) => {
             let puts = changes
                 .changes
                 .into_iter()
--- a/crates/gateway/src/stored_circuits.rs
+++ b/crates/gateway/src/stored_circuits.rs
@@ -16,7 +16,7 @@
 use spdlog::{info, warn};
 use tokio::time::sleep;
 
-use crate::follower::outcome;
+use crate::collection_reader::outcome;
 use crate::gateway::Gateway;
 use crate::metadata::{Freshness, StoreError, StoredCircuit};
 
@@ -89,7 +89,7 @@
         match listed {
             Ok(all) => {
                 *self.circuits_era.lock() = Some(all.revision.era);
-                self.skip_of_list("the circuits", &all);
+                self.report_unusable_in_list("the circuits", &all);
                 let stored = all.items.iter();
                 let stored = stored.map(|one| (one.content, one.openings)).collect();
                 let unix_ms = Clock::wall_ms();
--- a/crates/gateway/src/stream.rs
+++ b/crates/gateway/src/stream.rs
@@ -12,7 +12,7 @@
 use crate::gateway::Gateway;
 use crate::hop;
 use crate::inbound::InboundRequest;
-use crate::key::run_of;
+use crate::key::run_key;
 use crate::relay::{Relay, RunGuard};
 use crate::start::{Attempts, StartedGeneration};
 use crate::tracker::RequestTracker;
@@ -74,7 +74,7 @@
 impl RunGuard {
     fn new(gateway: Arc<Gateway>, inbound: &InboundRequest, id: &str) -> Self {
         let data_centre = &gateway.settings.host.data_centre;
-        let run = run_of(id);
+        let run = run_key(id);
         Self {
             cell: gateway.cells.cell_for(&inbound.service, data_centre, run),
             run,
--- a/crates/gateway/src/tracker.rs
+++ b/crates/gateway/src/tracker.rs
@@ -9,7 +9,7 @@
 use crate::gateway::Gateway;
 use crate::head::GenerationHead;
 use crate::instance::Chosen;
-use crate::key::run_of;
+use crate::key::run_key;
 use crate::metrics::EndLabels;
 use crate::problem::Problem;
 use crate::record::{Dispatch, REQUEST_PREFIX, RequestRecord, Size};
@@ -163,7 +163,7 @@
     fn record(&self, outcome: &str, status: u16) -> RequestRecord {
         RequestRecord {
             request: self.id.clone(),
-            run: format!("{:016x}", run_of(&self.id).0),
+            run: format!("{:016x}", run_key(&self.id).0),
             content: self.content.map(|content| format!("{:016x}", content.0)),
             route: self.route.clone(),
             kind: self.kind.to_owned(),
--- a/crates/gateway/src/unusable.rs
+++ b/crates/gateway/src/unusable_entries.rs
@@ -12,12 +12,12 @@
 
 impl Gateway {
     /// Counts what can't be used of a list.
-    pub(crate) fn skip_of_list<T>(&self, what: &'static str, list: &Snapshot<T>) {
+    pub(crate) fn report_unusable_in_list<T>(&self, what: &'static str, list: &Snapshot<T>) {
         self.skip(what, list.unusable.iter());
     }
 
     /// Counts what can't be used of changes.
-    pub(crate) fn skip_of_changes<T>(&self, what: &'static str, changes: &Changes<T>) {
+    pub(crate) fn report_unusable_in_changes<T>(&self, what: &'static str, changes: &Changes<T>) {
         let unusable = changes.changes.iter().filter_map(|change| match change {
             Change::Unusable(unusable) => Some(unusable),
             Change::Put(_) | Change::Removed(_) => None,
@@ -34,7 +34,7 @@
         }
         let Some(first) = first else { return };
         self.metrics.skip_entries(what, count);
-        if self.skipped.may_tell(self.clock.now_ms(), SILENCE_MS) {
+        if self.unusable_log.allows(self.clock.now_ms(), SILENCE_MS) {
             let name = first.name.as_deref().unwrap_or("without a name");
             let reason = &first.reason;
             warn!("store: {count} entries of {what} can't be used, as {name}: {reason}");
--- a/crates/gateway/src/upstream_table.rs
+++ b/crates/gateway/src/upstream_table.rs
@@ -51,13 +51,13 @@
     }
 
     /// From when on an upstream takes more of this host, by what it asks for.
-    pub(crate) fn opens_ms(&self, upstream: UpstreamKey) -> Millis {
+    pub(crate) fn available_at_ms(&self, upstream: UpstreamKey) -> Millis {
         let asked = self.backpressure.get(&upstream);
         asked.map_or(0, Backpressure::opens_ms)
     }
 
     /// Whether an upstream wants nothing new of this host now.
-    pub(crate) fn is_closed(&self, now_ms: Millis, upstream: UpstreamKey) -> bool {
+    pub(crate) fn is_throttled(&self, now_ms: Millis, upstream: UpstreamKey) -> bool {
         let asked = self.backpressure.get(&upstream);
         asked.is_some_and(|asked| asked.is_closed(now_ms))
     }
--- a/crates/gateway/tests/presence_log.rs
+++ b/crates/gateway/tests/presence_log.rs
@@ -73,7 +73,7 @@
         let mut presence = PresenceLog::default();
         let seen = case.seen.into_iter();
         let lines: Vec<String> = seen
-            .filter_map(|(now_ms, present)| presence.see(now_ms, present))
+            .filter_map(|(now_ms, present)| presence.update(now_ms, present))
             .collect();
         assert_eq!(lines, case.lines, "{}", case.what);
     }
