--- a/crates/bench/src/cmd/spread.rs
+++ b/crates/bench/src/cmd/spread.rs
@@ -71,7 +71,10 @@
             loop {
                 let mut lags = false;
                 for (host, seen) in deployment.live().zip(&mut seen) {
-                    let held = host.node.in_force().map_or(0, |held| held.root.revision);
+                    let held = host
+                        .node
+                        .active_configuration()
+                        .map_or(0, |held| held.root.revision);
                     reverted += u64::from(held < *seen);
                     *seen = held;
                     lags |= held < revision;
--- a/crates/bench/src/faults/fault.rs
+++ b/crates/bench/src/faults/fault.rs
@@ -181,7 +181,10 @@
 
 /// An announcement that was sent before a change arrives after it, at every host.
 async fn announce_old(deployment: &Deployment, rng: &mut ChaCha8Rng) -> Option<u64> {
-    let held = deployment.host(OPERATORS_HOST).node.in_force()?;
+    let held = deployment
+        .host(OPERATORS_HOST)
+        .node
+        .active_configuration()?;
     let old = serde_json::to_vec(&held.root).ok()?;
     let revision = switch(deployment, rng).await?;
     tokio::time::sleep(CROSSED_AFTER).await;
@@ -198,7 +201,7 @@
 
 async fn race(deployment: &Deployment, rng: &mut ChaCha8Rng) -> Vec<u64> {
     let node = deployment.host(OPERATORS_HOST).node.clone();
-    let onto = node.in_force().map(|held| held.root.revision);
+    let onto = node.active_configuration().map(|held| held.root.revision);
     let mut apply = |weight: f32| {
         let mut declarations = declarations();
         declarations.organisations[0].weight = weight + rng.random::<f32>();
--- a/crates/bench/src/faults/round.rs
+++ b/crates/bench/src/faults/round.rs
@@ -106,7 +106,7 @@
     let started = Instant::now();
     let lags = || {
         deployment.live().any(|host| {
-            let held = host.node.in_force();
+            let held = host.node.active_configuration();
             held.is_none_or(|held| held.root.revision < revision)
         })
     };
@@ -131,7 +131,9 @@
             let mut fell = false;
             while !stopped.load(Ordering::Relaxed) {
                 for (node, seen) in nodes.iter().zip(&mut seen) {
-                    let held = node.in_force().map_or(0, |held| held.root.revision);
+                    let held = node
+                        .active_configuration()
+                        .map_or(0, |held| held.root.revision);
                     fell |= held < *seen;
                     *seen = held;
                 }
--- a/crates/cluster/src/configuration.rs
+++ b/crates/cluster/src/configuration.rs
@@ -171,7 +171,7 @@
 
 /// One configuration, ready for look-ups.
 #[derive(Debug)]
-pub struct InForce {
+pub struct ActiveConfiguration {
     /// Its root.
     pub root: Root,
     /// All declarations.
@@ -183,7 +183,7 @@
     pub(crate) part_values: HashMap<String, Vec<u8>>,
 }
 
-impl InForce {
+impl ActiveConfiguration {
     /// Indexes a configuration; `None` where the parts don't belong to the root.
     pub(crate) fn new(root: Root, part_values: HashMap<String, Vec<u8>>) -> Option<Self> {
         let declarations = join(&root.parts, &part_values)?;
--- a/crates/cluster/src/crashes.rs
+++ b/crates/cluster/src/crashes.rs
@@ -55,7 +55,7 @@
         self.peers.call(home, call).await
     }
 
-    async fn ask_probe(&self, home: SocketAddr, content: ContentKey) -> Result<bool, NoAnswer> {
+    async fn request_probe(&self, home: SocketAddr, content: ContentKey) -> Result<bool, NoAnswer> {
         let call =
             |client: PeerClient, context| async move { client.may_probe(context, content).await };
         self.peers.call(home, call).await
@@ -73,7 +73,7 @@
     }
 
     /// Other hosts hear of them with the pings.
-    fn tell_circuits(self: Arc<Self>, _decided: &[Circuit]) {}
+    fn announce_circuits(self: Arc<Self>, _decided: &[Circuit]) {}
 }
 
 impl Node {
@@ -82,14 +82,14 @@
     }
 
     /// Whether an engine is listed and not as leaving.
-    pub fn takes_generations(&self, upstream: UpstreamKey) -> bool {
+    pub fn is_engine_live(&self, upstream: UpstreamKey) -> bool {
         let listing = self.documents.listing();
         let listed = listing.engines.get(&upstream);
         listed.is_some_and(|listed| listed.entry.state == ListedState::Live)
     }
 
     /// Reports that a request had just begun on an upstream that ended without notice.
-    pub fn report_ended(
+    pub fn report_upstream_crash(
         self: &Arc<Self>,
         service: ServiceKey,
         content: ContentKey,
--- a/crates/cluster/src/documents.rs
+++ b/crates/cluster/src/documents.rs
@@ -11,7 +11,7 @@
 use fulmarpath_wire::Versions;
 use parking_lot::Mutex;
 
-use crate::configuration::InForce;
+use crate::configuration::ActiveConfiguration;
 use crate::engines::Engines;
 
 /// A listed upstream with its client.
@@ -74,27 +74,27 @@
 
 /// What this host holds. A document is only ever replaced by a newer one.
 pub(crate) struct Documents {
-    in_force: ArcSwapOption<InForce>,
+    active: ArcSwapOption<ActiveConfiguration>,
     listing: ArcSwap<Listing>,
     adopting: Mutex<()>,
-    confirmed_at_ms: AtomicU64,
+    last_contact_ms: AtomicU64,
     /// A fault run has taken the comparison of revisions away.
-    takes_any: bool,
+    accepts_any_revision: bool,
 }
 
 impl Documents {
-    pub(crate) fn new(takes_any: bool) -> Self {
+    pub(crate) fn new(accepts_any_revision: bool) -> Self {
         Self {
-            takes_any,
-            in_force: ArcSwapOption::empty(),
+            accepts_any_revision,
+            active: ArcSwapOption::empty(),
             listing: ArcSwap::from_pointee(Listing::default()),
             adopting: Mutex::new(()),
-            confirmed_at_ms: AtomicU64::new(0),
+            last_contact_ms: AtomicU64::new(0),
         }
     }
 
-    pub(crate) fn in_force(&self) -> Option<Arc<InForce>> {
-        self.in_force.load_full()
+    pub(crate) fn active(&self) -> Option<Arc<ActiveConfiguration>> {
+        self.active.load_full()
     }
 
     pub(crate) fn listing(&self) -> Arc<Listing> {
@@ -102,7 +102,7 @@
     }
 
     pub(crate) fn versions(&self) -> Versions {
-        let root = self.in_force.load();
+        let root = self.active.load();
         Versions {
             root: root.as_ref().map_or(0, |held| held.root.revision),
             host_list: self.listing.load().document.version,
@@ -114,15 +114,15 @@
     ///
     /// Announcements come late and crossed. Taking an older one would revert an accepted change;
     /// comparing revisions under the lock is enough, since the root's revision only grows.
-    pub(crate) fn adopt_root(&self, newer: InForce) -> bool {
+    pub(crate) fn adopt_root(&self, newer: ActiveConfiguration) -> bool {
         let _adopting = self.adopting.lock();
         let held = self.versions().root;
-        if newer.root.revision <= held && !self.takes_any {
+        if newer.root.revision <= held && !self.accepts_any_revision {
             return false;
         }
-        self.in_force.store(Some(Arc::new(newer)));
+        self.active.store(Some(Arc::new(newer)));
         assert!(
-            self.takes_any || self.versions().root > held,
+            self.accepts_any_revision || self.versions().root > held,
             "the revision must grow"
         );
         true
@@ -139,11 +139,11 @@
     }
 
     /// The platform or a peer has just been heard.
-    pub(crate) fn confirm(&self, now_ms: Millis) {
-        self.confirmed_at_ms.fetch_max(now_ms, Ordering::Relaxed);
+    pub(crate) fn record_contact(&self, now_ms: Millis) {
+        self.last_contact_ms.fetch_max(now_ms, Ordering::Relaxed);
     }
 
-    pub(crate) fn confirmed_at_ms(&self) -> Millis {
-        self.confirmed_at_ms.load(Ordering::Relaxed)
+    pub(crate) fn last_contact_ms(&self) -> Millis {
+        self.last_contact_ms.load(Ordering::Relaxed)
     }
 }
--- a/crates/cluster/src/engines.rs
+++ b/crates/cluster/src/engines.rs
@@ -18,7 +18,7 @@
 #[derive(Debug, Clone, Copy)]
 pub struct HttpEngines {
     /// How long a plain service may take to answer.
-    pub plain_bound: Duration,
+    pub plain_timeout: Duration,
 }
 
 impl Engines for HttpEngines {
@@ -27,6 +27,6 @@
     }
 
     fn plain(&self, address: SocketAddr) -> Arc<dyn Plain> {
-        Arc::new(HttpPlain::new(address, self.plain_bound))
+        Arc::new(HttpPlain::new(address, self.plain_timeout))
     }
 }
--- a/crates/cluster/src/homes.rs
+++ b/crates/cluster/src/homes.rs
@@ -20,16 +20,16 @@
 use crate::safeguard::Safeguard;
 
 /// How long one call waits for an outcome; the asker then asks again.
-const ASK_WAIT: Duration = Duration::from_millis(300);
+const MAX_CALL_WAIT: Duration = Duration::from_millis(300);
 const STEP_PERIOD: Duration = Duration::from_millis(10);
-const LOAD_PERIOD: Duration = Duration::from_millis(500);
-const LOAD_BOUND: Duration = Duration::from_millis(700);
+const POLL_PERIOD: Duration = Duration::from_millis(500);
+const POLL_TIMEOUT: Duration = Duration::from_millis(700);
 /// Polls without an answer after which an engine gets nothing new.
-const SILENT_POLLS: u32 = 2;
+const MAX_FAILED_POLLS: u32 = 2;
 
 /// What the metrics page shows of an engine whose home this host is.
 #[derive(Debug, Clone, Copy)]
-pub struct EngineSeen {
+pub struct EngineStats {
     /// The engine.
     pub upstream: UpstreamKey,
     /// Its load as the home counts it.
@@ -43,8 +43,8 @@
     load: EngineLoad,
     /// The engine's own count since it started.
     preemptions: u64,
-    silent_polls: u32,
-    said_leaving: bool,
+    failed_polls: u32,
+    reported_leaving: bool,
 }
 
 impl Entry {
@@ -60,7 +60,7 @@
     }
 }
 
-struct Tables {
+struct State {
     entries: HashMap<UpstreamKey, Entry>,
     lengths: Lengths,
     waiters: HashMap<AskId, oneshot::Sender<PermitAnswer>>,
@@ -70,14 +70,14 @@
 /// All homes of this host, behind one lock that is held for one decision at a time.
 pub(crate) struct HomeTable {
     epoch: u64,
-    tables: Mutex<Tables>,
+    state: Mutex<State>,
 }
 
 impl HomeTable {
     pub(crate) fn new(epoch: u64) -> Self {
         Self {
             epoch,
-            tables: Mutex::new(Tables {
+            state: Mutex::new(State {
                 entries: HashMap::new(),
                 lengths: Lengths::new(),
                 waiters: HashMap::new(),
@@ -95,9 +95,9 @@
     ) -> PermitReply {
         let (sender, receiver) = oneshot::channel();
         {
-            let mut tables = self.tables.lock();
-            let tables = &mut *tables;
-            let entry = tables
+            let mut state = self.state.lock();
+            let state = &mut *state;
+            let entry = state
                 .entries
                 .entry(upstream)
                 .or_insert_with(|| new_entry(settings));
@@ -110,27 +110,27 @@
                 let load = entry.load();
                 return PermitReply { answer, load };
             }
-            tables.waiters.insert(ask.id, sender);
-            entry.home.ask(now_ms, ask, &tables.lengths);
-            self.step(now_ms, tables, upstream);
+            state.waiters.insert(ask.id, sender);
+            entry.home.ask(now_ms, ask, &state.lengths);
+            self.step(now_ms, state, upstream);
         }
-        let answer = tokio::time::timeout(ASK_WAIT, receiver).await;
+        let answer = tokio::time::timeout(MAX_CALL_WAIT, receiver).await;
         let answer = answer.ok().and_then(Result::ok);
-        let mut tables = self.tables.lock();
-        tables.waiters.remove(&ask.id);
-        let load = tables.entries.get(&upstream).map(Entry::load);
+        let mut state = self.state.lock();
+        state.waiters.remove(&ask.id);
+        let load = state.entries.get(&upstream).map(Entry::load);
         PermitReply {
             answer: answer.unwrap_or(PermitAnswer::Queued),
             load: load.unwrap_or_default(),
         }
     }
 
-    fn step(&self, now_ms: Millis, tables: &mut Tables, upstream: UpstreamKey) {
-        let Some(entry) = tables.entries.get_mut(&upstream) else {
+    fn step(&self, now_ms: Millis, state: &mut State, upstream: UpstreamKey) {
+        let Some(entry) = state.entries.get_mut(&upstream) else {
             return;
         };
         let mut outcomes = Vec::new();
-        entry.home.step(now_ms, &tables.lengths, &mut outcomes);
+        entry.home.step(now_ms, &state.lengths, &mut outcomes);
         for outcome in outcomes {
             let (ask, answer) = match outcome {
                 Outcome::Granted {
@@ -162,36 +162,36 @@
                         epoch: self.epoch,
                         key: permit,
                     };
-                    tables.moves.entry(host).or_default().push(permit);
+                    state.moves.entry(host).or_default().push(permit);
                     continue;
                 }
             };
-            if let Some(waiter) = tables.waiters.remove(&ask) {
+            if let Some(waiter) = state.waiters.remove(&ask) {
                 let _ = waiter.send(answer);
             }
         }
     }
 
     fn step_all(&self, now_ms: Millis) {
-        let mut tables = self.tables.lock();
-        let tables = &mut *tables;
-        let busy: Vec<UpstreamKey> = tables
+        let mut state = self.state.lock();
+        let state = &mut *state;
+        let busy: Vec<UpstreamKey> = state
             .entries
             .iter()
             .filter(|(_, entry)| entry.home.load().queued > 0 || entry.home.load().running > 0)
             .map(|(key, _)| *key)
             .collect();
         for upstream in busy {
-            self.step(now_ms, tables, upstream);
+            self.step(now_ms, state, upstream);
         }
     }
 
     pub(crate) fn withdraw(&self, now_ms: Millis, upstream: UpstreamKey, ask: AskId) {
-        let mut tables = self.tables.lock();
-        if let Some(entry) = tables.entries.get_mut(&upstream) {
+        let mut state = self.state.lock();
+        if let Some(entry) = state.entries.get_mut(&upstream) {
             entry.home.withdraw(ask);
         }
-        self.step(now_ms, &mut tables, upstream);
+        self.step(now_ms, &mut state, upstream);
     }
 
     pub(crate) fn restore(
@@ -201,8 +201,8 @@
         settings: HomeSettings,
         ask: Ask,
     ) -> PermitId {
-        let mut tables = self.tables.lock();
-        let entry = tables
+        let mut state = self.state.lock();
+        let entry = state
             .entries
             .entry(upstream)
             .or_insert_with(|| new_entry(settings));
@@ -213,11 +213,11 @@
     }
 
     pub(crate) fn progress(&self, now_ms: Millis, progress: &[Progress]) -> ProgressReply {
-        let mut tables = self.tables.lock();
-        let tables = &mut *tables;
+        let mut state = self.state.lock();
+        let state = &mut *state;
         let mut reply = ProgressReply::default();
         for one in progress {
-            let home = tables
+            let home = state
                 .entries
                 .get_mut(&one.upstream)
                 .map(|entry| &mut entry.home)
@@ -231,12 +231,12 @@
             match one.state {
                 RunState::Running => {}
                 RunState::Complete => {
-                    home.finish(now_ms, key, one.out_tokens, &mut tables.lengths);
+                    home.finish(now_ms, key, one.out_tokens, &mut state.lengths);
                 }
                 RunState::Incomplete => home.cancel(key),
             }
             if one.state != RunState::Running {
-                self.step(now_ms, tables, one.upstream);
+                self.step(now_ms, state, one.upstream);
             }
         }
         reply
@@ -244,19 +244,19 @@
 
     /// Permits of `host` that had better move.
     pub(crate) fn take_moves(&self, host: HostKey) -> Vec<PermitId> {
-        self.tables.lock().moves.remove(&host).unwrap_or_default()
+        self.state.lock().moves.remove(&host).unwrap_or_default()
     }
 
     fn report(&self, now_ms: Millis, upstream: UpstreamKey, report: Option<LoadReport>) {
-        let mut tables = self.tables.lock();
-        let Some(entry) = tables.entries.get_mut(&upstream) else {
+        let mut state = self.state.lock();
+        let Some(entry) = state.entries.get_mut(&upstream) else {
             return;
         };
         match report {
             Some(report) => {
-                entry.silent_polls = 0;
+                entry.failed_polls = 0;
                 entry.preemptions = report.preemptions;
-                entry.said_leaving = report.state == EngineState::Leaving;
+                entry.reported_leaving = report.state == EngineState::Leaving;
                 entry.load = EngineLoad {
                     running: report.running,
                     waiting: report.waiting,
@@ -265,20 +265,20 @@
                 };
                 entry.home.report(now_ms, entry.load);
             }
-            None => entry.silent_polls += 1,
+            None => entry.failed_polls += 1,
         }
-        let is_gone = entry.silent_polls >= SILENT_POLLS;
-        if entry.silent_polls == SILENT_POLLS {
+        let is_gone = entry.failed_polls >= MAX_FAILED_POLLS;
+        if entry.failed_polls == MAX_FAILED_POLLS {
             warn!("homes: an engine does not answer and gets nothing new");
         }
-        entry.home.set_leaving(entry.said_leaving || is_gone);
-        self.step(now_ms, &mut tables, upstream);
+        entry.home.set_leaving(entry.reported_leaving || is_gone);
+        self.step(now_ms, &mut state, upstream);
     }
 
     /// Homes decide by new settings from now on; what runs stays.
     pub(crate) fn set_settings(&self, settings: impl Fn(UpstreamKey) -> Option<HomeSettings>) {
-        let mut tables = self.tables.lock();
-        for (key, entry) in &mut tables.entries {
+        let mut state = self.state.lock();
+        for (key, entry) in &mut state.entries {
             if let Some(settings) = settings(*key) {
                 entry.home.set_settings(settings);
             }
@@ -286,19 +286,19 @@
     }
 
     fn ensure(&self, upstream: UpstreamKey, settings: HomeSettings) {
-        let mut tables = self.tables.lock();
-        tables
+        let mut state = self.state.lock();
+        state
             .entries
             .entry(upstream)
             .or_insert_with(|| new_entry(settings));
     }
 
     /// The home's count of each engine, for the metrics page.
-    pub(crate) fn loads(&self) -> Vec<EngineSeen> {
-        let tables = self.tables.lock();
-        let entries = tables.entries.iter();
+    pub(crate) fn engine_stats(&self) -> Vec<EngineStats> {
+        let state = self.state.lock();
+        let entries = state.entries.iter();
         entries
-            .map(|(key, entry)| EngineSeen {
+            .map(|(key, entry)| EngineStats {
                 upstream: *key,
                 load: entry.load(),
                 preemptions: entry.preemptions,
@@ -315,8 +315,8 @@
             ..EngineLoad::default()
         },
         preemptions: 0,
-        silent_polls: 0,
-        said_leaving: false,
+        failed_polls: 0,
+        reported_leaving: false,
     }
 }
 
@@ -324,9 +324,9 @@
     /// How the home of `upstream` decides under the preset in force.
     pub(crate) fn home_settings_of(&self, upstream: UpstreamKey) -> Option<HomeSettings> {
         let listing = self.documents.listing();
-        let in_force = self.documents.in_force()?;
-        let model = in_force.model(&listing.engines.get(&upstream)?.entry.serves)?;
-        let preset = in_force.preset();
+        let configuration = self.documents.active()?;
+        let model = configuration.model(&listing.engines.get(&upstream)?.entry.serves)?;
+        let preset = configuration.preset();
         let weights = Weights {
             stall: preset.stall_weight,
             preemptions: preset.preemptions_weight,
@@ -357,7 +357,7 @@
     /// Polls the engines whose home this host is.
     pub(crate) async fn poll_engines(self: Arc<Self>) {
         loop {
-            tokio::time::sleep(LOAD_PERIOD).await;
+            tokio::time::sleep(POLL_PERIOD).await;
             let listing = self.documents.listing();
             let all = listing.engines.values();
             let mine = all.filter(|upstream| {
@@ -376,7 +376,7 @@
         if let Some(settings) = self.home_settings_of(upstream.key) {
             self.homes.ensure(upstream.key, settings);
         }
-        let polled = tokio::time::timeout(LOAD_BOUND, upstream.engine.load()).await;
+        let polled = tokio::time::timeout(POLL_TIMEOUT, upstream.engine.load()).await;
         let report = polled.ok().and_then(Result::ok);
         self.homes.report(self.clock.now_ms(), upstream.key, report);
     }
--- a/crates/cluster/src/lease.rs
+++ b/crates/cluster/src/lease.rs
@@ -13,7 +13,7 @@
 const RENEW_MS: Millis = 2_000;
 /// How long an order may be on its way; an order is given only with more of the lease left, and a
 /// successor waits so long beyond the lease.
-pub const ORDER_MS: Millis = 2_500;
+pub const ORDER_TIMEOUT_MS: Millis = 2_500;
 
 /// The lease as the platform holds it.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
@@ -28,7 +28,7 @@
 
 /// What to do about the lease now.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Turn {
+pub enum LeaseAction {
     /// Nothing yet.
     Wait,
     /// Write this record: over that version, or where none stands.
@@ -52,25 +52,25 @@
     pub fn decide(
         &mut self,
         now_ms: Millis,
-        me: &str,
+        host: &str,
         read: Option<(Version, LeaseRecord)>,
-    ) -> Turn {
+    ) -> LeaseAction {
         let Some((version, record)) = read else {
             self.held = None;
-            return Turn::Write {
+            return LeaseAction::Write {
                 over: None,
-                record: record_of(me, 1, 1),
+                record: record_of(host, 1, 1),
             };
         };
         if let Some((held, held_version, until_ms)) = &self.held
             && *held_version == version
         {
             if *until_ms > now_ms + LEASE_MS - RENEW_MS {
-                return Turn::Wait;
+                return LeaseAction::Wait;
             }
-            return Turn::Write {
+            return LeaseAction::Write {
                 over: Some(version),
-                record: record_of(me, held.fencing, held.renewal + 1),
+                record: record_of(host, held.fencing, held.renewal + 1),
             };
         }
         self.held = None;
@@ -83,12 +83,12 @@
         };
         // Taking over earlier could let two holders give orders at once: the old one's last order
         // may have been sent just before its lease ended.
-        if now_ms.saturating_sub(since_ms) < LEASE_MS + ORDER_MS {
-            return Turn::Wait;
+        if now_ms.saturating_sub(since_ms) < LEASE_MS + ORDER_TIMEOUT_MS {
+            return LeaseAction::Wait;
         }
-        Turn::Write {
+        LeaseAction::Write {
             over: Some(version),
-            record: record_of(me, record.fencing + 1, 1),
+            record: record_of(host, record.fencing + 1, 1),
         }
     }
 
@@ -102,9 +102,9 @@
     /// Engines that check the number are safe by that alone. For those that ignore it, a holder
     /// that was paused past its lease must notice before it sends: the remaining time has to cover
     /// the order's way.
-    pub fn may_order(&self, now_ms: Millis) -> Option<u64> {
+    pub fn order_fencing(&self, now_ms: Millis) -> Option<u64> {
         let (record, _, until_ms) = self.held.as_ref()?;
-        (*until_ms > now_ms + ORDER_MS).then_some(record.fencing)
+        (*until_ms > now_ms + ORDER_TIMEOUT_MS).then_some(record.fencing)
     }
 }
 
--- a/crates/cluster/src/members.rs
+++ b/crates/cluster/src/members.rs
@@ -70,12 +70,12 @@
     }
 
     /// This host's own rumour.
-    pub fn me(&self) -> Rumour {
+    pub fn own_rumour(&self) -> Rumour {
         self.known[&self.me].rumour.clone()
     }
 
     /// This host's key.
-    pub fn my_key(&self) -> HostKey {
+    pub fn own_key(&self) -> HostKey {
         self.me
     }
 
@@ -94,7 +94,7 @@
     }
 
     /// Takes in a rumour.
-    pub fn hear(&mut self, now_ms: Millis, rumour: Rumour) {
+    pub fn apply(&mut self, now_ms: Millis, rumour: Rumour) {
         let key = HostKey::of(&rumour.member.name);
         if key == self.me {
             self.refute(now_ms, &rumour);
@@ -111,7 +111,7 @@
     ///
     /// With each of some hundred newcomers told again by all who hear of it, a ping's few rumours would
     /// be old news for long after all hosts have started, and suspicions would wait behind them.
-    pub fn learn(&mut self, now_ms: Millis, rumour: Rumour) -> bool {
+    pub fn apply_unrelayed(&mut self, now_ms: Millis, rumour: Rumour) -> bool {
         let key = HostKey::of(&rumour.member.name);
         if key == self.me {
             self.refute(now_ms, &rumour);
@@ -139,12 +139,12 @@
         if known.rumour.state == MemberState::Alive {
             let mut rumour = known.rumour.clone();
             rumour.state = MemberState::Suspect;
-            self.hear(now_ms, rumour);
+            self.apply(now_ms, rumour);
         }
     }
 
     /// A member answered: whatever was suspected of that incarnation is wrong.
-    pub fn answered(&mut self, now_ms: Millis, rumour: &Rumour) {
+    pub fn record_answer(&mut self, now_ms: Millis, rumour: &Rumour) {
         let key = HostKey::of(&rumour.member.name);
         if let Some(known) = self.known.get_mut(&key)
             && known.rumour.state == MemberState::Suspect
@@ -154,7 +154,7 @@
             known.rumour.state = MemberState::Alive;
             known.since_ms = now_ms;
         }
-        self.hear(now_ms, rumour.clone());
+        self.apply(now_ms, rumour.clone());
     }
 
     /// This host leaves: it is home of nothing from now on.
@@ -178,7 +178,7 @@
             .collect();
         for mut rumour in overdue {
             rumour.state = MemberState::Dead;
-            self.hear(now_ms, rumour);
+            self.apply(now_ms, rumour);
         }
         self.known.retain(|_, known| {
             known.rumour.state != MemberState::Dead
@@ -264,7 +264,7 @@
     }
 
     /// All that is believed, of the dead as well.
-    pub fn beliefs(&self) -> Vec<Rumour> {
+    pub fn snapshot(&self) -> Vec<Rumour> {
         let all = self.known.values();
         all.map(|known| known.rumour.clone()).collect()
     }
@@ -277,7 +277,7 @@
     }
 
     /// Members that may be asked to ping another one.
-    pub fn helpers(&self, target: HostKey, draw: u64, count: usize) -> Vec<MemberInfo> {
+    pub fn probe_relays(&self, target: HostKey, draw: u64, count: usize) -> Vec<MemberInfo> {
         let mut others: Vec<(HostKey, &Known)> = self
             .others()
             .filter(|(key, known)| *key != target && known.rumour.state == MemberState::Alive)
@@ -311,7 +311,7 @@
     ///
     /// A host's streams run mostly on near engines; near homes save a way over the data centres
     /// for each permit, and let one message report on many engines.
-    pub fn homes_near(
+    pub fn homes_in(
         &self,
         thing: u64,
         data_centre: &str,
--- a/crates/cluster/src/node.rs
+++ b/crates/cluster/src/node.rs
@@ -25,12 +25,12 @@
 use crate::circuit_breakers::CircuitBreakers;
 use crate::claims::{ClaimLog, ClaimSettings};
 use crate::clock::Clock;
-use crate::configuration::InForce;
+use crate::configuration::ActiveConfiguration;
 use crate::documents::Documents;
 use crate::engines::Engines;
 use crate::homes::HomeTable;
 use crate::members::Members;
-use crate::permits::Held;
+use crate::permits::HeldPermit;
 use crate::publish::{Change, PublishError, Publisher};
 use crate::safeguard::Safeguard;
 
@@ -44,11 +44,11 @@
     /// Where its peers reach it.
     pub peer_address: SocketAddr,
     /// Without a word from the platform or any peer for so long, it takes no new work.
-    pub confirm_bound_ms: Millis,
+    pub contact_timeout_ms: Millis,
     /// How the claim log is kept.
     pub claims: ClaimSettings,
     /// A safeguard that a fault run takes away.
-    pub without: Option<Safeguard>,
+    pub disabled_safeguard: Option<Safeguard>,
 }
 
 /// Where peers find the generations that a host holds.
@@ -73,7 +73,7 @@
 
 /// One entry host's part in the cluster.
 ///
-/// Lock order: members, loads, held, homeless, limits, slots, fetched, then the home tables; none is held
+/// Lock order: members, loads, held, homeless permits, limits, slots, fetched, then the home tables; none is held
 /// across an await.
 pub struct Node {
     pub(crate) settings: NodeSettings,
@@ -81,8 +81,8 @@
     pub(crate) key: HostKey,
     pub(crate) members: Mutex<Members>,
     pub(crate) loads: Mutex<HashMap<UpstreamKey, EngineLoad>>,
-    pub(crate) held: Mutex<HashMap<AskId, Arc<Held>>>,
-    pub(crate) homeless: Mutex<HashMap<UpstreamKey, u32>>,
+    pub(crate) held: Mutex<HashMap<AskId, Arc<HeldPermit>>>,
+    pub(crate) homeless_permits: Mutex<HashMap<UpstreamKey, u32>>,
     pub(crate) limits: Mutex<LimitTable>,
     slots: Mutex<HashMap<OrganisationKey, u32>>,
     pub(crate) fetched_at_ms: Mutex<HashMap<Document, Millis>>,
@@ -123,13 +123,15 @@
             members: Mutex::new(Members::new(note, incarnation)),
             loads: Mutex::default(),
             held: Mutex::default(),
-            homeless: Mutex::default(),
+            homeless_permits: Mutex::default(),
             limits: Mutex::default(),
             slots: Mutex::default(),
             fetched_at_ms: Mutex::default(),
             homes: HomeTable::new(epoch),
             peers: Peers::new(crate::server::client),
-            documents: Documents::new(settings.without == Some(Safeguard::RevisionGrows)),
+            documents: Documents::new(
+                settings.disabled_safeguard == Some(Safeguard::RevisionGrows),
+            ),
             claims: ClaimLog::new(object_api.clone(), settings.claims),
             circuit_breakers: CircuitBreakers::default(),
             object_api,
@@ -148,8 +150,8 @@
         tokio::spawn(node.clone().step_homes());
         tokio::spawn(node.clone().poll_engines());
         tokio::spawn(node.clone().report_progress());
-        tokio::spawn(node.clone().tidy_peers());
-        tokio::spawn(node.clone().give_orders());
+        tokio::spawn(node.clone().close_idle_connections());
+        tokio::spawn(node.clone().send_orders());
         info!("node: {} started", node.settings.host);
         Ok(node)
     }
@@ -171,12 +173,12 @@
 
     /// Whether a safeguard stands; it does unless a fault run has taken it away.
     pub fn has(&self, safeguard: Safeguard) -> bool {
-        self.settings.without != Some(safeguard)
+        self.settings.disabled_safeguard != Some(safeguard)
     }
 
     /// The configuration in force here.
-    pub fn in_force(&self) -> Option<Arc<InForce>> {
-        self.documents.in_force()
+    pub fn active_configuration(&self) -> Option<Arc<ActiveConfiguration>> {
+        self.documents.active()
     }
 
     /// Whether this host may take new work.
@@ -188,10 +190,10 @@
         let silent_ms = self
             .clock
             .now_ms()
-            .saturating_sub(self.documents.confirmed_at_ms());
-        self.in_force().is_some()
+            .saturating_sub(self.documents.last_contact_ms());
+        self.active_configuration().is_some()
             && !self.leaving.load(Ordering::Relaxed)
-            && silent_ms <= self.settings.confirm_bound_ms
+            && silent_ms <= self.settings.contact_timeout_ms
     }
 
     /// The live instances of a plain service, nearest first.
@@ -238,7 +240,7 @@
         };
         let home = self.members.lock().homes_of(organisation.0, 1).pop();
         let answer = match home {
-            Some((key, _)) if key == self.key => self.answer_slot(ask),
+            Some((key, _)) if key == self.key => self.acquire_slot(ask),
             Some((_, note)) => {
                 let call = |client: PeerClient, context| async move {
                     client.take_slot(context, ask).await
@@ -261,13 +263,13 @@
     }
 
     /// Gives a slot back; the home hears of it with the next statement.
-    pub fn give_slot(&self, organisation: OrganisationKey) {
+    pub fn release_slot(&self, organisation: OrganisationKey) {
         if let Some(slots) = self.slots.lock().get_mut(&organisation) {
             *slots = slots.saturating_sub(1);
         }
     }
 
-    pub(crate) fn answer_slot(&self, ask: SlotRequest) -> LimitAnswer {
+    pub(crate) fn acquire_slot(&self, ask: SlotRequest) -> LimitAnswer {
         let now_ms = self.clock.now_ms();
         let mut limits = self.limits.lock();
         match limits.take(now_ms, ask.organisation, ask.host, ask.bounds) {
@@ -292,7 +294,7 @@
             let home = self.members.lock().homes_of(organisation.0, 1).pop();
             match home {
                 Some((key, _)) if key == self.key => {
-                    self.hear_slots(self.key, &[(organisation, count)]);
+                    self.set_held_slots(self.key, &[(organisation, count)]);
                 }
                 Some((_, note)) => {
                     let same = by_home.entry(note.address).or_default();
@@ -310,7 +312,7 @@
         join_all(calls).await;
     }
 
-    pub(crate) fn hear_slots(&self, host: HostKey, slots: &[(OrganisationKey, u32)]) {
+    pub(crate) fn set_held_slots(&self, host: HostKey, slots: &[(OrganisationKey, u32)]) {
         let now_ms = self.clock.now_ms();
         let mut limits = self.limits.lock();
         for (organisation, count) in slots {
@@ -372,8 +374,8 @@
         let publisher = Publisher::new(self.object_api.clone());
         let in_force = publisher.publish(change).await?;
         let revision = in_force.root.revision;
-        self.documents.confirm(self.clock.now_ms());
-        self.adopt(None, in_force, true);
+        self.documents.record_contact(self.clock.now_ms());
+        self.adopt_root(None, in_force, true);
         Ok(revision)
     }
 
@@ -382,7 +384,7 @@
         let (ping, members) = {
             let members = self.members.lock();
             let ping = fulmarpath_wire::Ping {
-                from: members.me(),
+                from: members.own_rumour(),
                 rumours: Vec::new(),
                 versions: self.versions(),
             };
@@ -423,15 +425,15 @@
     }
 
     /// Closes connections that nothing uses any more.
-    async fn tidy_peers(self: Arc<Self>) {
+    async fn close_idle_connections(self: Arc<Self>) {
         loop {
-            tokio::time::sleep(TIDY_PERIOD).await;
+            tokio::time::sleep(IDLE_CHECK_PERIOD).await;
             self.peers.close_idle();
         }
     }
 }
 
-const TIDY_PERIOD: Duration = Duration::from_millis(1_000);
+const IDLE_CHECK_PERIOD: Duration = Duration::from_millis(1_000);
 
 /// The live entry hosts of a list.
 pub(crate) fn entry_hosts(listing: &HostListing) -> impl Iterator<Item = MemberInfo> {
--- a/crates/cluster/src/orders.rs
+++ b/crates/cluster/src/orders.rs
@@ -12,15 +12,15 @@
 use xxhash_rust::xxh3::xxh3_64;
 
 use crate::clock::Clock;
-use crate::lease::{Lease, LeaseRecord, ORDER_MS, Turn};
+use crate::lease::{Lease, LeaseAction, LeaseRecord, ORDER_TIMEOUT_MS};
 use crate::node::Node;
 
 const PERIOD: Duration = Duration::from_millis(1_000);
-/// Orders given in one period: loads read from the weight store, which is rate-limited.
-const LOADS_A_PERIOD: usize = 2;
+/// Orders accepted in one period: loads read from the weight store, which is rate-limited.
+const ORDERS_PER_PERIOD: usize = 2;
 
 /// What an engine is to have, and the engine.
-pub struct Wanted {
+pub struct DesiredVersion {
     /// The engine's name.
     pub engine: String,
     /// Its client.
@@ -32,50 +32,50 @@
 }
 
 /// Gives the orders of one model while it holds the model's lease.
-pub struct Orderer {
+pub struct OrderDispatcher {
     api: Arc<dyn ObjectApi>,
     clock: Clock,
-    me: String,
+    host: String,
     key: String,
     lease: Lease,
     /// Versions that engines took from this holder under its present fencing number.
-    given: HashMap<String, (u64, String)>,
+    accepted: HashMap<String, (u64, String)>,
 }
 
-impl Orderer {
-    /// An orderer that holds nothing yet.
-    pub fn new(api: Arc<dyn ObjectApi>, clock: Clock, me: &str, model: &str) -> Self {
+impl OrderDispatcher {
+    /// An dispatcher that holds nothing yet.
+    pub fn new(api: Arc<dyn ObjectApi>, clock: Clock, host: &str, model: &str) -> Self {
         Self {
             api,
             clock,
-            me: me.to_owned(),
+            host: host.to_owned(),
             key: format!("fulmarpath/orders/{model}"),
             lease: Lease::default(),
-            given: HashMap::new(),
+            accepted: HashMap::new(),
         }
     }
 
     /// Takes or renews the lease where it can, then gives the orders that are due; tells how many.
     ///
     /// # Errors
-    /// The platform's; no order is given without a lease that was renewed in time.
-    pub async fn turn(&mut self, wanted: &[Wanted]) -> Result<usize, PlatformError> {
-        self.hold().await?;
+    /// The platform's; no order is accepted without a lease that was renewed in time.
+    pub async fn run_once(&mut self, desired: &[DesiredVersion]) -> Result<usize, PlatformError> {
+        self.renew_lease().await?;
         let mut count = 0;
-        for one in wanted {
-            if count == LOADS_A_PERIOD {
+        for one in desired {
+            if count == ORDERS_PER_PERIOD {
                 break;
             }
             // Asked before each order: the process may have been paused since the last one.
-            let Some(fencing) = self.lease.may_order(self.now_ms()) else {
+            let Some(fencing) = self.lease.order_fencing(self.now_ms()) else {
                 return Ok(count);
             };
             let due = (fencing, one.version.clone());
-            if self.given.get(&one.engine) == Some(&due) {
+            if self.accepted.get(&one.engine) == Some(&due) {
                 continue;
             }
-            if give(one, fencing).await {
-                self.given.insert(one.engine.clone(), due);
+            if send_order(one, fencing).await {
+                self.accepted.insert(one.engine.clone(), due);
                 count += 1;
             }
         }
@@ -86,14 +86,14 @@
         self.clock.now_ms()
     }
 
-    async fn hold(&mut self) -> Result<(), PlatformError> {
+    async fn renew_lease(&mut self) -> Result<(), PlatformError> {
         let object = self.api.read(&self.key).await?;
         let read = object.and_then(|object| {
             let record: LeaseRecord = serde_json::from_slice(&object.value).ok()?;
             Some((object.version, record))
         });
-        let turn = self.lease.decide(self.now_ms(), &self.me, read);
-        let Turn::Write { over, record } = turn else {
+        let action = self.lease.decide(self.now_ms(), &self.host, read);
+        let LeaseAction::Write { over, record } = action else {
             return Ok(());
         };
         let sent_ms = self.now_ms();
@@ -114,27 +114,30 @@
     }
 }
 
-async fn give(wanted: &Wanted, fencing: u64) -> bool {
+async fn send_order(desired: &DesiredVersion, fencing: u64) -> bool {
     let order = Order {
         fencing,
         kind: OrderKind::LoadModel {
-            model: wanted.model.clone(),
-            version: wanted.version.clone(),
+            model: desired.model.clone(),
+            version: desired.version.clone(),
         },
     };
-    let bound = Duration::from_millis(ORDER_MS);
-    let answer = tokio::time::timeout(bound, wanted.client.order(&order)).await;
+    let bound = Duration::from_millis(ORDER_TIMEOUT_MS);
+    let answer = tokio::time::timeout(bound, desired.client.order(&order)).await;
     match answer {
         Ok(Ok(true)) => {
-            info!("orders: {} loads version {}", wanted.engine, wanted.version);
+            info!(
+                "orders: {} loads version {}",
+                desired.engine, desired.version
+            );
             true
         }
         Ok(Ok(false)) => {
-            warn!("orders: {} has seen a newer holder", wanted.engine);
+            warn!("orders: {} has seen a newer holder", desired.engine);
             false
         }
         _ => {
-            warn!("orders: {} does not answer", wanted.engine);
+            warn!("orders: {} does not answer", desired.engine);
             false
         }
     }
@@ -142,35 +145,35 @@
 
 impl Node {
     /// Gives orders for the models whose home this host is.
-    pub(crate) async fn give_orders(self: Arc<Self>) {
-        let mut orderers: HashMap<String, Orderer> = HashMap::new();
+    pub(crate) async fn send_orders(self: Arc<Self>) {
+        let mut dispatchers: HashMap<String, OrderDispatcher> = HashMap::new();
         loop {
             tokio::time::sleep(PERIOD).await;
-            let Some(in_force) = self.documents.in_force() else {
+            let Some(configuration) = self.documents.active() else {
                 continue;
             };
-            for model in &in_force.declarations.models {
+            for model in &configuration.declarations.models {
                 let thing = xxh3_64(format!("orders/{}", model.name).as_bytes());
                 let home = self.members.lock().homes_of(thing, 1).pop();
                 if home.is_none_or(|(key, _)| key != self.key) {
-                    orderers.remove(&model.name);
+                    dispatchers.remove(&model.name);
                     continue;
                 }
                 let listing = self.documents.listing();
-                let wanted: Vec<Wanted> = listing
+                let desired: Vec<DesiredVersion> = listing
                     .engines_of(&model.name)
-                    .map(|upstream| Wanted {
+                    .map(|upstream| DesiredVersion {
                         engine: upstream.entry.name.clone(),
                         client: upstream.engine.clone(),
                         model: model.name.clone(),
                         version: model.version.clone(),
                     })
                     .collect();
-                let orderer = orderers.entry(model.name.clone()).or_insert_with(|| {
+                let dispatcher = dispatchers.entry(model.name.clone()).or_insert_with(|| {
                     let api = self.object_api.clone();
-                    Orderer::new(api, self.clock, &self.settings.host, &model.name)
+                    OrderDispatcher::new(api, self.clock, &self.settings.host, &model.name)
                 });
-                if orderer.turn(&wanted).await.is_err() {
+                if dispatcher.run_once(&desired).await.is_err() {
                     warn!("orders: no word from the platform about {}", model.name);
                 }
             }
--- a/crates/cluster/src/permits.rs
+++ b/crates/cluster/src/permits.rs
@@ -18,16 +18,16 @@
 use spdlog::{info, warn};
 use tokio::time::timeout;
 
-use crate::homes::EngineSeen;
+use crate::homes::EngineStats;
 use crate::node::Node;
 
 /// After so long without a grant the second home is asked as well.
-const HEDGE: Duration = Duration::from_millis(10);
-const REASK_PAUSE: Duration = Duration::from_millis(20);
+const HEDGE_DELAY: Duration = Duration::from_millis(10);
+const RETRY_PAUSE: Duration = Duration::from_millis(20);
 /// Homes tried for one engine: the best and the next, since views of who is alive may differ.
-const HOMES: usize = 2;
+const HOMES_TRIED: usize = 2;
 /// Generations that one host may start on one engine when no home answers.
-const HOMELESS_PERMITS: u32 = 2;
+const MAX_HOMELESS_PERMITS: u32 = 2;
 
 /// What a generation needs to start.
 #[derive(Debug, Clone)]
@@ -51,11 +51,11 @@
     /// The answer's bound.
     pub output_limit_tokens: u32,
     /// How long it may wait.
-    pub patience_ms: Millis,
+    pub max_wait_ms: Millis,
     /// Whether to be refused rather than queue.
     pub only_now: bool,
     /// Engines not to ask.
-    pub without: Vec<UpstreamKey>,
+    pub excluded: Vec<UpstreamKey>,
 }
 
 /// Why no permit was given. Nothing was sent to any engine.
@@ -90,16 +90,16 @@
 
 /// What the entry host knows of a permit between reports.
 #[derive(Debug)]
-pub(crate) struct Held {
+pub(crate) struct HeldPermit {
     pub(crate) upstream: UpstreamKey,
     pub(crate) ask: Ask,
     /// `None` where the generation started without a home; changes when a new home takes over.
     pub(crate) id: Mutex<Option<PermitId>>,
     pub(crate) out_tokens: AtomicU32,
-    pub(crate) had_better_move: AtomicBool,
+    pub(crate) move_requested: AtomicBool,
 }
 
-impl Held {
+impl HeldPermit {
     /// What there is to report; nothing for a start without a home.
     pub(crate) fn progress(&self) -> Option<Progress> {
         Some(Progress {
@@ -114,7 +114,7 @@
 /// Leave to run one generation on one engine; given back when dropped.
 pub struct Permit {
     node: Arc<Node>,
-    held: Arc<Held>,
+    held: Arc<HeldPermit>,
     ended: bool,
     /// The engine.
     pub upstream: UpstreamKey,
@@ -131,8 +131,8 @@
     }
 
     /// Whether the home asks to move this generation; asked once for each such request.
-    pub fn take_move(&self) -> bool {
-        self.held.had_better_move.swap(false, Ordering::Relaxed)
+    pub fn take_move_request(&self) -> bool {
+        self.held.move_requested.swap(false, Ordering::Relaxed)
     }
 
     /// The generation is whole.
@@ -148,7 +148,7 @@
         let held = self.held.clone();
         node.held.lock().remove(&held.ask.id);
         let Some(permit) = *held.id.lock() else {
-            node.homeless_end(held.upstream);
+            node.release_without_home(held.upstream);
             return;
         };
         let progress = Progress {
@@ -173,14 +173,14 @@
 
 /// An ask under way; withdrawn when dropped without a grant, so that a caller who left or a lost
 /// race leaves no reservation behind.
-struct Asking {
+struct PendingRequest {
     node: Arc<Node>,
     upstream: UpstreamKey,
     ask: AskId,
     granted: bool,
 }
 
-impl Drop for Asking {
+impl Drop for PendingRequest {
     fn drop(&mut self) {
         if self.granted {
             return;
@@ -202,19 +202,22 @@
     ///
     /// # Errors
     /// [`NotGranted`]: nothing was sent to any engine.
-    pub async fn permit(self: &Arc<Self>, request: &PermitRequest) -> Result<Permit, NotGranted> {
+    pub async fn acquire_permit(
+        self: &Arc<Self>,
+        request: &PermitRequest,
+    ) -> Result<Permit, NotGranted> {
         let candidates = self.candidates(request);
         let picked = pick(request.prefix, &candidates).ok_or(NotGranted::NoEngine)?;
-        let deadline_ms = self.clock.now_ms() + request.patience_ms;
+        let deadline_ms = self.clock.now_ms() + request.max_wait_ms;
         let ask = |upstream| {
             Box::pin(
                 self.clone()
-                    .ask_until(upstream, request.clone(), deadline_ms),
+                    .request_until(upstream, request.clone(), deadline_ms),
             )
         };
         let mut first = ask(picked.first);
         // Most first asks are granted at once; a second home is troubled only by the others.
-        let granted = match (timeout(HEDGE, &mut first).await, picked.second) {
+        let granted = match (timeout(HEDGE_DELAY, &mut first).await, picked.second) {
             (Ok(Ok(grant)), _) => Ok(grant),
             (Ok(Err(error)), None) => Err(error),
             (Ok(Err(_)), Some(second)) => ask(second).await,
@@ -225,7 +228,7 @@
         };
         let grant = match granted {
             Ok(grant) => grant,
-            Err(NotGranted::NoHome) => self.homeless(picked.first, request)?,
+            Err(NotGranted::NoHome) => self.grant_without_home(picked.first, request)?,
             Err(refused) => return Err(refused),
         };
         self.hold(grant)
@@ -236,12 +239,12 @@
         let Some(upstream) = listing.engines.get(&grant.upstream) else {
             return Err(NotGranted::NoEngine);
         };
-        let held = Arc::new(Held {
+        let held = Arc::new(HeldPermit {
             upstream: grant.upstream,
             ask: grant.ask,
             id: Mutex::new(grant.id),
             out_tokens: AtomicU32::new(grant.ask.out_tokens),
-            had_better_move: AtomicBool::new(false),
+            move_requested: AtomicBool::new(false),
         });
         self.held.lock().insert(grant.ask.id, held.clone());
         Ok(Permit {
@@ -256,15 +259,15 @@
 
     fn candidates(&self, request: &PermitRequest) -> Vec<Candidate> {
         let listing = self.documents.listing();
-        let in_force = self.documents.in_force();
-        let closed = in_force
+        let configuration = self.documents.active();
+        let closed = configuration
             .as_ref()
             .map(|held| held.preset().closed_data_centres.as_slice())
             .unwrap_or_default();
         let loads = self.loads.lock();
         listing
             .engines_of(&request.model)
-            .filter(|upstream| !request.without.contains(&upstream.key))
+            .filter(|upstream| !request.excluded.contains(&upstream.key))
             .filter(|upstream| !closed.contains(&upstream.entry.data_centre))
             .map(|upstream| Candidate {
                 upstream: upstream.key,
@@ -275,14 +278,14 @@
             .collect()
     }
 
-    async fn ask_until(
+    async fn request_until(
         self: Arc<Self>,
         upstream: UpstreamKey,
         request: PermitRequest,
         deadline_ms: Millis,
     ) -> Result<Grant, NotGranted> {
         let id = AskId(rand::rng().random());
-        let mut asking = Asking {
+        let mut pending = PendingRequest {
             node: self.clone(),
             upstream,
             ask: id,
@@ -291,10 +294,10 @@
         let mut unanswered = 0;
         loop {
             let now_ms = self.clock.now_ms();
-            let ask = self.ask_message(id, &request, deadline_ms.saturating_sub(now_ms));
-            let Some(reply) = self.ask_home(upstream, ask).await else {
+            let ask = self.request_message(id, &request, deadline_ms.saturating_sub(now_ms));
+            let Some(reply) = self.request_from_home(upstream, ask).await else {
                 unanswered += 1;
-                if unanswered >= HOMES {
+                if unanswered >= HOMES_TRIED {
                     return Err(NotGranted::NoHome);
                 }
                 continue;
@@ -303,7 +306,7 @@
             self.loads.lock().insert(upstream, reply.load);
             match reply.answer {
                 PermitAnswer::Granted { permit, priority } => {
-                    asking.granted = true;
+                    pending.granted = true;
                     return Ok(Grant {
                         upstream,
                         ask,
@@ -321,12 +324,12 @@
                     });
                 }
                 PermitAnswer::Queued => {}
-                PermitAnswer::NotHome => tokio::time::sleep(REASK_PAUSE).await,
+                PermitAnswer::NotHome => tokio::time::sleep(RETRY_PAUSE).await,
             }
         }
     }
 
-    fn ask_message(&self, id: AskId, request: &PermitRequest, patience_ms: Millis) -> Ask {
+    fn request_message(&self, id: AskId, request: &PermitRequest, max_wait_ms: Millis) -> Ask {
         Ask {
             id,
             host: self.key,
@@ -337,17 +340,17 @@
             prompt_tokens: request.prompt_tokens,
             out_tokens: request.out_tokens,
             output_limit_tokens: request.output_limit_tokens,
-            patience_ms,
+            patience_ms: max_wait_ms,
             only_now: request.only_now,
             known_tokens: None,
         }
     }
 
     /// Asks the best home that answers.
-    async fn ask_home(&self, upstream: UpstreamKey, ask: Ask) -> Option<PermitReply> {
-        for (key, note) in self.engine_homes(upstream, HOMES) {
+    async fn request_from_home(&self, upstream: UpstreamKey, ask: Ask) -> Option<PermitReply> {
+        for (key, note) in self.engine_homes(upstream, HOMES_TRIED) {
             if key == self.key {
-                return self.answer_ask(upstream, ask).await;
+                return self.handle_permit_request(upstream, ask).await;
             }
             let call = |client: PeerClient, context| async move {
                 client.ask(context, upstream, ask).await
@@ -361,7 +364,11 @@
     }
 
     /// Decides as the engine's home.
-    pub(crate) async fn answer_ask(&self, upstream: UpstreamKey, ask: Ask) -> Option<PermitReply> {
+    pub(crate) async fn handle_permit_request(
+        &self,
+        upstream: UpstreamKey,
+        ask: Ask,
+    ) -> Option<PermitReply> {
         let settings = self.home_settings_of(upstream)?;
         let now_ms = self.clock.now_ms();
         Some(self.homes.ask(now_ms, upstream, settings, ask).await)
@@ -371,34 +378,34 @@
     ///
     /// When no home answers, refusing everything would stop the service for want of coordination;
     /// so many starts from each host overfill an engine by a bounded amount only.
-    fn homeless(
+    fn grant_without_home(
         &self,
         upstream: UpstreamKey,
         request: &PermitRequest,
     ) -> Result<Grant, NotGranted> {
-        let mut homeless = self.homeless.lock();
-        let running = homeless.entry(upstream).or_default();
-        if *running >= HOMELESS_PERMITS {
+        let mut homeless_permits = self.homeless_permits.lock();
+        let running = homeless_permits.entry(upstream).or_default();
+        if *running >= MAX_HOMELESS_PERMITS {
             return Err(NotGranted::NoHome);
         }
         *running += 1;
         info!("permits: started without a home");
         Ok(Grant {
             upstream,
-            ask: self.ask_message(AskId(rand::rng().random()), request, 0),
+            ask: self.request_message(AskId(rand::rng().random()), request, 0),
             id: None,
             priority: 0,
         })
     }
 
-    fn homeless_end(&self, upstream: UpstreamKey) {
-        if let Some(running) = self.homeless.lock().get_mut(&upstream) {
+    fn release_without_home(&self, upstream: UpstreamKey) {
+        if let Some(running) = self.homeless_permits.lock().get_mut(&upstream) {
             *running = running.saturating_sub(1);
         }
     }
 
     async fn withdraw(&self, upstream: UpstreamKey, ask: AskId) {
-        for (key, note) in self.engine_homes(upstream, HOMES) {
+        for (key, note) in self.engine_homes(upstream, HOMES_TRIED) {
             if key == self.key {
                 self.homes.withdraw(self.clock.now_ms(), upstream, ask);
                 return;
@@ -422,13 +429,13 @@
         let listed = listing.engines.get(&upstream);
         let members = self.members.lock();
         match listed {
-            Some(listed) => members.homes_near(upstream.0, &listed.entry.data_centre, count),
+            Some(listed) => members.homes_in(upstream.0, &listed.entry.data_centre, count),
             None => members.homes_of(upstream.0, count),
         }
     }
 
     /// The last known loads, for the metrics page.
-    pub fn known_loads(&self) -> Vec<EngineSeen> {
-        self.homes.loads()
+    pub fn engine_stats(&self) -> Vec<EngineStats> {
+        self.homes.engine_stats()
     }
 }
--- a/crates/cluster/src/poison.rs
+++ b/crates/cluster/src/poison.rs
@@ -45,7 +45,7 @@
     /// Reports to a home that a content was answered whole.
     async fn report_success(&self, home: SocketAddr, content: ContentKey) -> Result<(), NoAnswer>;
     /// Asks a home whether a request may be the one that runs.
-    async fn ask_probe(&self, home: SocketAddr, content: ContentKey) -> Result<bool, NoAnswer>;
+    async fn request_probe(&self, home: SocketAddr, content: ContentKey) -> Result<bool, NoAnswer>;
     /// Tells a peer all that this host knows, for all that the peer knows.
     async fn swap_circuits(
         &self,
@@ -53,7 +53,7 @@
         own: Vec<Circuit>,
     ) -> Result<Vec<Circuit>, NoAnswer>;
     /// Has other hosts hear of what this one has decided as a home.
-    fn tell_circuits(self: Arc<Self>, decided: &[Circuit]);
+    fn announce_circuits(self: Arc<Self>, decided: &[Circuit]);
 }
 
 /// Reports a run that may be what ended its upstream to the homes of its service.
@@ -68,7 +68,7 @@
     }
     for (key, note) in host.crash_homes(service) {
         if key == host.key() {
-            hear_crash(host, content, upstream);
+            handle_crash_report(host, content, upstream);
             continue;
         }
         let host = host.clone();
@@ -82,7 +82,11 @@
 }
 
 /// Records a crash as a home, and decides on its content in a moment.
-pub fn hear_crash(host: &Arc<dyn CircuitHost>, content: ContentKey, upstream: UpstreamKey) {
+pub fn handle_crash_report(
+    host: &Arc<dyn CircuitHost>,
+    content: ContentKey,
+    upstream: UpstreamKey,
+) {
     if host.breakers().report(host.now_ms(), content, upstream) {
         tokio::spawn(evaluate(host.clone()));
     }
@@ -116,7 +120,7 @@
             crashes.join(", ")
         );
     }
-    host.clone().tell_circuits(decided);
+    host.clone().announce_circuits(decided);
 }
 
 /// Whether a request may begin to run now. Where its content runs one at a time, this is the one from
@@ -143,7 +147,7 @@
         if key == host.key() {
             return grant_probe(host, content);
         }
-        match host.ask_probe(note.address, content).await {
+        match host.request_probe(note.address, content).await {
             Ok(granted) => return granted,
             Err(error) => warn!("circuits: a home grants no probe: {error}"),
         }
@@ -164,7 +168,7 @@
     }
     for (key, note) in host.crash_homes(service) {
         if key == host.key() {
-            hear_success(host, content);
+            handle_success_report(host, content);
             continue;
         }
         let host = host.clone();
@@ -177,7 +181,7 @@
 }
 
 /// Closes a content's circuit as a home.
-pub fn hear_success(host: &Arc<dyn CircuitHost>, content: ContentKey) {
+pub fn handle_success_report(host: &Arc<dyn CircuitHost>, content: ContentKey) {
     let (closed, must_evaluate) = host.breakers().clear(host.now_ms(), content);
     if must_evaluate {
         tokio::spawn(evaluate(host.clone()));
@@ -209,7 +213,7 @@
 }
 
 /// Answers a peer's circuits with this host's.
-pub fn answer_circuits(host: &dyn CircuitHost, theirs: Vec<Circuit>) -> Vec<Circuit> {
+pub fn handle_circuit_exchange(host: &dyn CircuitHost, theirs: Vec<Circuit>) -> Vec<Circuit> {
     let own = host.breakers().circuits(host.now_ms());
     adopt_circuits(host, theirs, "a peer");
     own
--- a/crates/cluster/src/progress.rs
+++ b/crates/cluster/src/progress.rs
@@ -69,17 +69,17 @@
                 Err(_) => return,
             }
         };
-        self.heed_moves(&reply.moves);
+        self.apply_move_requests(&reply.moves);
         for permit in reply.unknown {
             self.restore(home, address, permit).await;
         }
     }
 
-    fn heed_moves(&self, moves: &[PermitId]) {
+    fn apply_move_requests(&self, moves: &[PermitId]) {
         let held = self.held.lock();
         for one in held.values() {
             if one.id.lock().is_some_and(|id| moves.contains(&id)) {
-                one.had_better_move.store(true, Ordering::Relaxed);
+                one.move_requested.store(true, Ordering::Relaxed);
             }
         }
     }
--- a/crates/cluster/src/publish.rs
+++ b/crates/cluster/src/publish.rs
@@ -11,7 +11,7 @@
 
 use crate::clock::Clock;
 use crate::configuration::{
-    ChangeKind, InForce, PartValues, Parts, ROOT_KEY, Root, join, part_key, split,
+    ActiveConfiguration, ChangeKind, PartValues, Parts, ROOT_KEY, Root, join, part_key, split,
 };
 
 /// What an operator wants changed.
@@ -115,7 +115,7 @@
     ///
     /// # Errors
     /// [`PublishError`]; only [`PublishError::Unsure`] leaves open whether it was made.
-    pub async fn publish(&self, change: &Change) -> Result<InForce, PublishError> {
+    pub async fn publish(&self, change: &Change) -> Result<ActiveConfiguration, PublishError> {
         let id = Uuid::now_v7().to_string();
         let mut first_preset = None;
         let mut unsure = false;
@@ -217,7 +217,7 @@
         &self,
         draft: Draft,
         version: Option<Version>,
-    ) -> Result<InForce, PlatformError> {
+    ) -> Result<ActiveConfiguration, PlatformError> {
         for (hash, value) in &draft.values {
             let value = Bytes::from(value.clone());
             match self.api.create(&part_key(hash), value).await {
@@ -234,13 +234,13 @@
             Some(version) => self.api.replace(ROOT_KEY, value, version).await?,
             None => self.api.create(ROOT_KEY, value).await?,
         };
-        let in_force = InForce::new(draft.root, draft.values);
+        let in_force = ActiveConfiguration::new(draft.root, draft.values);
         Ok(in_force.expect("a draft's parts belong to its root"))
     }
 
-    async fn load(&self, root: Root) -> Result<InForce, PublishError> {
+    async fn load(&self, root: Root) -> Result<ActiveConfiguration, PublishError> {
         let part_values = self.parts_of(&root.parts, root.revision).await?;
-        InForce::new(root, part_values.values).ok_or(PublishError::Unreadable)
+        ActiveConfiguration::new(root, part_values.values).ok_or(PublishError::Unreadable)
     }
 }
 
--- a/crates/cluster/src/server.rs
+++ b/crates/cluster/src/server.rs
@@ -50,7 +50,7 @@
 
 impl Peer for Server {
     async fn ping(self, _: Context, ping: Ping) -> Pong {
-        self.node.pong(ping)
+        self.node.handle_ping(ping)
     }
 
     async fn ping_through(self, _: Context, target: SocketAddr, ping: Ping) -> Option<Pong> {
@@ -60,7 +60,7 @@
     async fn document(self, _: Context, document: Document) -> Vec<u8> {
         match document {
             Document::Root => {
-                let held = self.node.documents.in_force();
+                let held = self.node.documents.active();
                 held.and_then(|held| serde_json::to_vec(&held.root).ok())
             }
             Document::HostList => serde_json::to_vec(&self.node.documents.listing().document).ok(),
@@ -69,17 +69,19 @@
     }
 
     async fn announce(self, _: Context, holder: SocketAddr, document: Document, value: Vec<u8>) {
-        self.node.take(Some(holder), document, &value).await;
+        self.node
+            .adopt_document(Some(holder), document, &value)
+            .await;
     }
 
     async fn part(self, _: Context, hash: String) -> Vec<u8> {
-        let held = self.node.documents.in_force();
+        let held = self.node.documents.active();
         held.and_then(|held| held.part_values.get(&hash).cloned())
             .unwrap_or_default()
     }
 
     async fn ask(self, _: Context, upstream: UpstreamKey, ask: Ask) -> PermitReply {
-        let reply = self.node.answer_ask(upstream, ask).await;
+        let reply = self.node.handle_permit_request(upstream, ask).await;
         reply.unwrap_or(PermitReply {
             answer: PermitAnswer::NotHome,
             load: Default::default(),
@@ -106,11 +108,11 @@
     }
 
     async fn take_slot(self, _: Context, ask: SlotRequest) -> LimitAnswer {
-        self.node.answer_slot(ask)
+        self.node.acquire_slot(ask)
     }
 
     async fn restate_slots(self, _: Context, host: HostKey, slots: Vec<(OrganisationKey, u32)>) {
-        self.node.hear_slots(host, &slots);
+        self.node.set_held_slots(host, &slots);
     }
 
     async fn claim(self, _: Context, claim: ClaimRequest) -> ClaimAnswer {
@@ -118,7 +120,7 @@
     }
 
     async fn report_crash(self, _: Context, content: ContentKey, crash: UpstreamKey) {
-        poison::hear_crash(&self.node.as_circuit_host(), content, crash);
+        poison::handle_crash_report(&self.node.as_circuit_host(), content, crash);
     }
 
     async fn may_probe(self, _: Context, content: ContentKey) -> bool {
@@ -126,11 +128,11 @@
     }
 
     async fn report_success(self, _: Context, content: ContentKey) {
-        poison::hear_success(&self.node.as_circuit_host(), content);
+        poison::handle_success_report(&self.node.as_circuit_host(), content);
     }
 
     async fn exchange_circuits(self, _: Context, circuits: Vec<Circuit>) -> Vec<Circuit> {
-        poison::answer_circuits(self.node.as_ref(), circuits)
+        poison::handle_circuit_exchange(self.node.as_ref(), circuits)
     }
 
     async fn fetch(
--- a/crates/cluster/src/spread.rs
+++ b/crates/cluster/src/spread.rs
@@ -14,21 +14,21 @@
 use spdlog::{info, warn};
 use xxhash_rust::xxh3::xxh3_64;
 
-use crate::configuration::{InForce, ROOT_KEY, Root, part_hash, part_key};
+use crate::configuration::{ActiveConfiguration, ROOT_KEY, Root, part_hash, part_key};
 use crate::node::Node;
 use crate::poison::exchange_circuits;
 use crate::safeguard::Safeguard;
 
 /// Watchers in each data centre; their number doesn't grow with the fleet.
 const WATCHERS: usize = 2;
-const WATCH_BOUND: Duration = Duration::from_millis(1_000);
+const WATCH_TIMEOUT: Duration = Duration::from_millis(1_000);
 const HOST_LIST_PERIOD: Duration = Duration::from_millis(1_000);
 /// A fetch that failed is made up for with the next ping after so long.
 const ROOT_FETCH_PAUSE_MS: u64 = 100;
 const HOST_LIST_FETCH_PAUSE_MS: u64 = 700;
 const IDLE_PERIOD: Duration = Duration::from_millis(500);
 /// Back-off after a failed platform call; jittered, lest all hosts come back at once.
-const BACK_OFF_MS: std::ops::Range<u64> = 250..3_000;
+const BACKOFF_MS: std::ops::Range<u64> = 250..3_000;
 
 impl Node {
     /// Whether this host is one of its data centre's watchers.
@@ -57,13 +57,18 @@
                 tokio::time::sleep(IDLE_PERIOD).await;
                 continue;
             }
-            match self.object_api.watch(ROOT_KEY, version, WATCH_BOUND).await {
+            match self
+                .object_api
+                .watch(ROOT_KEY, version, WATCH_TIMEOUT)
+                .await
+            {
                 Ok(Some(object)) => {
-                    self.documents.confirm(self.clock.now_ms());
+                    self.documents.record_contact(self.clock.now_ms());
                     version = object.version;
-                    self.take(None, Document::Root, &object.value).await;
+                    self.adopt_document(None, Document::Root, &object.value)
+                        .await;
                 }
-                Ok(None) => self.documents.confirm(self.clock.now_ms()),
+                Ok(None) => self.documents.record_contact(self.clock.now_ms()),
                 Err(_) => {
                     version = 0;
                     self.back_off().await;
@@ -78,7 +83,7 @@
             let needed = self.documents.versions().host_list == 0 || self.is_watcher();
             if needed {
                 match self.host_list.read().await {
-                    Ok(listing) => self.take_listing(listing),
+                    Ok(listing) => self.adopt_listing(listing),
                     Err(_) => self.back_off().await,
                 }
             }
@@ -87,12 +92,12 @@
     }
 
     async fn back_off(&self) {
-        let wait_ms = rand::rng().random_range(BACK_OFF_MS);
+        let wait_ms = rand::rng().random_range(BACKOFF_MS);
         tokio::time::sleep(Duration::from_millis(wait_ms)).await;
     }
 
     /// Takes a document from the platform (`holder` is `None`) or a peer, and passes it on.
-    pub(crate) async fn take(
+    pub(crate) async fn adopt_document(
         self: &Arc<Self>,
         holder: Option<SocketAddr>,
         document: Document,
@@ -101,19 +106,19 @@
         match document {
             Document::Root => {
                 if let Ok(root) = serde_json::from_slice(value) {
-                    self.take_root(holder, root).await;
+                    self.fetch_root(holder, root).await;
                 }
             }
             Document::HostList => {
                 if let Ok(listing) = serde_json::from_slice(value) {
-                    self.take_listing(listing);
+                    self.adopt_listing(listing);
                 }
             }
         }
     }
 
     /// Fetches the missing parts of a newer root, takes it and passes it on.
-    pub(crate) async fn take_root(self: &Arc<Self>, holder: Option<SocketAddr>, root: Root) {
+    pub(crate) async fn fetch_root(self: &Arc<Self>, holder: Option<SocketAddr>, root: Root) {
         let held = self.documents.versions().root;
         let is_news =
             root.revision > held || (root.revision < held && !self.has(Safeguard::RevisionGrows));
@@ -131,21 +136,21 @@
             };
             values.insert(hash.clone(), value);
         }
-        let Some(in_force) = InForce::new(root, values) else {
+        let Some(in_force) = ActiveConfiguration::new(root, values) else {
             warn!("spread: could not read a newer revision");
             return;
         };
         // A host that held nothing has not seen a change, it has just started: when many start at
         // once, each passing on what all read for themselves would be a storm.
         let has_started = held > 0;
-        self.adopt(holder, in_force, has_started);
+        self.adopt_root(holder, in_force, has_started);
     }
 
     /// Takes a whole configuration, and passes it on where it is news to others.
-    pub(crate) fn adopt(
+    pub(crate) fn adopt_root(
         self: &Arc<Self>,
         holder: Option<SocketAddr>,
-        in_force: InForce,
+        in_force: ActiveConfiguration,
         is_news: bool,
     ) {
         let revision = in_force.root.revision;
@@ -154,7 +159,7 @@
             info!("spread: revision {} is in force here", revision);
             self.apply_preset();
             if is_news {
-                self.pass_on(holder, &value);
+                self.announce_root(holder, &value);
             }
         }
     }
@@ -162,7 +167,7 @@
     /// Takes a newer host list. It isn't announced but found by comparing versions: when many
     /// hosts start at once the list changes with each of them, every one still believes to be a
     /// watcher, and announcing each version to all would drown the fleet in lists.
-    fn take_listing(&self, listing: HostListing) {
+    fn adopt_listing(&self, listing: HostListing) {
         if listing.version <= self.documents.versions().host_list {
             return;
         }
@@ -175,7 +180,7 @@
 
     /// A part from memory, from the peer that holds the root, or from the platform.
     async fn part(&self, holder: Option<SocketAddr>, hash: &str) -> Option<Vec<u8>> {
-        if let Some(held) = self.documents.in_force()
+        if let Some(held) = self.documents.active()
             && let Some(value) = held.part_values.get(hash)
         {
             return Some(value.clone());
@@ -198,12 +203,12 @@
 
     /// Announces a root: whoever has it from the platform tells its own data centre and one
     /// watcher of each other one; whoever has it from another data centre tells its own.
-    fn pass_on(self: &Arc<Self>, holder: Option<SocketAddr>, root: &[u8]) {
+    fn announce_root(self: &Arc<Self>, holder: Option<SocketAddr>, root: &[u8]) {
         if !self.has(Safeguard::Spread) {
             return;
         }
         let mine = self.settings.peer_address;
-        let calls = self.audience(holder).into_iter().map(|address| {
+        let calls = self.recipients(holder).into_iter().map(|address| {
             let (node, root) = (self.clone(), root.to_vec());
             async move {
                 let call = |client: fulmarpath_wire::PeerClient, context| async move {
@@ -216,7 +221,7 @@
         tokio::spawn(join_all(calls));
     }
 
-    fn audience(&self, holder: Option<SocketAddr>) -> Vec<SocketAddr> {
+    fn recipients(&self, holder: Option<SocketAddr>) -> Vec<SocketAddr> {
         let members = self.members.lock();
         let mine = &self.settings.data_centre;
         let from_near = members.present().any(|rumour| {
@@ -287,7 +292,7 @@
                 client.document(context, document).await
             };
             if let Ok(value) = self.peers.call(peer, call).await {
-                self.take(Some(peer), document, &value).await;
+                self.adopt_document(Some(peer), document, &value).await;
             }
         }
     }
--- a/crates/cluster/src/swim.rs
+++ b/crates/cluster/src/swim.rs
@@ -14,7 +14,7 @@
 
 const PERIOD: Duration = Duration::from_millis(300);
 /// Members asked to ping one that didn't answer.
-const HELPERS: usize = 2;
+const PROBE_RELAYS: usize = 2;
 
 impl Node {
     /// Pings one member a period.
@@ -35,24 +35,24 @@
     async fn probe(self: Arc<Self>, target: MemberInfo) {
         let ping = self.ping_message();
         if let Some(pong) = self.ping_once(target.address, ping.clone()).await {
-            self.hear_pong(target.address, pong).await;
+            self.handle_pong(target.address, pong).await;
             return;
         }
         let key = HostKey::of(&target.name);
         let draw = rand::rng().random();
-        let helpers = self.members.lock().helpers(key, draw, HELPERS);
-        let calls = helpers.into_iter().map(|helper| {
+        let relays = self.members.lock().probe_relays(key, draw, PROBE_RELAYS);
+        let calls = relays.into_iter().map(|relay| {
             let (node, ping) = (self.clone(), ping.clone());
             async move {
                 let call = |client: PeerClient, context| async move {
                     client.ping_through(context, target.address, ping).await
                 };
-                node.peers.call(helper.address, call).await.ok().flatten()
+                node.peers.call(relay.address, call).await.ok().flatten()
             }
         });
         let pongs = join_all(calls).await;
         match pongs.into_iter().flatten().next() {
-            Some(pong) => self.hear_pong(target.address, pong).await,
+            Some(pong) => self.handle_pong(target.address, pong).await,
             None => {
                 warn!("members: {} does not answer", target.name);
                 self.members.lock().suspect(self.clock.now_ms(), key);
@@ -76,37 +76,37 @@
     fn ping_message(&self) -> Ping {
         let mut members = self.members.lock();
         Ping {
-            from: members.me(),
+            from: members.own_rumour(),
             rumours: members.rumours(),
             versions: self.versions(),
         }
     }
 
-    async fn hear_pong(self: &Arc<Self>, address: SocketAddr, pong: Pong) {
+    async fn handle_pong(self: &Arc<Self>, address: SocketAddr, pong: Pong) {
         let now_ms = self.clock.now_ms();
-        self.documents.confirm(now_ms);
+        self.documents.record_contact(now_ms);
         {
             let mut members = self.members.lock();
-            members.answered(now_ms, &pong.from);
+            members.record_answer(now_ms, &pong.from);
             for rumour in pong.rumours {
-                members.hear(now_ms, rumour);
+                members.apply(now_ms, rumour);
             }
         }
         self.compare(address, pong.versions).await;
     }
 
     /// Answers a ping, and learns from it.
-    pub(crate) fn pong(self: &Arc<Self>, ping: Ping) -> Pong {
+    pub(crate) fn handle_ping(self: &Arc<Self>, ping: Ping) -> Pong {
         let now_ms = self.clock.now_ms();
-        self.documents.confirm(now_ms);
+        self.documents.record_contact(now_ms);
         let address = ping.from.member.address;
         let (from, rumours) = {
             let mut members = self.members.lock();
-            members.answered(now_ms, &ping.from);
+            members.record_answer(now_ms, &ping.from);
             for rumour in ping.rumours {
-                members.hear(now_ms, rumour);
+                members.apply(now_ms, rumour);
             }
-            (members.me(), members.rumours())
+            (members.own_rumour(), members.rumours())
         };
         let mine = self.versions();
         let theirs_are_newer =
--- a/crates/cluster/tests/members.rs
+++ b/crates/cluster/tests/members.rs
@@ -67,8 +67,8 @@
     ];
     for case in cases {
         let mut members = Members::new(note("zrh-a/me"), 1);
-        members.hear(1, rumour("zrh-a/other", case.first.0, case.first.1));
-        members.hear(2, rumour("zrh-a/other", case.then.0, case.then.1));
+        members.apply(1, rumour("zrh-a/other", case.first.0, case.first.1));
+        members.apply(2, rumour("zrh-a/other", case.then.0, case.then.1));
         assert_eq!(state_of(&members, "zrh-a/other"), case.believed);
     }
 }
@@ -95,9 +95,9 @@
 #[test]
 fn a_paused_host_refutes_its_death() {
     let mut members = Members::new(note("zrh-a/me"), 4);
-    members.hear(1, rumour("zrh-a/me", MemberState::Dead, 4));
-    assert_eq!(members.me().incarnation, 5);
-    assert_eq!(members.me().state, MemberState::Alive);
+    members.apply(1, rumour("zrh-a/me", MemberState::Dead, 4));
+    assert_eq!(members.own_rumour().incarnation, 5);
+    assert_eq!(members.own_rumour().state, MemberState::Alive);
 }
 
 #[test]
@@ -115,9 +115,9 @@
     let mut members = Members::new(note("zrh-a/me"), 1);
     members.seed(1, note("zrh-b/one"));
     members.seed(1, note("zrh-b/two"));
-    let near = members.homes_near(5, "zrh-b", 3);
+    let near = members.homes_in(5, "zrh-b", 3);
     assert_eq!(near.len(), 2);
-    assert_eq!(members.homes_near(5, "zrh-c", 3).len(), 3);
+    assert_eq!(members.homes_in(5, "zrh-c", 3).len(), 3);
 }
 
 /// What reaches all members by an announcement isn't passed on as a rumour too, which would fill pings
@@ -125,8 +125,8 @@
 #[test]
 fn announced_newcomers_are_not_told_again() {
     let mut members = Members::new(note("zrh-a/me"), 1);
-    assert!(members.learn(1, rumour("zrh-a/new", MemberState::Alive, 1)));
-    assert!(!members.learn(2, rumour("zrh-a/new", MemberState::Alive, 1)));
+    assert!(members.apply_unrelayed(1, rumour("zrh-a/new", MemberState::Alive, 1)));
+    assert!(!members.apply_unrelayed(2, rumour("zrh-a/new", MemberState::Alive, 1)));
     assert_eq!(members.rumours(), Vec::new());
     members.suspect(3, HostKey::of("zrh-a/new"));
     assert_eq!(
@@ -144,25 +144,25 @@
     let mut first = Members::new(note("zrh-a/me"), 1);
     let mut second = Members::new(note("zrh-a/other"), 1);
     for name in names {
-        first.learn(1, rumour(name, MemberState::Alive, 1));
+        first.apply_unrelayed(1, rumour(name, MemberState::Alive, 1));
     }
     for name in names.into_iter().rev() {
-        second.learn(1, rumour(name, MemberState::Alive, 1));
+        second.apply_unrelayed(1, rumour(name, MemberState::Alive, 1));
     }
-    first.learn(1, second.me());
-    second.learn(1, first.me());
+    first.apply_unrelayed(1, second.own_rumour());
+    second.apply_unrelayed(1, first.own_rumour());
     assert_eq!(first.digest(), second.digest());
     second.suspect(2, HostKey::of(names[1]));
     assert_eq!(first.digest(), second.digest());
-    first.learn(3, rumour(names[0], MemberState::Dead, 1));
-    second.learn(3, rumour("zrh-c/late", MemberState::Alive, 1));
+    first.apply_unrelayed(3, rumour(names[0], MemberState::Dead, 1));
+    second.apply_unrelayed(3, rumour("zrh-c/late", MemberState::Alive, 1));
     assert_ne!(first.digest(), second.digest());
-    let (told, heard) = (first.beliefs(), second.beliefs());
+    let (told, heard) = (first.snapshot(), second.snapshot());
     for belief in heard {
-        first.learn(4, belief);
+        first.apply_unrelayed(4, belief);
     }
     for belief in told {
-        second.learn(4, belief);
+        second.apply_unrelayed(4, belief);
     }
     assert_eq!(first.digest(), second.digest());
     assert_eq!(state_of(&second, names[0]), None);
@@ -213,7 +213,7 @@
         let near = (0..case.near).map(|number| format!("zrh-a/{number}"));
         let far = (0..case.far).map(|number| format!("zrh-b/{number}"));
         for name in near.chain(far) {
-            members.learn(0, rumour(&name, MemberState::Alive, 1));
+            members.apply_unrelayed(0, rumour(&name, MemberState::Alive, 1));
         }
         let targets: Vec<MemberInfo> = (0..360)
             .filter_map(|draw| members.next_target(draw))
@@ -249,7 +249,7 @@
 fn a_sample_is_near_first() {
     let mut members = Members::new(note("zrh-a/me"), 1);
     for name in ["zrh-b/1", "zrh-b/2", "zrh-c/1", "zrh-c/2", "zrh-c/3"] {
-        members.learn(0, rumour(name, MemberState::Alive, 1));
+        members.apply_unrelayed(0, rumour(name, MemberState::Alive, 1));
     }
     members.suspect(0, HostKey::of("zrh-b/2"));
     let newcomer = note_at("zrh-b/new", 9);
@@ -269,7 +269,7 @@
         member: note_at("zrh-a/before", 9),
         ..rumour("zrh-a/before", MemberState::Alive, 1)
     };
-    members.learn(0, before);
+    members.apply_unrelayed(0, before);
     let newcomer = note_at("zrh-a/again", 9);
     for draw in 0..20 {
         let sample = members.sample(&newcomer, draw, 3);
--- a/crates/cluster/tests/orders.rs
+++ b/crates/cluster/tests/orders.rs
@@ -7,7 +7,10 @@
 
 use async_trait::async_trait;
 use common::Fake;
-use fulmarpath_cluster::{Clock, LEASE_MS, Lease, LeaseRecord, ORDER_MS, Orderer, Turn, Wanted};
+use fulmarpath_cluster::{
+    Clock, DesiredVersion, LEASE_MS, Lease, LeaseAction, LeaseRecord, ORDER_TIMEOUT_MS,
+    OrderDispatcher,
+};
 use fulmarpath_upstream::{
     CacheEvents, Engine, EngineError, GenerateRequest, LoadReport, Order, ResumeRequest,
     TokenStream,
@@ -56,8 +59,8 @@
     }
 }
 
-fn wanted(engine: &Arc<FakeEngine>, version: &str) -> Vec<Wanted> {
-    vec![Wanted {
+fn desired(engine: &Arc<FakeEngine>, version: &str) -> Vec<DesiredVersion> {
+    vec![DesiredVersion {
         engine: "engine-1".to_owned(),
         client: engine.clone(),
         model: "gutachter-lm".to_owned(),
@@ -88,13 +91,13 @@
             taken: Mutex::default(),
             pause_ms: 0,
         });
-        let mut paused = Orderer::new(api.clone(), clock, "host-1", "gutachter-lm");
-        let mut other = Orderer::new(api.clone(), clock, "host-2", "gutachter-lm");
-        assert_eq!(paused.turn(&wanted(&engine, "1")).await, Ok(1));
-        assert_eq!(other.turn(&wanted(&engine, "2")).await, Ok(0));
-        tokio::time::advance(Duration::from_millis(LEASE_MS + ORDER_MS)).await;
-        assert_eq!(other.turn(&wanted(&engine, "2")).await, Ok(1));
-        assert_eq!(paused.turn(&wanted(&engine, "3")).await, Ok(0));
+        let mut paused = OrderDispatcher::new(api.clone(), clock, "host-1", "gutachter-lm");
+        let mut other = OrderDispatcher::new(api.clone(), clock, "host-2", "gutachter-lm");
+        assert_eq!(paused.run_once(&desired(&engine, "1")).await, Ok(1));
+        assert_eq!(other.run_once(&desired(&engine, "2")).await, Ok(0));
+        tokio::time::advance(Duration::from_millis(LEASE_MS + ORDER_TIMEOUT_MS)).await;
+        assert_eq!(other.run_once(&desired(&engine, "2")).await, Ok(1));
+        assert_eq!(paused.run_once(&desired(&engine, "3")).await, Ok(0));
         assert_eq!(numbers(&engine), [1, 2]);
     }
 }
@@ -112,12 +115,12 @@
             pause_ms,
         })
     };
-    let (first, second) = (engine(LEASE_MS - ORDER_MS), engine(0));
-    let mut wanted_of_both = wanted(&first, "1");
-    wanted_of_both.extend(wanted(&second, "1"));
-    wanted_of_both[1].engine = "engine-2".to_owned();
-    let mut holder = Orderer::new(api, Clock::start(), "host-1", "gutachter-lm");
-    assert_eq!(holder.turn(&wanted_of_both).await, Ok(1));
+    let (first, second) = (engine(LEASE_MS - ORDER_TIMEOUT_MS), engine(0));
+    let mut desired_of_both = desired(&first, "1");
+    desired_of_both.extend(desired(&second, "1"));
+    desired_of_both[1].engine = "engine-2".to_owned();
+    let mut holder = OrderDispatcher::new(api, Clock::start(), "host-1", "gutachter-lm");
+    assert_eq!(holder.run_once(&desired_of_both).await, Ok(1));
     assert_eq!((numbers(&first), numbers(&second)), (vec![1], vec![]));
 }
 
@@ -131,11 +134,11 @@
         taken: Mutex::default(),
         pause_ms: 0,
     });
-    let mut holder = Orderer::new(api.clone(), clock, "host-1", "gutachter-lm");
-    assert_eq!(holder.turn(&wanted(&engine, "1")).await, Ok(1));
+    let mut holder = OrderDispatcher::new(api.clone(), clock, "host-1", "gutachter-lm");
+    assert_eq!(holder.run_once(&desired(&engine, "1")).await, Ok(1));
     *api.down.lock() = true;
     tokio::time::advance(Duration::from_millis(LEASE_MS)).await;
-    assert!(holder.turn(&wanted(&engine, "2")).await.is_err());
+    assert!(holder.run_once(&desired(&engine, "2")).await.is_err());
     assert_eq!(numbers(&engine), [1]);
 }
 
@@ -157,21 +160,21 @@
             waits: true,
         },
         Case {
-            after_ms: LEASE_MS + ORDER_MS - 1,
+            after_ms: LEASE_MS + ORDER_TIMEOUT_MS - 1,
             waits: true,
         },
         Case {
-            after_ms: LEASE_MS + ORDER_MS,
+            after_ms: LEASE_MS + ORDER_TIMEOUT_MS,
             waits: false,
         },
     ];
     for case in cases {
         let mut lease = Lease::default();
         let read = || Some((7, record.clone()));
-        assert_eq!(lease.decide(1_000, "host-2", read()), Turn::Wait);
+        assert_eq!(lease.decide(1_000, "host-2", read()), LeaseAction::Wait);
         let turn = lease.decide(1_000 + case.after_ms, "host-2", read());
-        assert_eq!(turn == Turn::Wait, case.waits);
-        if let Turn::Write { over, record } = turn {
+        assert_eq!(turn == LeaseAction::Wait, case.waits);
+        if let LeaseAction::Write { over, record } = turn {
             assert_eq!((over, record.fencing), (Some(7), 5));
         }
     }
--- a/crates/entry/src/crash.rs
+++ b/crates/entry/src/crash.rs
@@ -44,7 +44,7 @@
         }
         let (service, content) = (self.job.request.service, self.job.content);
         let node = &self.drivers.node;
-        node.report_ended(service, content, permit.upstream);
+        node.report_upstream_crash(service, content, permit.upstream);
         self.ended_engines += 1;
         if self.ended_engines >= MOST_ENDED {
             let name = self.job.generation.name();
@@ -59,7 +59,7 @@
 
     /// Whether an engine has ended without notice, or says nothing any more.
     async fn has_ended(&self, permit: &Permit) -> bool {
-        if !self.drivers.node.takes_generations(permit.upstream) {
+        if !self.drivers.node.is_engine_live(permit.upstream) {
             return false;
         }
         sleep(CLOSING_WAIT).await;
--- a/crates/entry/src/drive.rs
+++ b/crates/entry/src/drive.rs
@@ -183,10 +183,10 @@
         let since_ms = self.clock.now_ms();
         loop {
             let mut request = self.job.request.clone();
-            request.without = without.clone();
+            request.excluded = without.clone();
             request.out_tokens = self.job.generation.next_index();
             let asked = tokio::select! {
-                asked = self.drivers.node.permit(&request).instrument(info_span!("home.permit")) => asked,
+                asked = self.drivers.node.acquire_permit(&request).instrument(info_span!("home.permit")) => asked,
                 () = self.left() => return Err(self.end_left(unsent)),
             };
             let error = match asked {
@@ -271,10 +271,10 @@
 
     pub(crate) async fn other_engine(&self, permit: &Permit) -> Option<Permit> {
         let mut request = self.job.request.clone();
-        request.without = vec![permit.upstream];
+        request.excluded = vec![permit.upstream];
         request.out_tokens = self.job.generation.next_index();
         request.only_now = true;
-        let other = self.drivers.node.permit(&request).await.ok()?;
+        let other = self.drivers.node.acquire_permit(&request).await.ok()?;
         info!("relay: {} moves", self.job.generation.name());
         Some(other)
     }
--- a/crates/entry/src/operator.rs
+++ b/crates/entry/src/operator.rs
@@ -75,12 +75,12 @@
             publish(entry, &Change::Rollback { to: body.to }).await
         }
         (&Method::GET, "/operator/declarations") => {
-            let in_force = entry.node.in_force();
+            let in_force = entry.node.active_configuration();
             let declarations = in_force.map(|held| held.declarations.clone());
             Ok(json(StatusCode::OK, &declarations.unwrap_or_default()))
         }
         (&Method::GET, "/operator/history") => {
-            let in_force = entry.node.in_force();
+            let in_force = entry.node.active_configuration();
             let history = in_force.map(|held| held.root.history.clone());
             Ok(json(StatusCode::OK, &history.unwrap_or_default()))
         }
@@ -92,7 +92,7 @@
 }
 
 async fn status(entry: &Arc<Entry>) -> Status {
-    let in_force = entry.node.in_force();
+    let in_force = entry.node.active_configuration();
     let revisions = entry.node.revisions().await.into_iter();
     let members = revisions.map(|(host, revision)| MemberStatus { host, revision });
     Status {
--- a/crates/entry/src/plain.rs
+++ b/crates/entry/src/plain.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 
 use bytes::Bytes;
-use fulmarpath_cluster::{InForce, Safeguard};
+use fulmarpath_cluster::{ActiveConfiguration, Safeguard};
 use fulmarpath_http::{Reply, full};
 use fulmarpath_policy::{ContentKey, OrganisationKey, ServiceKey};
 use fulmarpath_settings::{Organisation, ServiceKind};
@@ -45,7 +45,7 @@
 /// Sends a call to an instance of the service and answers with what it says.
 pub(crate) async fn call(
     entry: &Arc<Entry>,
-    in_force: Arc<InForce>,
+    in_force: Arc<ActiveConfiguration>,
     organisation: &Organisation,
     request: ServiceRequest,
 ) -> Result<Reply, Problem> {
@@ -64,7 +64,7 @@
     let key = OrganisationKey::of(&organisation.name);
     let content = request.content(key);
     let answer = send(entry, &request, content, may_repeat, unsent).await;
-    entry.node.give_slot(key);
+    entry.node.release_slot(key);
     answer.map(reply)
 }
 
@@ -109,7 +109,9 @@
             Err(PlainError::OutcomeUnknown(_)) => {
                 has_leave = false;
                 if !instance.is_there().await {
-                    entry.node.report_ended(request.key(), content, *upstream);
+                    entry
+                        .node
+                        .report_upstream_crash(request.key(), content, *upstream);
                 }
                 if entry.node.has(Safeguard::NotRunProof) {
                     unsent = None;
--- a/crates/entry/src/routes.rs
+++ b/crates/entry/src/routes.rs
@@ -200,8 +200,8 @@
 }
 
 impl Entry {
-    fn in_force(&self) -> Result<Arc<fulmarpath_cluster::InForce>, Problem> {
-        self.node.in_force().ok_or_else(host_closed)
+    fn in_force(&self) -> Result<Arc<fulmarpath_cluster::ActiveConfiguration>, Problem> {
+        self.node.active_configuration().ok_or_else(host_closed)
     }
 
     fn model_of(&self, service: &str) -> Result<String, Problem> {
@@ -217,7 +217,7 @@
     /// Whether this host and the preset in force take new work for a service.
     pub(crate) fn check_open(
         &self,
-        in_force: &fulmarpath_cluster::InForce,
+        in_force: &fulmarpath_cluster::ActiveConfiguration,
         service: &str,
     ) -> Result<(), Problem> {
         if !self.node.takes_work() {
--- a/crates/entry/src/server.rs
+++ b/crates/entry/src/server.rs
@@ -73,7 +73,7 @@
 
     pub(crate) fn metrics_page(&self) -> String {
         let metrics = &self.drivers.metrics;
-        for seen in self.node.known_loads() {
+        for seen in self.node.engine_stats() {
             let upstream = self.node.upstream_name(seen.upstream);
             let label = UpstreamLabel { upstream };
             let gauges = [
--- a/crates/entry/src/stay.rs
+++ b/crates/entry/src/stay.rs
@@ -113,7 +113,7 @@
                     return Relayed::Whole(finish);
                 }
             }
-            if permit.take_move()
+            if permit.take_move_request()
                 && let Some(other) = self.other_engine(permit).await
             {
                 return Relayed::Moved(other);
--- a/crates/entry/src/submit.rs
+++ b/crates/entry/src/submit.rs
@@ -2,7 +2,7 @@
 
 use std::sync::Arc;
 
-use fulmarpath_cluster::{InForce, PermitRequest};
+use fulmarpath_cluster::{ActiveConfiguration, PermitRequest};
 use fulmarpath_policy::{Bounds, HostKey, OrganisationKey, ServiceKey};
 use fulmarpath_settings::{Organisation, ServiceKind};
 use fulmarpath_wire::{ClaimAnswer, ClaimRequest};
@@ -22,7 +22,7 @@
 
 /// A request whose service and bounds have been checked.
 pub(crate) struct Checked {
-    pub(crate) in_force: Arc<InForce>,
+    pub(crate) in_force: Arc<ActiveConfiguration>,
     pub(crate) organisation: Organisation,
     pub(crate) model: String,
     pub(crate) output_limit_tokens: u32,
@@ -33,7 +33,7 @@
 /// Checks a request against the declarations in force.
 pub(crate) fn check(
     entry: &Entry,
-    in_force: Arc<InForce>,
+    in_force: Arc<ActiveConfiguration>,
     organisation: Organisation,
     wanted: Wanted,
     hop: Hop,
@@ -209,9 +209,9 @@
         prompt_tokens: wanted.prompt_tokens(),
         out_tokens: 0,
         output_limit_tokens: checked.output_limit_tokens,
-        patience_ms: checked.in_force.preset().refuse_after_ms,
+        max_wait_ms: checked.in_force.preset().refuse_after_ms,
         only_now: false,
-        without: Vec::new(),
+        excluded: Vec::new(),
     };
     let metrics = &entry.drivers.metrics;
     let job = Job {
@@ -227,7 +227,7 @@
     let entry = entry.clone();
     let driving = async move {
         drive(entry.drivers.clone(), job, unsent).await;
-        entry.node.give_slot(organisation);
+        entry.node.release_slot(organisation);
     };
     tokio::spawn(driving.instrument(span));
     generation
--- a/crates/gateway/src/dissemination.rs
+++ b/crates/gateway/src/dissemination.rs
@@ -67,7 +67,7 @@
         let now_ms = self.clock.now_ms();
         let blind = self.dissemination.blind.lock().clone();
         let members = self.fleet.members.lock();
-        let me = members.my_key();
+        let me = members.own_key();
         let area = self.area(&members);
         let near = members
             .homes()
@@ -192,7 +192,7 @@
 
     fn audience(&self, hears: impl Fn(&str) -> bool) -> Vec<Vec<SocketAddr>> {
         let members = self.fleet.members.lock();
-        let me = members.my_key();
+        let me = members.own_key();
         let listeners = members
             .homes()
             .filter(|(key, note)| *key != me && hears(&note.data_centre));
--- a/crates/gateway/src/fleet.rs
+++ b/crates/gateway/src/fleet.rs
@@ -128,7 +128,7 @@
     fn ping_message(&self, versions: Versions) -> (Ping, MembersDigest) {
         let mut members = self.members.lock();
         let ping = Ping {
-            from: members.me(),
+            from: members.own_rumour(),
             rumours: members.rumours(),
             versions,
         };
@@ -139,7 +139,7 @@
     fn presence_line(&self, now_ms: Millis) -> Option<String> {
         let present = {
             let members = self.members.lock();
-            let me = members.my_key();
+            let me = members.own_key();
             let others = members.homes().filter(|(key, _)| *key != me);
             others.map(|(key, note)| (key, note.name.clone())).collect()
         };
@@ -213,7 +213,7 @@
             state: MemberState::Dead,
             ..known
         };
-        members.hear(now_ms, rumour);
+        members.apply(now_ms, rumour);
     }
 
     async fn send_ping(
@@ -237,9 +237,9 @@
         let now_ms = self.clock.now_ms();
         self.fleet.last_contact_ms.store(now_ms, Ordering::Relaxed);
         let mut members = self.fleet.members.lock();
-        members.answered(now_ms, from);
+        members.record_answer(now_ms, from);
         for rumour in rumours {
-            members.hear(now_ms, rumour);
+            members.apply(now_ms, rumour);
         }
     }
 
@@ -248,7 +248,7 @@
         let now_ms = self.clock.now_ms();
         let mut members = self.fleet.members.lock();
         for rumour in news {
-            members.learn(now_ms, rumour.clone());
+            members.apply_unrelayed(now_ms, rumour.clone());
         }
     }
 
@@ -304,7 +304,7 @@
 
     /// Exchanges all beliefs of members with a peer; true where it answered.
     pub(crate) async fn exchange_members(&self, peer: SocketAddr) -> bool {
-        let beliefs = self.fleet.members.lock().beliefs();
+        let beliefs = self.fleet.members.lock().snapshot();
         let call = |client: GatewayPeerClient, context| async move {
             client.exchange_members(context, beliefs).await
         };
@@ -322,7 +322,7 @@
 
     /// Answers a peer's beliefs of members with this host's.
     pub(crate) fn handle_member_exchange(&self, theirs: &[Rumour]) -> Vec<Rumour> {
-        let beliefs = self.fleet.members.lock().beliefs();
+        let beliefs = self.fleet.members.lock().snapshot();
         self.merge_rumours(theirs);
         beliefs
     }
--- a/crates/gateway/src/homes.rs
+++ b/crates/gateway/src/homes.rs
@@ -40,7 +40,7 @@
     }
 
     pub(crate) fn host_key(&self) -> HostKey {
-        self.fleet.members.lock().my_key()
+        self.fleet.members.lock().own_key()
     }
 
     /// Whether this host is home of any cell.
--- a/crates/gateway/src/join.rs
+++ b/crates/gateway/src/join.rs
@@ -116,7 +116,7 @@
     }
 
     async fn introduce_to(&self, address: SocketAddr) -> Option<Vec<Rumour>> {
-        let me = self.fleet.members.lock().me();
+        let me = self.fleet.members.lock().own_rumour();
         let call =
             |client: GatewayPeerClient, context| async move { client.join(context, me).await };
         self.fleet.peers.call(address, call).await.ok()
@@ -141,7 +141,7 @@
         let now_ms = self.clock.now_ms();
         let (is_news, sample) = {
             let mut members = self.fleet.members.lock();
-            let is_news = members.learn(now_ms, joining_host.clone());
+            let is_news = members.apply_unrelayed(now_ms, joining_host.clone());
             (
                 is_news,
                 members.sample(&joining_host.member, rand::random(), SAMPLE),
@@ -175,7 +175,7 @@
         let me = {
             let mut members = self.fleet.members.lock();
             members.leave();
-            members.me()
+            members.own_rumour()
         };
         self.announce_members(&[me]);
         if self.fleet.has_written_entry() {
@@ -191,7 +191,7 @@
     /// Tells all hosts of all that are known, where two parts of the fleet have just met by one host each.
     /// By pings alone some would place for seconds more as if the other part weren't there.
     fn announce_all_known(self: &Arc<Self>) {
-        let known = self.fleet.members.lock().beliefs();
+        let known = self.fleet.members.lock().snapshot();
         self.announce_members(&known);
     }
 
--- a/crates/gateway/src/peer.rs
+++ b/crates/gateway/src/peer.rs
@@ -155,7 +155,7 @@
 
     async fn report_crash(self, _: Context, content: ContentKey, upstream: UpstreamKey) {
         self.count("report_crash");
-        poison::hear_crash(&self.gateway.as_circuit_host(), content, upstream);
+        poison::handle_crash_report(&self.gateway.as_circuit_host(), content, upstream);
     }
 
     async fn may_probe(self, _: Context, content: ContentKey) -> bool {
@@ -165,11 +165,11 @@
 
     async fn report_success(self, _: Context, content: ContentKey) {
         self.count("report_success");
-        poison::hear_success(&self.gateway.as_circuit_host(), content);
+        poison::handle_success_report(&self.gateway.as_circuit_host(), content);
     }
 
     async fn exchange_circuits(self, _: Context, circuits: Vec<Circuit>) -> Vec<Circuit> {
         self.count("exchange_circuits");
-        poison::answer_circuits(self.gateway.as_ref(), circuits)
+        poison::handle_circuit_exchange(self.gateway.as_ref(), circuits)
     }
 }
--- a/crates/gateway/src/poison.rs
+++ b/crates/gateway/src/poison.rs
@@ -53,7 +53,7 @@
         self.fleet.peers.call(home, call).await
     }
 
-    async fn ask_probe(&self, home: SocketAddr, content: ContentKey) -> Result<bool, NoAnswer> {
+    async fn request_probe(&self, home: SocketAddr, content: ContentKey) -> Result<bool, NoAnswer> {
         let call = |client: GatewayPeerClient, context| async move {
             client.may_probe(context, content).await
         };
@@ -71,7 +71,7 @@
         self.fleet.peers.call(peer, call).await
     }
 
-    fn tell_circuits(self: Arc<Self>, decided: &[Circuit]) {
+    fn announce_circuits(self: Arc<Self>, decided: &[Circuit]) {
         for circuit in decided {
             self.store_circuit(circuit);
         }
--- a/crates/gateway/src/start_limits.rs
+++ b/crates/gateway/src/start_limits.rs
@@ -240,7 +240,7 @@
     fn home_of_starts(&self, upstream: UpstreamKey) -> Option<MemberInfo> {
         let members = self.fleet.members.lock();
         let (key, note) = members.homes_of(upstream.0, 1).pop()?;
-        (key != members.my_key()).then_some(note)
+        (key != members.own_key()).then_some(note)
     }
 
     async fn request_start_from_home(
--- a/src/host.rs
+++ b/src/host.rs
@@ -70,14 +70,14 @@
             host: settings.host.clone(),
             data_centre: settings.data_centre.clone(),
             peer_address,
-            confirm_bound_ms: CONFIRM_BOUND_MS,
+            contact_timeout_ms: CONFIRM_BOUND_MS,
             claims,
-            without,
+            disabled_safeguard: without,
         };
         let object_api = Arc::new(HttpObjectApi::new(settings.object_api_address));
         let host_list = Arc::new(HttpHostList::new(settings.host_list_address));
         let engines = Arc::new(HttpEngines {
-            plain_bound: Duration::from_millis(settings.plain_bound_ms),
+            plain_timeout: Duration::from_millis(settings.plain_bound_ms),
         });
         let node = Node::start(node_settings, peers, object_api, host_list, engines).await?;
         let entry_settings = EntrySettings {
--- a/tests/failures_configuration.rs
+++ b/tests/failures_configuration.rs
@@ -43,7 +43,11 @@
 fn revisions(deployment: &Deployment) -> Vec<u64> {
     let hosts = deployment.live();
     hosts
-        .map(|host| host.node.in_force().map_or(0, |held| held.root.revision))
+        .map(|host| {
+            host.node
+                .active_configuration()
+                .map_or(0, |held| held.root.revision)
+        })
         .collect()
 }
 
@@ -114,7 +118,7 @@
     assert_eq!(lost, PublishError::Conflict { seen: 1, found: 2 });
     in_force(&deployment, 2).await;
     for host in deployment.live() {
-        let held = host.node.in_force().expect("a configuration");
+        let held = host.node.active_configuration().expect("a configuration");
         assert_eq!(held.declarations.organisations[0].weight, weight);
     }
 }
@@ -140,7 +144,7 @@
     }
     in_force(&deployment, 3).await;
     for host in deployment.live() {
-        let held = host.node.in_force().expect("a configuration");
+        let held = host.node.active_configuration().expect("a configuration");
         assert_eq!(held.root.preset, "peak");
         assert_eq!(held.declarations.organisations[0].weight, 3.0);
     }
@@ -156,7 +160,11 @@
     let revision = deployment.host(0).node.publish(&use_preset("peak")).await;
     let revision = revision.expect("the change is accepted");
     in_force(&deployment, revision).await;
-    let held = deployment.host(2).node.in_force().expect("a configuration");
+    let held = deployment
+        .host(2)
+        .node
+        .active_configuration()
+        .expect("a configuration");
     assert_eq!(held.root.history.len() as u64, held.root.revision);
 }
 
