--- a/crates/policy/src/cell/engine.rs
+++ b/crates/policy/src/cell/engine.rs
@@ -4,81 +4,82 @@
 use crate::failures::Failures;
 use crate::key::{Millis, UpstreamKey};
 
-/// Time for one token of each generation in a batch of usual size: a step, a little for each generation
-/// in it, and a part of a prompt now and then.
+/// Time per output token for each generation of an average batch: a decode step, a small share for
+/// each generation in it, and an occasional chunk of a prefill.
 pub(crate) const TOKEN_MS: f32 = 11.0;
-/// What an engine's notice leaves at least, until the engine says more itself.
-const NOTICE_MS: Millis = 1_500;
-/// How old an engine's statement of the time it has left may be, with a little for the way.
+/// Minimum notice period of an engine, used until the engine states its remaining time.
+const MIN_NOTICE_MS: Millis = 1_500;
+/// Maximum age of an engine's statement of its remaining time, including network delay.
 pub(crate) const REPORT_AGE_MS: Millis = 600;
-/// How long a copy that nobody can use or give up holds its memory, in times of what the operator
-/// states: engines look for such copies now and then only.
-const LEFT_BEHIND_TTLS: f32 = 1.8;
-/// An engine that had no room for a transfer is not tried again for so long: about the time in
-/// which one of its generations ends.
-const REFUSED_MS: Millis = 250;
-/// A transfer that takes this many times its estimate no longer keeps others from its destination:
-/// the host that carries it may be frozen.
-const OVERDUE: Millis = 3;
-
-/// What is known of an engine's build.
+/// Lifetime of an orphaned copy as a multiple of the configured TTL, because engines only look for
+/// such copies occasionally.
+const ORPHANED_COPY_TTLS: f32 = 1.8;
+/// Backoff after an engine had no room for a transfer: about the time until one of its generations
+/// ends.
+const REFUSAL_BACKOFF_MS: Millis = 250;
+/// A transfer that takes this many times its estimate no longer blocks its destination, because the
+/// host that performs it may be frozen.
+const OVERDUE_FACTOR: Millis = 3;
+
+/// Capacity of an engine's build.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct EngineCapacity {
     /// Memory for prompts and answers.
     pub memory_tokens: u32,
-    /// Generations in a batch.
+    /// Maximum batch size.
     pub slots: u32,
-    /// Memory of one token.
+    /// Memory per token.
     pub token_bytes: u32,
-    /// The bandwidth between engines of one data centre; half of it between data centres.
+    /// Bandwidth between engines of one data centre; half of it between data centres.
     pub link_mbps: f32,
-    /// How long a copy is kept that nothing uses, by the operator's word.
+    /// How long an unused copy is kept, as configured by the operator.
     pub copy_ttl_ms: Millis,
 }
 
-/// An engine as it is registered.
+/// An engine as registered.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct CellEngine {
-    /// Its key, of this start of it.
+    /// The key of this start of the engine.
     pub key: UpstreamKey,
-    /// Its name, hashed, which stays where it starts again.
+    /// Hash of the engine's name, which is the same after a restart.
     pub name: u64,
-    /// Its data centre, hashed.
+    /// Hash of its data centre.
     pub data_centre: u64,
-    /// Whether it takes nothing new.
+    /// Whether it accepts no new generations.
     pub is_draining: bool,
-    /// Whether its data centre is evacuated: it gets nothing, and what runs there ends there.
+    /// Whether its data centre is evacuated: it accepts no new generations and finishes those it
+    /// has.
     pub is_evacuated: bool,
-    /// Set while it bears a few new requests a second only.
+    /// Set while it can take only a few new requests per second.
     pub cold: Option<Cold>,
-    /// Its build.
+    /// Its capacity.
     pub capacity: EngineCapacity,
 }
 
 #[derive(Debug, Clone)]
 pub(super) struct Engine {
     pub(super) entry: CellEngine,
-    /// When the prompts that were sent there will have been read.
+    /// When all prompts sent to it will have been prefilled.
     pub(super) prefilled_at_ms: f32,
-    /// Until when a transfer that was sent here keeps others away at the latest.
+    /// The latest time until which an incoming transfer blocks others.
     receiving_until_ms: Millis,
-    /// It had no room for a transfer; none is sent here before.
+    /// No transfer is sent here before this time, because the engine had no room for one.
     refused_until_ms: Millis,
-    left_behind: Vec<LeftBehind>,
-    /// What became of the generations that were started there.
+    orphaned_copies: Vec<OrphanedCopy>,
+    /// Outcomes of the generations started on it.
     pub(super) failures: Failures,
-    /// What was started there lately, so far as it was cold.
+    /// Recent starts while it was cold.
     cold_starts: ColdStarts,
-    left_at_ms: Option<Millis>,
-    /// No connection to it can be made: it gets nothing new.
-    pub(super) is_gone: bool,
-    /// When it ends, as it has said itself.
+    leaving_since_ms: Option<Millis>,
+    /// Whether connections to it fail; it then gets no new generations.
+    pub(super) is_unreachable: bool,
+    /// The end time that the engine itself has stated.
     stated_end_ms: Option<Millis>,
 }
 
-/// A copy that nobody can use or give up: its transfer was cut, so nobody knows its name.
+/// A copy that can be neither used nor released: its transfer was cut, so its id is unknown.
 #[derive(Debug, Clone, Copy)]
-struct LeftBehind {
+struct OrphanedCopy {
     tokens: f32,
     until_ms: Millis,
 }
@@ -90,11 +91,11 @@
             prefilled_at_ms: 0.0,
             receiving_until_ms: 0,
             refused_until_ms: 0,
-            left_behind: Vec::new(),
+            orphaned_copies: Vec::new(),
             failures: Failures::default(),
             cold_starts: ColdStarts::default(),
-            left_at_ms: entry.is_draining.then_some(now_ms),
-            is_gone: false,
+            leaving_since_ms: entry.is_draining.then_some(now_ms),
+            is_unreachable: false,
             stated_end_ms: None,
         }
     }
@@ -102,122 +103,125 @@
     pub(super) fn update(&mut self, now_ms: Millis, entry: CellEngine) {
         self.entry = entry;
         match entry.is_draining {
-            true => self.leave(now_ms),
-            // Its entry may be older than its own word.
+            true => self.mark_leaving(now_ms),
+            // The registration may be older than the engine's own statement.
             false if self.stated_end_ms.is_some() => {}
-            false => self.left_at_ms = None,
+            false => self.leaving_since_ms = None,
         }
     }
 
-    /// The engine takes nothing new and will be gone soon.
-    pub(super) fn leave(&mut self, now_ms: Millis) {
-        self.left_at_ms.get_or_insert(now_ms);
+    /// Marks the engine as leaving: it accepts nothing new and will end soon.
+    pub(super) fn mark_leaving(&mut self, now_ms: Millis) {
+        self.leaving_since_ms.get_or_insert(now_ms);
     }
 
     pub(super) fn is_leaving(&self) -> bool {
-        self.left_at_ms.is_some()
+        self.leaving_since_ms.is_some()
     }
 
-    /// Until when its generations surely go on.
-    pub(super) fn gone_at_ms(&self) -> Option<Millis> {
-        let least_ms = self.left_at_ms? + NOTICE_MS;
-        Some(self.stated_end_ms.unwrap_or(least_ms))
+    /// The time until which its generations are certain to run.
+    pub(super) fn ends_at_ms(&self) -> Option<Millis> {
+        let min_end_ms = self.leaving_since_ms? + MIN_NOTICE_MS;
+        Some(self.stated_end_ms.unwrap_or(min_end_ms))
     }
 
-    /// It has said how long it will be there; true where that was not known.
-    pub(super) fn state_time_left(&mut self, now_ms: Millis, left_ms: Millis) -> bool {
-        self.leave(now_ms);
+    /// Sets the remaining time that the engine has stated; true if it was not known before.
+    pub(super) fn set_time_left(&mut self, now_ms: Millis, left_ms: Millis) -> bool {
+        self.mark_leaving(now_ms);
         let end_ms = (now_ms + left_ms).saturating_sub(REPORT_AGE_MS);
         self.stated_end_ms.replace(end_ms).is_none()
     }
 
     /// Whether new generations may start on it.
     pub(super) fn is_open(&self) -> bool {
-        !self.is_leaving() && !self.is_gone && !self.entry.is_evacuated
+        !self.is_leaving() && !self.is_unreachable && !self.entry.is_evacuated
     }
 
     pub(super) fn is_cold(&self, now_ms: Millis) -> bool {
         self.entry.cold.is_some_and(|cold| now_ms < cold.until_ms)
     }
 
-    /// Whether one more request may be sent there now, by what it bears.
+    /// Whether its start rate allows one more request now.
     pub(super) fn may_start(&self, now_ms: Millis) -> bool {
         let cold = self.entry.cold.filter(|cold| now_ms < cold.until_ms);
         cold.is_none_or(|cold| now_ms >= self.cold_starts.next_ms(cold.starts))
     }
 
-    /// A request is sent there.
-    pub(super) fn note_start(&mut self, now_ms: Millis) {
+    /// Records that a request is sent to it.
+    pub(super) fn record_start(&mut self, now_ms: Millis) {
         if self.is_cold(now_ms) {
             self.cold_starts.note(now_ms);
         }
     }
 
-    /// A transfer to this engine begins, and takes so long.
+    /// Records the start of a transfer to this engine and its expected duration.
     ///
-    /// Two transfers to one engine share its link: each one's last short copy, for which the
-    /// generation is stopped, then waits behind the other's long one, which callers see as a pause. So
-    /// one at a time.
-    pub(super) fn receive(&mut self, now_ms: Millis, takes_ms: Millis) {
-        self.receiving_until_ms = now_ms + takes_ms * OVERDUE;
+    /// Two transfers to one engine share its link. The final short copy of each, during which the
+    /// generation is stopped, would wait behind the long copy of the other, and callers would see a
+    /// pause. So only one runs at a time.
+    pub(super) fn begin_receiving(&mut self, now_ms: Millis, duration_ms: Millis) {
+        self.receiving_until_ms = now_ms + duration_ms * OVERDUE_FACTOR;
     }
 
-    /// The transfer to this engine is over.
-    pub(super) fn received(&mut self) {
+    /// Records the end of the transfer to this engine.
+    pub(super) fn finish_receiving(&mut self) {
         self.receiving_until_ms = 0;
     }
 
-    /// It had no room for a transfer.
-    pub(super) fn refuse(&mut self, now_ms: Millis) {
-        self.refused_until_ms = now_ms + REFUSED_MS;
+    /// Records that it had no room for a transfer.
+    pub(super) fn refuse_transfers(&mut self, now_ms: Millis) {
+        self.refused_until_ms = now_ms + REFUSAL_BACKOFF_MS;
     }
 
-    /// Whether a transfer may begin to it.
+    /// Whether a transfer to it may begin.
     pub(super) fn can_receive(&self, now_ms: Millis) -> bool {
         self.is_open()
             && self.may_start(now_ms)
             && now_ms >= self.receiving_until_ms.max(self.refused_until_ms)
     }
 
-    /// A transfer was cut, and what it brought so far stays here.
+    /// Records that a transfer was cut and its partial copy remains here.
     ///
-    /// Without counting it a home sends generations to engines that hold such a copy, where they wait in
-    /// the engine's queue until it lapses.
-    pub(super) fn leave_behind(&mut self, now_ms: Millis, tokens: f32) {
-        let lasts_ms = self.entry.capacity.copy_ttl_ms as f32 * LEFT_BEHIND_TTLS;
-        self.left_behind.retain(|one| one.until_ms > now_ms);
-        self.left_behind.push(LeftBehind {
+    /// If it were not counted, the home would place generations on engines that hold such a copy,
+    /// where they would wait in the engine's queue until the copy expires.
+    pub(super) fn add_orphaned_copy(&mut self, now_ms: Millis, tokens: f32) {
+        let lifetime_ms = self.entry.capacity.copy_ttl_ms as f32 * ORPHANED_COPY_TTLS;
+        self.orphaned_copies.retain(|one| one.until_ms > now_ms);
+        self.orphaned_copies.push(OrphanedCopy {
             tokens,
-            until_ms: now_ms + lasts_ms as Millis,
+            until_ms: now_ms + lifetime_ms as Millis,
         });
     }
 
-    /// Memory of copies that nobody can use.
-    pub(super) fn left_behind_tokens(&self, now_ms: Millis) -> f32 {
-        let lasting = self.left_behind.iter().filter(|one| one.until_ms > now_ms);
-        lasting.map(|one| one.tokens).sum()
+    /// Memory held by orphaned copies.
+    pub(super) fn orphaned_tokens(&self, now_ms: Millis) -> f32 {
+        let live = self
+            .orphaned_copies
+            .iter()
+            .filter(|one| one.until_ms > now_ms);
+        live.map(|one| one.tokens).sum()
     }
 
-    /// A prompt goes there that takes so long to be read.
-    pub(super) fn prefill(&mut self, now_ms: Millis, read_ms: f32) {
+    /// Adds a prompt whose prefill takes `prefill_ms`.
+    pub(super) fn add_prefill(&mut self, now_ms: Millis, prefill_ms: f32) {
         let from_ms = self.prefilled_at_ms.max(now_ms as f32);
-        self.prefilled_at_ms = from_ms + read_ms;
+        self.prefilled_at_ms = from_ms + prefill_ms;
     }
 
-    /// How long a prompt that comes now waits for those before it.
+    /// How long a new prompt waits for the prefills queued before it.
     pub(super) fn prefill_wait_ms(&self, now_ms: Millis) -> f32 {
         (self.prefilled_at_ms - now_ms as f32).max(0.0)
     }
 
-    /// How long so many tokens take to another engine.
-    pub(super) fn transfer_ms(&self, tokens: u32, same_data_centre: bool) -> f32 {
+    /// Time to transfer this many tokens to another engine.
+    pub(super) fn transfer_ms(&self, tokens: u32, is_same_data_centre: bool) -> f32 {
         let capacity = self.entry.capacity;
         let bits = tokens as f32 * capacity.token_bytes as f32 * 8.0;
-        let near_ms = bits / (capacity.link_mbps.max(1.0) * 1_000.0);
-        if same_data_centre {
-            near_ms
+        let local_ms = bits / (capacity.link_mbps.max(1.0) * 1_000.0);
+        if is_same_data_centre {
+            local_ms
         } else {
-            2.0 * near_ms
+            2.0 * local_ms
         }
     }
 }
--- a/crates/policy/src/cell/forecast.rs
+++ b/crates/policy/src/cell/forecast.rs
@@ -1,38 +1,38 @@
-//! The memory that engines' generations will come to.
+//! Predicted memory use of a cell's engines.
 
 use std::collections::HashMap;
 
-use super::{Cell, answers::Answers, engine::Engine, run::Run};
+use super::{Cell, answer_lengths::AnswerLengths, engine::Engine, run::Run};
 use crate::key::{Millis, UpstreamKey};
 
-/// Tokens ahead at which the memory is looked at. Generations of one batch advance together, so
-/// what each holds then, if it still runs, adds up. (Peak of predicted memory: Gong et al.,
-/// "Past-Future Scheduler for LLM Serving under SLA Guarantees", ASPLOS 2025.)
+/// Offsets, in tokens, at which memory use is predicted. Generations of one batch advance together,
+/// so the memory of those still running at an offset adds up. (Peak of predicted memory: Gong et
+/// al., "Past-Future Scheduler for LLM Serving under SLA Guarantees", ASPLOS 2025.)
 const HORIZONS_TOKENS: [f32; 5] = [0.0, 64.0, 160.0, 320.0, 640.0];
 
-/// A generation's claim on memory: what it holds now, and how many tokens it will add.
+/// Memory demand of a generation: the tokens it holds now and those it is expected to add.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub(super) struct Claim {
     pub(super) held_tokens: f32,
-    pub(super) rest_tokens: f32,
+    pub(super) remaining_tokens: f32,
 }
 
 impl Claim {
-    /// What it holds so many tokens ahead.
+    /// Memory held `ahead_tokens` later.
     fn at(self, ahead_tokens: f32) -> f32 {
-        match ahead_tokens <= self.rest_tokens {
+        match ahead_tokens <= self.remaining_tokens {
             true => self.held_tokens + ahead_tokens,
             false => 0.0,
         }
     }
 }
 
-/// What is predicted of one engine.
+/// Predicted load of one engine.
 #[derive(Debug, Clone, Copy, Default)]
 struct Load {
-    /// Generations that run there.
+    /// Running generations.
     running: u32,
-    /// Memory at each horizon.
+    /// Memory at each offset.
     held_tokens: [f32; HORIZONS_TOKENS.len()],
 }
 
@@ -50,7 +50,7 @@
     }
 }
 
-/// The memory of all engines of a cell, as predicted at one moment.
+/// Predicted memory use of all engines of a cell at one time.
 #[derive(Debug, Default)]
 pub(super) struct Forecast {
     now_ms: Millis,
@@ -58,19 +58,19 @@
 }
 
 impl Forecast {
-    /// The highest share of an engine's memory that is predicted with one more generation there.
+    /// Peak share of an engine's memory that is predicted with one more generation on it.
     pub(super) fn peak_share(&self, engine: &Engine, claim: Claim) -> f32 {
         let load = self.load(engine.entry.key);
-        let peak = load.peak_with(claim) + engine.left_behind_tokens(self.now_ms);
+        let peak = load.peak_with(claim) + engine.orphaned_tokens(self.now_ms);
         peak / engine.entry.capacity.memory_tokens.max(1) as f32
     }
 
-    /// Generations on an engine.
+    /// Number of generations running on an engine.
     pub(super) fn running(&self, engine: UpstreamKey) -> u32 {
         self.load(engine).running
     }
 
-    /// Keeps memory of an engine free for a generation that goes first.
+    /// Reserves memory of an engine for a generation that goes first.
     pub(super) fn reserve(&mut self, engine: UpstreamKey, claim: Claim) {
         self.loads.entry(engine).or_default().add(claim);
     }
@@ -84,7 +84,7 @@
     pub(super) fn forecast(&self, now_ms: Millis) -> Forecast {
         let mut loads: HashMap<UpstreamKey, Load> = HashMap::new();
         for run in self.runs.values() {
-            let claim = run.claim(now_ms, &self.answers);
+            let claim = run.claim(now_ms, &self.answer_lengths);
             for engine in run.holders() {
                 loads.entry(engine).or_default().add(claim);
             }
@@ -95,10 +95,10 @@
 }
 
 impl Run {
-    pub(super) fn claim(&self, now_ms: Millis, answers: &Answers) -> Claim {
+    pub(super) fn claim(&self, now_ms: Millis, answer_lengths: &AnswerLengths) -> Claim {
         Claim {
             held_tokens: self.held_tokens(now_ms),
-            rest_tokens: self.rest_tokens(now_ms, answers),
+            remaining_tokens: self.remaining_tokens(now_ms, answer_lengths),
         }
     }
 }
--- a/crates/policy/src/cell/placement.rs
+++ b/crates/policy/src/cell/placement.rs
@@ -1,132 +1,132 @@
-//! Which engine of a cell a generation starts on.
+//! Selects the engine of a cell on which a generation starts.
 
 use serde::{Deserialize, Serialize};
 
 use super::Cell;
-use super::answers::{Answers, Stated};
+use super::answer_lengths::{AnswerLengths, StatedLength};
 use super::engine::Engine;
 use super::forecast::{Claim, Forecast};
-use super::reading::Reading;
+use super::prefill_rate::PrefillRate;
 use super::run::{Run, RunKey};
 use super::shares::Shares;
-use super::waiting::Turn;
+use super::waiting::QueueOrder;
 use crate::key::{HostKey, Millis, OrganisationKey, UpstreamKey};
 
-/// A generation holds back the others of its batch; so much later is each token's first sight.
-const CROWD_MS: f32 = 9.0;
-/// An engine in another data centre: the way there, and dearer bytes.
-const FAR_MS: f32 = 12.0;
-/// What a full memory costs against an empty one. The square keeps half-full engines nearly equal,
-/// so that prompts go where they are read soonest, and weighs the last room heavily: an engine
-/// that fills pauses somebody.
-const MEMORY_MS: f32 = 500.0;
-/// What an engine that fails all it gets costs against one that fails nothing: more than any wait. One
-/// that fails a part looks emptier than those that work, and without a cost of its own draws the next
-/// generation each time.
-const SICK_MS: f32 = 4_000.0;
-/// Where this share of an engine's generations failed lately, one that can still wait does so: what is
-/// sent there and fails can't be sent again.
-const SICK_SHARE: f32 = 0.3;
-/// No generation starts where this share of the memory would be taken at the peak.
+/// Cost of each running generation: it delays every token of the others in its batch.
+const RUNNING_COST_MS: f32 = 9.0;
+/// Cost of an engine in another data centre: network latency and more expensive traffic.
+const REMOTE_COST_MS: f32 = 12.0;
+/// Cost of full memory against empty memory. It is applied to the square of the share, which treats
+/// half-full engines as nearly equal, so prompts go where prefill starts soonest, and weighs the
+/// last room heavily, because a full engine preempts generations.
+const MEMORY_COST_MS: f32 = 500.0;
+/// Cost of an engine that fails all its generations, higher than any wait. A partly failing engine
+/// looks emptier than healthy ones and would attract every next generation without this cost.
+const FAILURE_COST_MS: f32 = 4_000.0;
+/// A request that can still wait avoids engines with a higher recent failure share than this,
+/// because a generation that was sent there and failed cannot be sent again.
+const MAX_FAILURE_SHARE: f32 = 0.3;
+/// No generation starts where the predicted peak exceeds this share of the memory.
 ///
-/// Lengths that are learned leave little to chance, so little is kept free; an engine that is promised
-/// more than it has pauses generations.
+/// Length predictions are learned and leave little variance, so only a small reserve is kept; an
+/// overcommitted engine pauses generations.
 const FULL_SHARE: f32 = 0.98;
-/// The same for those that can't be on time any more, or would not be there: served beside the others
-/// they would make others late that still can, and late they are worth a seventh.
+/// The same for requests that cannot be on time or would be late there: they would delay others
+/// that can still be on time, and a late answer has a seventh of the value.
 const LATE_FULL_SHARE: f32 = 0.75;
-/// A generation of at most so many tokens is brief: over in about a second, and served late as well.
+/// A generation of at most this many tokens takes about a second and is exempt from
+/// [`LATE_FULL_SHARE`].
 const BRIEF_TOKENS: u32 = 64;
-/// A prompt goes only where it waits no longer than this part of the time to a first event that is
-/// on time; the rest is for the prompt itself. Others' prompts end soon, so waiting at the home for
-/// a better engine loses nothing.
-const PATIENCE_SHARE: f32 = 0.45;
-/// A running copy is kept where its engine stays below this share of its memory. Copies save
-/// generations of crashed engines, and hold back others where there is less room.
-const BACKUP_SHARE: f32 = 0.20;
-/// Shorter answers than this are over before an engine's notice is.
-const BACKUP_LEAST_TOKENS: u32 = 160;
-/// When to come back where every engine is full, as parts of the time that the caller has left:
-/// drawn between the two, so that those who were refused together don't meet again.
+/// A prompt is sent only to an engine where it waits no longer than this share of the time left for
+/// its first event; the rest is for its own prefill. Prefills of other prompts end soon, so waiting
+/// at the home for a better engine loses nothing.
+const MAX_PREFILL_WAIT_SHARE: f32 = 0.45;
+/// A backup copy is kept if its engine stays below this share of its memory. Copies save
+/// generations of crashed engines, but delay others where memory is shorter.
+const MAX_BACKUP_SHARE: f32 = 0.20;
+/// Shorter answers end within an engine's notice period and get no backup copy.
+const MIN_BACKUP_TOKENS: u32 = 160;
+/// Retry delay when every engine is full, as a share of the caller's remaining time. The delay is
+/// spread over this range, which prevents callers refused together from returning together.
 ///
-/// A refused request can't be on time any more, so what is left to gain for its caller is to be served
-/// at all, and it comes back once or twice. After an answer's usual rest it comes back into the same
-/// crowd and is refused again. Callers follow such a word up to a third of their time.
-const RETURN_SHARES: std::ops::Range<f32> = 0.20..0.32;
+/// A refused request can no longer be on time, so the goal is to serve it at all, and its caller
+/// returns once or twice. After a usual Retry-After it would return into the same overload and be
+/// refused again. Callers respect a retry delay of up to a third of their time.
+const RETRY_AFTER_SHARES: std::ops::Range<f32> = 0.20..0.32;
 
-/// A generation to be placed.
+/// A request to place a generation.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PlacementRequest {
     /// The generation.
     pub run: RunKey,
     /// The host that will relay it.
     pub host: HostKey,
-    /// The organisation that asks.
+    /// The organisation that sent it.
     pub organisation: OrganisationKey,
-    /// That host's data centre, hashed.
+    /// Hash of that host's data centre.
     pub data_centre: u64,
     /// Prompt tokens.
     pub prompt_tokens: u32,
-    /// The longest answer.
+    /// Maximum length of the answer.
     pub limit_tokens: u32,
-    /// The caller's guess.
+    /// The caller's estimate of the length.
     pub hint_tokens: Option<u32>,
-    /// What stays the same in a further try of its caller, hashed.
+    /// Hash of the content, equal for all retries of a caller.
     #[serde(rename = "likeness")]
     pub retry_key: u64,
-    /// The rank of its organisation or route; 0 is the most urgent.
+    /// Priority of its organisation or route; 0 is the most urgent.
     pub priority: u8,
     /// How long its first event may still take to be on time.
     #[serde(rename = "patience_ms")]
     pub max_wait_ms: Millis,
-    /// How long its caller will wait at all.
+    /// The caller's remaining timeout.
     pub left_ms: Millis,
-    /// It has waited as long as it may: late is better for its caller than not at all.
+    /// Whether it has waited as long as it may. A late answer is better for its caller than none.
     #[serde(rename = "is_last_call")]
     pub is_final_attempt: bool,
-    /// Engines that have refused it already.
+    /// Engines that have already refused it.
     #[serde(rename = "without")]
     pub excluded: Vec<UpstreamKey>,
-    /// Whether engines keep running copies for one another.
+    /// Whether engines keep backup copies for each other.
     pub can_back_up: bool,
 }
 
-/// What the home saw of the engine that it chose.
+/// State of the selected engine as known to the home.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EngineSnapshot {
-    /// Generations there before this one.
+    /// Generations running on it before this one.
     pub running: u32,
-    /// The highest share of its memory that is predicted, in thousandths.
+    /// Predicted peak share of its memory, in thousandths.
     pub peak_permille: u32,
-    /// How long the prompt waits for those before it.
+    /// How long the prompt waits for the prefills queued before it.
     pub prefill_wait_ms: u32,
 }
 
-/// Where a generation starts.
+/// The result of a placement.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Placement {
-    /// On this engine.
+    /// It starts on this engine.
     On {
         /// The engine.
         engine: UpstreamKey,
-        /// The engine that keeps a running copy of its memory.
+        /// The engine that keeps a backup copy of its memory.
         backup: Option<UpstreamKey>,
-        /// What decided.
+        /// State of the engine that led to the decision.
         seen: EngineSnapshot,
     },
-    /// Nowhere now.
+    /// No engine has room now.
     Full {
-        /// When to come back.
+        /// When to retry.
         retry_after_ms: Millis,
     },
-    /// On none of the cell's engines, however empty.
+    /// It exceeds the memory of every engine of the cell.
     TooLarge,
-    /// The cell has no engine that takes work.
+    /// The cell has no engine that accepts work.
     NoEngine,
 }
 
 impl PlacementRequest {
-    /// The share of an engine's memory up to which it may start there.
+    /// Maximum share of an engine's memory at which it may start there.
     pub(super) fn full_share(&self, is_late: bool) -> f32 {
         match is_late && self.limit_tokens > BRIEF_TOKENS {
             true => LATE_FULL_SHARE,
@@ -134,62 +134,62 @@
         }
     }
 
-    /// When its caller had better come back, where it finds no room.
-    fn return_after_ms(&self) -> Millis {
+    /// When its caller should retry if there is no room.
+    fn retry_after_ms(&self) -> Millis {
         let draw = (self.retry_key % 1_000) as f32 / 1_000.0;
-        let width = RETURN_SHARES.end - RETURN_SHARES.start;
-        let share = RETURN_SHARES.start + width * draw;
+        let width = RETRY_AFTER_SHARES.end - RETRY_AFTER_SHARES.start;
+        let share = RETRY_AFTER_SHARES.start + width * draw;
         (self.left_ms as f32 * share) as Millis
     }
 
-    /// How long its prompt takes to be read, by itself.
-    pub(super) fn read_ms(&self, reading: &Reading) -> f32 {
-        reading.ms(self.prompt_tokens as f32)
+    /// Duration of its prefill, without queueing.
+    pub(super) fn prefill_ms(&self, prefill_rate: &PrefillRate) -> f32 {
+        prefill_rate.ms(self.prompt_tokens as f32)
     }
 
-    /// When it must start at the latest to be on time.
-    pub(super) fn latest_ms(&self, now_ms: Millis, reading: &Reading) -> Millis {
-        (now_ms + self.max_wait_ms).saturating_sub(self.read_ms(reading) as Millis)
+    /// The latest start at which it is on time.
+    pub(super) fn latest_start_ms(&self, now_ms: Millis, prefill_rate: &PrefillRate) -> Millis {
+        (now_ms + self.max_wait_ms).saturating_sub(self.prefill_ms(prefill_rate) as Millis)
     }
 
-    /// What it says of its answer's length.
-    fn stated(&self) -> Stated {
-        Stated {
+    /// The length as stated by its caller.
+    fn stated_length(&self) -> StatedLength {
+        StatedLength {
             limit_tokens: self.limit_tokens,
             hint_tokens: self.hint_tokens,
         }
     }
 
-    pub(super) fn claim(&self, answers: &Answers) -> Claim {
+    pub(super) fn claim(&self, answer_lengths: &AnswerLengths) -> Claim {
         Claim {
             held_tokens: self.prompt_tokens as f32,
-            rest_tokens: answers.rest_tokens(self.stated(), 0.0),
+            remaining_tokens: answer_lengths.remaining_tokens(self.stated_length(), 0.0),
         }
     }
 }
 
-/// A request that asks for a place now.
+/// A request being placed now.
 #[derive(Debug)]
-pub(super) struct Bid<'a> {
+pub(super) struct PlacementAttempt<'a> {
     pub(super) request: &'a PlacementRequest,
     pub(super) claim: Claim,
-    pub(super) turn: Turn,
-    /// The share of an engine's memory up to which it may start there.
+    pub(super) order: QueueOrder,
+    /// Maximum share of an engine's memory at which it may start there.
     pub(super) full_share: f32,
 }
 
 impl Cell {
-    /// Places a generation and counts it, or has it wait for its turn.
+    /// Places a generation and counts it, or queues it.
     pub fn place(&mut self, now_ms: Millis, request: &PlacementRequest) -> Placement {
         self.waiting.expire(now_ms);
-        let claim = request.claim(&self.answers);
-        // Where nobody waits there is no turn to decide.
+        let claim = request.claim(&self.answer_lengths);
+        // If nothing is waiting, there is no order to decide.
         let shares = match self.waiting.is_empty() {
             true => Shares::default(),
             false => self.shares(now_ms, request.organisation, claim),
         };
         let is_over_share = shares.is_over(request.organisation, claim);
-        let bid = self.bid(now_ms, request, claim, is_over_share);
+        let attempt = self.attempt(now_ms, request, claim, is_over_share);
         let open: Vec<&Engine> = self
             .engines
             .values()
@@ -210,9 +210,9 @@
         }
         let mut forecast = self.forecast(now_ms);
         self.reserve_for_leaving(now_ms, &mut forecast);
-        self.reserve_for_waiting(bid.turn, &shares, &mut forecast);
+        self.reserve_for_waiting(attempt.order, &shares, &mut forecast);
         let costs = open.iter().filter_map(|engine| {
-            let cost = cost_ms(now_ms, &self.reading, &forecast, engine, &bid)?;
+            let cost = cost_ms(now_ms, &self.prefill_rate, &forecast, engine, &attempt)?;
             Some((cost, engine))
         });
         let best = costs.min_by(|one, other| {
@@ -222,15 +222,15 @@
         let Some((_, engine)) = best else {
             match request.is_final_attempt {
                 true => self.waiting.refuse(now_ms, request),
-                false => self.waiting.wait(now_ms, &bid),
+                false => self.waiting.wait(now_ms, &attempt),
             }
             return Placement::Full {
-                retry_after_ms: request.return_after_ms(),
+                retry_after_ms: request.retry_after_ms(),
             };
         };
-        let seen = see(now_ms, &forecast, engine, &bid);
+        let seen = snapshot_of(now_ms, &forecast, engine, &attempt);
         let engine = engine.entry.key;
-        let backup = self.backup_for(now_ms, &forecast, engine, &bid);
+        let backup = self.backup_for(now_ms, &forecast, engine, &attempt);
         self.start(now_ms, engine, backup, request);
         Placement::On {
             engine,
@@ -239,22 +239,22 @@
         }
     }
 
-    /// What a request asks for, with its turn.
-    fn bid<'a>(
+    /// Combines a request with its queue order.
+    fn attempt<'a>(
         &mut self,
         now_ms: Millis,
         request: &'a PlacementRequest,
         claim: Claim,
         is_over_share: bool,
-    ) -> Bid<'a> {
-        let turn = self
+    ) -> PlacementAttempt<'a> {
+        let order = self
             .waiting
-            .turn(now_ms, &self.reading, request, claim, is_over_share);
-        Bid {
+            .order(now_ms, &self.prefill_rate, request, claim, is_over_share);
+        PlacementAttempt {
             request,
             claim,
-            turn,
-            full_share: request.full_share(turn.is_late),
+            order,
+            full_share: request.full_share(order.is_late),
         }
     }
 
@@ -263,10 +263,10 @@
         now_ms: Millis,
         forecast: &Forecast,
         main: UpstreamKey,
-        bid: &Bid<'_>,
+        attempt: &PlacementAttempt<'_>,
     ) -> Option<UpstreamKey> {
-        let request = bid.request;
-        if !request.can_back_up || request.limit_tokens < BACKUP_LEAST_TOKENS {
+        let request = attempt.request;
+        if !request.can_back_up || request.limit_tokens < MIN_BACKUP_TOKENS {
             return None;
         }
         let others = self
@@ -275,16 +275,17 @@
             .filter(|engine| engine.entry.key != main && engine.is_open())
             .filter(|engine| !engine.is_cold(now_ms));
         let shares = others.map(|engine| {
-            let share = forecast.peak_share(engine, bid.claim);
+            let share = forecast.peak_share(engine, attempt.claim);
             (share, engine.entry.key)
         });
         let by_share = |one: &(f32, UpstreamKey), other: &(f32, UpstreamKey)| {
             one.0.total_cmp(&other.0).then(one.1.cmp(&other.1))
         };
         let (share, key) = shares.min_by(by_share)?;
-        // A running copy begins with the whole prompt on its links. The last short copy of a generation
-        // that leaves, for which it stands still, would wait behind it: a late answer.
-        (share < BACKUP_SHARE && self.leaving_engines().is_empty()).then_some(key)
+        // A backup copy starts with the transfer of the whole prompt. The final short copy of a
+        // migrating generation, which is stopped for it, would wait behind that on the link and
+        // delay its answer.
+        (share < MAX_BACKUP_SHARE && self.leaving_engines().is_empty()).then_some(key)
     }
 
     fn start(
@@ -294,54 +295,59 @@
         backup: Option<UpstreamKey>,
         request: &PlacementRequest,
     ) {
-        self.waiting.leave(request.run);
+        self.waiting.remove(request.run);
         let Some(chosen) = self.engines.get_mut(&engine) else {
             return;
         };
-        chosen.prefill(now_ms, request.read_ms(&self.reading));
-        chosen.note_start(now_ms);
+        chosen.add_prefill(now_ms, request.prefill_ms(&self.prefill_rate));
+        chosen.record_start(now_ms);
         let first_token_ms = chosen.prefilled_at_ms as Millis;
         let run = Run::placed(now_ms, first_token_ms, engine, backup, request);
         self.runs.insert(request.run, run);
     }
 }
 
-/// What it costs to start there; `None` where it would fill the engine.
+/// Cost of starting on an engine; `None` if the engine has no room or should be avoided.
 fn cost_ms(
     now_ms: Millis,
-    reading: &Reading,
+    prefill_rate: &PrefillRate,
     forecast: &Forecast,
     engine: &Engine,
-    bid: &Bid<'_>,
+    attempt: &PlacementAttempt<'_>,
 ) -> Option<f32> {
-    let request = bid.request;
-    let share = forecast.peak_share(engine, bid.claim);
+    let request = attempt.request;
+    let share = forecast.peak_share(engine, attempt.claim);
     let running = forecast.running(engine.entry.key);
     let wait_ms = engine.prefill_wait_ms(now_ms);
-    let patience_ms = request.max_wait_ms as f32;
+    let max_wait_ms = request.max_wait_ms as f32;
     let full_share = match request.is_final_attempt {
-        false if wait_ms > patience_ms * PATIENCE_SHARE => return None,
-        true if wait_ms + request.read_ms(reading) > patience_ms => {
-            bid.full_share.min(LATE_FULL_SHARE)
+        false if wait_ms > max_wait_ms * MAX_PREFILL_WAIT_SHARE => return None,
+        true if wait_ms + request.prefill_ms(prefill_rate) > max_wait_ms => {
+            attempt.full_share.min(LATE_FULL_SHARE)
         }
-        _ => bid.full_share,
+        _ => attempt.full_share,
     };
-    let failing = engine.failures.share(now_ms);
+    let failure_share = engine.failures.share(now_ms);
     let has_room = share <= full_share && running < engine.entry.capacity.slots;
-    let may_wait = failing > SICK_SHARE && !request.is_final_attempt;
-    if !has_room || may_wait || !engine.may_start(now_ms) {
+    let should_wait = failure_share > MAX_FAILURE_SHARE && !request.is_final_attempt;
+    if !has_room || should_wait || !engine.may_start(now_ms) {
         return None;
     }
-    let far = engine.entry.data_centre != request.data_centre;
-    let crowd_ms = CROWD_MS * running as f32;
-    let memory_ms = MEMORY_MS * share * share;
-    let far_ms = if far { FAR_MS } else { 0.0 };
-    let sick_ms = SICK_MS * failing;
-    Some(wait_ms + crowd_ms + memory_ms + far_ms + sick_ms)
+    let is_remote = engine.entry.data_centre != request.data_centre;
+    let running_ms = RUNNING_COST_MS * running as f32;
+    let memory_ms = MEMORY_COST_MS * share * share;
+    let remote_ms = if is_remote { REMOTE_COST_MS } else { 0.0 };
+    let failure_ms = FAILURE_COST_MS * failure_share;
+    Some(wait_ms + running_ms + memory_ms + remote_ms + failure_ms)
 }
 
-fn see(now_ms: Millis, forecast: &Forecast, engine: &Engine, bid: &Bid<'_>) -> EngineSnapshot {
-    let share = forecast.peak_share(engine, bid.claim);
+fn snapshot_of(
+    now_ms: Millis,
+    forecast: &Forecast,
+    engine: &Engine,
+    attempt: &PlacementAttempt<'_>,
+) -> EngineSnapshot {
+    let share = forecast.peak_share(engine, attempt.claim);
     EngineSnapshot {
         running: forecast.running(engine.entry.key),
         peak_permille: (share * 1_000.0) as u32,
--- a/crates/policy/src/cell/shares.rs
+++ b/crates/policy/src/cell/shares.rs
@@ -1,15 +1,15 @@
-//! Which organisations hold more of a crowded cell than their share.
+//! Finds the organisations that hold more than their fair share of an overloaded cell.
 //!
-//! The pattern is an organisation that sends many times its usual for a while, where the engines have
-//! no room to spare. Turns by time alone go to whoever asks most, so the others' requests were late or
-//! refused in proportion to the flood, though each of them asks for no more than usual. An organisation
-//! is served from what nobody else wants, and before that up to its share: the level at which all that
-//! is held and waited for fits, where each gets what it wants or the level, whichever is less (max-min
-//! fairness: Bertsekas and Gallager, "Data Networks", 1992, section 6.5.2). What it holds now counts
-//! and nothing of before, so there is neither credit for quiet times nor a debt after a flood.
+//! When an organisation sends many times its usual load and the engines have no spare room,
+//! ordering by time alone favours whoever sends most: requests of other organisations are late or
+//! refused in proportion to the flood, although their load is normal. Every organisation may use
+//! what nobody else wants, and otherwise up to its share: the level at which all held and requested
+//! memory fits, where each organisation gets the smaller of its demand and the level (max-min
+//! fairness: Bertsekas and Gallager, "Data Networks", 1992, section 6.5.2). Only current holdings
+//! count, so idle times earn no credit and a flood leaves no debt.
 //!
-//! What runs is never cut for it: memory comes free as answers end, some tens a second, and goes to
-//! those below their share first.
+//! Running generations are never cut for fairness: some tens of answers end per second, and the
+//! memory they free goes first to organisations below their share.
 
 use std::collections::HashMap;
 
@@ -17,7 +17,7 @@
 use super::forecast::Claim;
 use crate::key::{Millis, OrganisationKey};
 
-/// Memory that organisations hold of a cell, and up to where it is their share, in tokens.
+/// Memory held by each organisation of a cell and their fair share, in tokens.
 #[derive(Debug, Default)]
 pub(super) struct Shares {
     held: HashMap<OrganisationKey, f32>,
@@ -25,34 +25,34 @@
 }
 
 impl Shares {
-    /// Whether an organisation would hold more than its share with one more generation. One that
-    /// holds nothing never does, however large the generation.
+    /// Whether an organisation would exceed its share with one more generation. An organisation
+    /// that holds nothing never does, however large the generation is.
     pub(super) fn is_over(&self, organisation: OrganisationKey, claim: Claim) -> bool {
         let held = self.held.get(&organisation).copied().unwrap_or_default();
         self.level
-            .is_some_and(|level| held > 0.0 && held + claim.whole() > level)
+            .is_some_and(|level| held > 0.0 && held + claim.total_tokens() > level)
     }
 }
 
 impl Claim {
-    /// All that it will have come to at its end.
-    fn whole(self) -> f32 {
-        self.held_tokens + self.rest_tokens
+    /// Memory held at the end of the generation.
+    fn total_tokens(self) -> f32 {
+        self.held_tokens + self.remaining_tokens
     }
 }
 
 impl Cell {
-    /// The shares as of now, with a request that asks beside those that wait.
+    /// The current shares, counting the given request with those that wait.
     pub(super) fn shares(&self, now_ms: Millis, asking: OrganisationKey, claim: Claim) -> Shares {
         let mut held: HashMap<OrganisationKey, f32> = HashMap::new();
         for run in self.runs.values() {
-            let whole = run.claim(now_ms, &self.answers).whole();
-            *held.entry(run.organisation).or_default() += whole;
+            let total_tokens = run.claim(now_ms, &self.answer_lengths).total_tokens();
+            *held.entry(run.organisation).or_default() += total_tokens;
         }
         let mut wanted = held.clone();
-        *wanted.entry(asking).or_default() += claim.whole();
+        *wanted.entry(asking).or_default() += claim.total_tokens();
         for (organisation, claim) in self.waiting.claims() {
-            *wanted.entry(organisation).or_default() += claim.whole();
+            *wanted.entry(organisation).or_default() += claim.total_tokens();
         }
         let open = self.engines.values().filter(|engine| engine.is_open());
         let room = open.map(|engine| engine.entry.capacity.memory_tokens as f32);
@@ -63,8 +63,7 @@
     }
 }
 
-/// The level up to which each of these may have what it wants so that all fits; `None` where all
-/// fits anyway.
+/// The max-min fair level for these demands; `None` if all demands fit.
 fn level(mut wanted: Vec<f32>, room: f32) -> Option<f32> {
     wanted.sort_by(f32::total_cmp);
     let mut left = room;
--- a/crates/policy/src/cell/waiting.rs
+++ b/crates/policy/src/cell/waiting.rs
@@ -1,53 +1,56 @@
-//! Who waits for room in a cell, and who goes first.
+//! The queue of requests that wait for room in a cell.
 //!
-//! Answers crowded cells: requests for more memory than there is, of sizes that differ by six. Asked
-//! one by one and without an order, whoever asks next takes whatever has just become free, and the largest
-//! are refused where the smallest never are. Requests that fit now get their room by turn, before those that come later; for the first
-//! that does not fit, room is kept on the engine that has most of it. What is kept is idle, so it is
-//! kept for one only.
+//! Handles overload with requests whose sizes differ by a factor of six. Without an order, whoever
+//! asks next takes the memory that has just become free, and the largest requests are refused while
+//! the smallest never are. Requests that fit are placed in queue order, before later ones. For the
+//! first one that does not fit, room is reserved on the engine with most room. Reserved memory is
+//! idle, so it is reserved for one request only.
 
 use std::collections::HashMap;
 
-use super::cost::UsualCost;
+use super::cost::AverageCost;
 use super::forecast::{Claim, Forecast};
-use super::placement::{Bid, PlacementRequest};
-use super::reading::Reading;
+use super::placement::{PlacementAttempt, PlacementRequest};
+use super::prefill_rate::PrefillRate;
 use super::run::RunKey;
 use super::shares::Shares;
 use super::{Cell, CellEngine};
 use crate::key::{Millis, OrganisationKey, UpstreamKey};
 
-/// A request that has not asked again for so long has given up: several of its periods.
-const SILENT_MS: Millis = 250;
-/// Requests without room now for which some is kept until it is enough.
-const KEPT_FOR: u32 = 1;
+/// A request that was not repeated for this long has been abandoned; it covers several of its
+/// polling periods.
+const REQUEST_EXPIRY_MS: Millis = 250;
+/// Number of requests without room for which memory is reserved until it is enough.
+const RESERVED_REQUESTS: u32 = 1;
 
-/// How much of its patience a request of the usual cost goes behind one that costs nothing.
+/// Delay of a request of average cost in the queue, as a share of its maximum wait.
 ///
-/// More of it serves more of the large, since the small are gone sooner, and refuses more of all.
-const COST_SHARE: f32 = 0.5;
+/// A higher value serves more large requests, because small ones end sooner, but refuses more
+/// requests overall.
+const COST_DELAY_SHARE: f32 = 0.5;
 
-/// Whose turn it is: what can still be on time, then those whose organisation is below its share, then
-/// the more urgent, then what has to start first to be on time (least laxity), put off by what it costs
-/// the others.
+/// Position of a request in the queue. Requests that can still be on time go first, then those of
+/// organisations below their share, then the more urgent, then those with the earliest latest start
+/// (least laxity), delayed by their cost to others.
 ///
-/// A share comes before urgency, which is an organisation's own word of its requests: a flood of urgent
-/// ones would hold everybody else's reports back for as long as it lasts. It comes behind time, for
-/// what is late already is worth little to any caller.
+/// The share precedes the priority, which organisations assign to their own requests: a flood of
+/// urgent requests would block all other organisations as long as it lasts. Lateness precedes the
+/// share, because a late answer has little value for any caller.
 ///
-/// By arrival alone the large wait as long as the small and then have the longer prompts to read. What costs little fits where the costly don't, and leaves soon: see
-/// [`COST_SHARE`]. A request is put off by a bounded part of its patience, so what comes later than that
-/// never overtakes it.
+/// Ordered by arrival alone, large requests wait as long as small ones and then have longer prompts
+/// to prefill. Cheap requests fit where expensive ones do not, and end sooner: see
+/// [`COST_DELAY_SHARE`]. The delay is limited to a share of the maximum wait, so requests that
+/// arrive later than that never overtake.
 ///
-/// An answer that is late already is worth little to its caller, and takes
-/// as much memory as one on time. Served by turns with the others, it makes one of them late too.
+/// A late answer takes as much memory as one on time. Served in turn with the others, it would make
+/// one of them late too.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub(super) struct Turn {
+pub(super) struct QueueOrder {
     pub(super) is_late: bool,
-    /// Its organisation holds more than its share of what there is.
+    /// Whether its organisation would exceed its fair share.
     is_over_share: bool,
     priority: u8,
-    /// When it must start at the latest to be on time, put off by its cost.
+    /// Latest start at which it is on time, delayed by its cost.
     due_ms: Millis,
     run: RunKey,
 }
@@ -55,23 +58,23 @@
 #[derive(Debug, Clone)]
 struct Waiting {
     organisation: OrganisationKey,
-    turn: Turn,
+    order: QueueOrder,
     since_ms: Millis,
     claim: Claim,
     full_share: f32,
-    without: Vec<UpstreamKey>,
-    asked_ms: Millis,
+    excluded: Vec<UpstreamKey>,
+    last_request_ms: Millis,
 }
 
-/// A request that was refused, whose caller may come back with another.
+/// A refused request, whose caller may retry.
 ///
-/// Forgotten before its caller's time was over, one that came back as late as it was told to, a third of
-/// that time, was taken for new: it got the room of those that could still be on time.
+/// If it were forgotten before its caller's timeout, a retry that respects the retry delay, up to a
+/// third of that time, would count as new and take the room of requests that can still be on time.
 #[derive(Debug, Clone, Copy)]
 struct Refused {
-    /// When its first try had come.
+    /// When the first attempt arrived.
     first_ms: Millis,
-    /// When its caller's time is over.
+    /// When its caller's timeout expires.
     until_ms: Millis,
 }
 
@@ -79,37 +82,38 @@
 #[derive(Debug, Default)]
 pub(super) struct WaitingList {
     requests: HashMap<RunKey, Waiting>,
-    /// Requests that were refused, by likeness.
+    /// Refused requests, by retry key.
     refused: HashMap<u64, Refused>,
-    /// What requests of this cell cost lately.
-    usual_cost: UsualCost,
+    /// Average cost of recent requests of this cell.
+    average_cost: AverageCost,
 }
 
 impl WaitingList {
-    /// The turn of a request that asks now.
-    pub(super) fn turn(
+    /// The queue order of a request.
+    pub(super) fn order(
         &mut self,
         now_ms: Millis,
-        reading: &Reading,
+        prefill_rate: &PrefillRate,
         request: &PlacementRequest,
         claim: Claim,
         is_over_share: bool,
-    ) -> Turn {
+    ) -> QueueOrder {
         if let Some(known) = self.requests.get(&request.run) {
-            return Turn {
+            return QueueOrder {
                 is_over_share,
-                ..known.turn
+                ..known.order
             };
         }
-        let tried_ms = self.refused.get(&request.retry_key);
-        let tried_ms = tried_ms.map_or(0, |one| now_ms.saturating_sub(one.first_ms));
-        let behind_ms =
-            request.max_wait_ms as f32 * COST_SHARE * self.usual_cost.compare(reading, claim);
-        Turn {
-            is_late: tried_ms >= request.max_wait_ms,
+        let trying_ms = self.refused.get(&request.retry_key);
+        let trying_ms = trying_ms.map_or(0, |one| now_ms.saturating_sub(one.first_ms));
+        let delay_ms = request.max_wait_ms as f32
+            * COST_DELAY_SHARE
+            * self.average_cost.compare(prefill_rate, claim);
+        QueueOrder {
+            is_late: trying_ms >= request.max_wait_ms,
             is_over_share,
             priority: request.priority,
-            due_ms: request.latest_ms(now_ms, reading) + behind_ms as Millis,
+            due_ms: request.latest_start_ms(now_ms, prefill_rate) + delay_ms as Millis,
             run: request.run,
         }
     }
@@ -118,94 +122,100 @@
         self.requests.get(&run).map_or(now_ms, |one| one.since_ms)
     }
 
-    /// A request finds no room and will ask again.
-    pub(super) fn wait(&mut self, now_ms: Millis, bid: &Bid<'_>) {
-        let request = bid.request;
+    /// Queues a request that found no room and will be repeated.
+    pub(super) fn wait(&mut self, now_ms: Millis, attempt: &PlacementAttempt<'_>) {
+        let request = attempt.request;
         let waiting = Waiting {
             organisation: request.organisation,
-            turn: bid.turn,
+            order: attempt.order,
             since_ms: self.since_ms(now_ms, request.run),
-            claim: bid.claim,
-            full_share: bid.full_share,
-            without: request.excluded.clone(),
-            asked_ms: now_ms,
+            claim: attempt.claim,
+            full_share: attempt.full_share,
+            excluded: request.excluded.clone(),
+            last_request_ms: now_ms,
         };
         self.requests.insert(request.run, waiting);
     }
 
-    /// A request has waited as long as it may; its caller may come back with another.
+    /// Refuses a request that has waited as long as it may; its caller may retry.
     pub(super) fn refuse(&mut self, now_ms: Millis, request: &PlacementRequest) {
         let refused = Refused {
             first_ms: self.since_ms(now_ms, request.run),
             until_ms: now_ms + request.left_ms,
         };
         self.refused.entry(request.retry_key).or_insert(refused);
-        self.leave(request.run);
+        self.remove(request.run);
     }
 
-    /// A request no longer waits.
-    pub(super) fn leave(&mut self, run: RunKey) {
+    /// Removes a request from the queue.
+    pub(super) fn remove(&mut self, run: RunKey) {
         self.requests.remove(&run);
     }
 
-    /// Forgets those that don't ask any more.
+    /// Drops abandoned requests and expired refusals.
     pub(super) fn expire(&mut self, now_ms: Millis) {
         self.requests
-            .retain(|_, one| now_ms.saturating_sub(one.asked_ms) < SILENT_MS);
+            .retain(|_, one| now_ms.saturating_sub(one.last_request_ms) < REQUEST_EXPIRY_MS);
         self.refused.retain(|_, one| now_ms < one.until_ms);
     }
 
-    /// Whether nobody waits.
+    /// Whether no request is waiting.
     pub(super) fn is_empty(&self) -> bool {
         self.requests.is_empty()
     }
 
-    /// What each request that waits claims, and whose it is.
+    /// Memory demand and organisation of each waiting request.
     pub(super) fn claims(&self) -> impl Iterator<Item = (OrganisationKey, Claim)> {
         let all = self.requests.values();
         all.map(|one| (one.organisation, one.claim))
     }
 
-    /// Those whose turn is before another's, by the shares of now: one may have come over its share,
-    /// or below it, since it asked.
-    fn before(&self, turn: Turn, shares: &Shares) -> Vec<(Turn, &Waiting)> {
+    /// Requests ordered before `order` by the current shares, since an organisation may have gone
+    /// over or below its share after its request was queued.
+    fn before(&self, order: QueueOrder, shares: &Shares) -> Vec<(QueueOrder, &Waiting)> {
         let all = self.requests.values().map(|one| {
             let is_over_share = shares.is_over(one.organisation, one.claim);
-            let turn = Turn {
+            let order = QueueOrder {
                 is_over_share,
-                ..one.turn
+                ..one.order
             };
-            (turn, one)
+            (order, one)
         });
-        let mut earlier: Vec<(Turn, &Waiting)> = all.filter(|(one, _)| *one < turn).collect();
-        earlier.sort_by_key(|(turn, _)| *turn);
+        let mut earlier: Vec<(QueueOrder, &Waiting)> =
+            all.filter(|(one, _)| *one < order).collect();
+        earlier.sort_by_key(|(order, _)| *order);
         earlier
     }
 }
 
 impl Cell {
-    /// Keeps room for the requests whose turn comes before `turn`: for each on the engine that has
-    /// most of it, which is where it will fit first.
-    pub(super) fn reserve_for_waiting(&self, turn: Turn, shares: &Shares, forecast: &mut Forecast) {
-        let mut kept = 0;
-        for (_, one) in self.waiting.before(turn, shares) {
+    /// Reserves room for the requests ordered before `order`, each on the engine with most room for
+    /// it, where it will fit first.
+    pub(super) fn reserve_for_waiting(
+        &self,
+        order: QueueOrder,
+        shares: &Shares,
+        forecast: &mut Forecast,
+    ) {
+        let mut reserved = 0;
+        for (_, one) in self.waiting.before(order, shares) {
             let open = self.engines.values().filter(|engine| {
                 let CellEngine { key, .. } = engine.entry;
-                engine.is_open() && !one.without.contains(&key)
+                engine.is_open() && !one.excluded.contains(&key)
             });
             let shares = open.map(|engine| {
                 let share = forecast.peak_share(engine, one.claim);
                 (share, engine.entry.key)
             });
-            let emptiest = shares.min_by(|a, b| a.0.total_cmp(&b.0).then(a.1.cmp(&b.1)));
-            let Some((share, engine)) = emptiest else {
+            let best = shares.min_by(|a, b| a.0.total_cmp(&b.0).then(a.1.cmp(&b.1)));
+            let Some((share, engine)) = best else {
                 continue;
             };
             let fits = share <= one.full_share;
             if !fits {
-                kept += 1;
+                reserved += 1;
             }
-            if fits || kept <= KEPT_FOR {
+            if fits || reserved <= RESERVED_REQUESTS {
                 forecast.reserve(engine, one.claim);
             }
         }
