--- a/crates/gateway/src/stored_circuits.rs
+++ b/crates/gateway/src/stored_circuits.rs
@@ -94,7 +94,7 @@
                 let stored = stored.map(|one| (one.content, one.openings)).collect();
                 let unix_ms = Clock::wall_ms();
                 let circuits = all.items.into_iter().map(|one| told(unix_ms, one));
-                let (old, circuits) = circuits.partition(Circuit::is_forgotten);
+                let (old, circuits) = circuits.partition(Circuit::is_expired);
                 let news = adopt_circuits(self.as_ref(), circuits, "the store");
                 if !news.is_empty() {
                     self.announce(ReplicatedState::Circuits, &news, self.neighbours());
--- a/crates/policy/src/circuit/circuits.rs
+++ b/crates/policy/src/circuit/circuits.rs
@@ -1,65 +1,73 @@
-//! The circuits that a host knows.
+//! The circuits known to a host.
 
 use std::collections::HashMap;
 
 use xxhash_rust::xxh3::xxh3_64;
 
-use crate::circuit::{Admission, Circuit, CircuitState, FORGET_MS, MOST_CRASHES};
+use crate::circuit::{Admission, CIRCUIT_EXPIRY_MS, Circuit, CircuitState, MAX_CRASHES};
 use crate::key::{ContentKey, Millis};
 
-/// Circuits that a host keeps: under 200 kB. Contents that end upstreams are single ones; whoever
-/// writes more of them than this by hand ends an upstream in three tries of each, as before.
-const MOST_CIRCUITS: usize = 1_024;
+/// Maximum number of circuits kept by a host: less than 200 kB. Contents that crash upstreams are
+/// rare; a caller that crafts more of them than this still needs three attempts with each to crash
+/// an upstream.
+const MAX_CIRCUITS: usize = 1_024;
 
 #[derive(Debug, Clone)]
-struct Kept {
-    /// As it was told, with its age then.
+struct Entry {
+    /// As received, with its age at that time.
     circuit: Circuit,
-    told_ms: Millis,
+    received_ms: Millis,
 }
 
-impl Kept {
+impl Entry {
     fn age_ms(&self, now_ms: Millis) -> Millis {
-        let since_ms = now_ms.saturating_sub(self.told_ms);
+        let since_ms = now_ms.saturating_sub(self.received_ms);
         self.circuit.age_ms.saturating_add(since_ms)
     }
 }
 
-/// The circuits that a host knows.
+/// The circuits known to a host.
 #[derive(Debug, Clone, Default)]
 pub struct Circuits {
-    kept: HashMap<ContentKey, Kept>,
+    entries: HashMap<ContentKey, Entry>,
 }
 
 impl Circuits {
-    /// Takes a circuit; true where it is news.
+    /// Adds a received circuit; true if it is new.
     ///
-    /// Two homes may rule on a content at once, and hosts hear of both in any order. The later version
-    /// holds, and of one version the more severe, so all hosts come to hold the same.
+    /// Two homes may decide on a content at once, and hosts receive their decisions in any order.
+    /// The later version wins, and for equal versions the more severe state, which makes all hosts
+    /// converge.
     pub fn adopt(&mut self, now_ms: Millis, mut circuit: Circuit) -> bool {
-        if circuit.is_forgotten() {
+        if circuit.is_expired() {
             return false;
         }
-        // Other writers may leave anything in the store, also a list without end.
-        circuit.crashes.truncate(MOST_CRASHES);
+        // Another writer may have put an unbounded list into the store.
+        circuit.crashes.truncate(MAX_CRASHES);
         let rank = |circuit: &Circuit| (circuit.version, circuit.state);
-        let known = self.kept.get(&circuit.content);
+        let known = self.entries.get(&circuit.content);
         if known.is_some_and(|known| rank(&known.circuit) >= rank(&circuit)) {
             return false;
         }
-        let told_ms = now_ms;
-        self.kept.insert(circuit.content, Kept { circuit, told_ms });
-        self.make_room(now_ms);
+        let received_ms = now_ms;
+        self.entries.insert(
+            circuit.content,
+            Entry {
+                circuit,
+                received_ms,
+            },
+        );
+        self.evict(now_ms);
         true
     }
 
-    /// Whether a request of this content may be sent.
+    /// Whether a request with this content may be sent.
     pub fn admit(&self, now_ms: Millis, content: ContentKey) -> Admission {
-        let Some(kept) = self.kept.get(&content) else {
+        let Some(entry) = self.entries.get(&content) else {
             return Admission::Allowed;
         };
-        let left_ms = kept.circuit.open_ms().saturating_sub(kept.age_ms(now_ms));
-        match kept.circuit.state {
+        let left_ms = entry.circuit.open_ms().saturating_sub(entry.age_ms(now_ms));
+        match entry.circuit.state {
             CircuitState::Closed => Admission::Allowed,
             CircuitState::Open if left_ms > 0 => Admission::Refused {
                 retry_after_ms: left_ms,
@@ -68,37 +76,37 @@
         }
     }
 
-    /// The circuit on a content.
+    /// The circuit of a content.
     pub fn find(&self, content: ContentKey) -> Option<&Circuit> {
-        self.kept.get(&content).map(|kept| &kept.circuit)
+        self.entries.get(&content).map(|entry| &entry.circuit)
     }
 
-    /// All of them, as of now.
+    /// All circuits, with their current age.
     pub fn all(&self, now_ms: Millis) -> Vec<Circuit> {
-        let all = self.kept.values().map(|kept| Circuit {
-            age_ms: kept.age_ms(now_ms),
-            ..kept.circuit.clone()
+        let all = self.entries.values().map(|entry| Circuit {
+            age_ms: entry.age_ms(now_ms),
+            ..entry.circuit.clone()
         });
         all.collect()
     }
 
-    /// Contents that may not run like any other.
+    /// Number of contents whose circuit is not closed.
     pub fn restricted(&self) -> usize {
-        let all = self.kept.values();
-        all.filter(|kept| kept.circuit.state != CircuitState::Closed)
+        let all = self.entries.values();
+        all.filter(|entry| entry.circuit.state != CircuitState::Closed)
             .count()
     }
 
-    /// A hash of them in no order, to tell whether two hosts know the same.
+    /// An order-independent hash of the circuits, to compare what two hosts know.
     pub fn digest(&mut self, now_ms: Millis) -> u64 {
-        self.forget(now_ms);
-        let each = self.kept.values().map(|kept| {
+        self.expire(now_ms);
+        let each = self.entries.values().map(|entry| {
             let Circuit {
                 content,
                 version,
                 state,
                 ..
-            } = &kept.circuit;
+            } = &entry.circuit;
             let mut bytes = content.0.to_le_bytes().to_vec();
             bytes.extend(version.to_le_bytes());
             bytes.push(*state as u8);
@@ -107,22 +115,23 @@
         each.fold(0, |all, one| all ^ one)
     }
 
-    fn forget(&mut self, now_ms: Millis) {
-        self.kept.retain(|_, kept| kept.age_ms(now_ms) < FORGET_MS);
+    fn expire(&mut self, now_ms: Millis) {
+        self.entries
+            .retain(|_, entry| entry.age_ms(now_ms) < CIRCUIT_EXPIRY_MS);
     }
 
-    fn make_room(&mut self, now_ms: Millis) {
-        if self.kept.len() <= MOST_CIRCUITS {
+    fn evict(&mut self, now_ms: Millis) {
+        if self.entries.len() <= MAX_CIRCUITS {
             return;
         }
-        self.forget(now_ms);
-        // The mildest first, then the oldest.
-        let least = self.kept.values().min_by_key(|kept| {
-            let age_ms = kept.age_ms(now_ms);
-            (kept.circuit.state, std::cmp::Reverse(age_ms))
+        self.expire(now_ms);
+        // The least severe first, then the oldest.
+        let evicted = self.entries.values().min_by_key(|entry| {
+            let age_ms = entry.age_ms(now_ms);
+            (entry.circuit.state, std::cmp::Reverse(age_ms))
         });
-        if let Some(content) = least.map(|kept| kept.circuit.content) {
-            self.kept.remove(&content);
+        if let Some(content) = evicted.map(|entry| entry.circuit.content) {
+            self.entries.remove(&content);
         }
     }
 }
--- a/crates/policy/src/circuit/record.rs
+++ b/crates/policy/src/circuit/record.rs
@@ -1,28 +1,29 @@
-//! What the home of a service knows of upstreams that ended, and how it decides on circuits.
+//! Crash reports held by the home of a service, and its decisions on circuits.
 
 use std::collections::HashMap;
 
 use crate::circuit::{
-    Admission, Circuit, CircuitState, Circuits, HALF_OPEN_CRASHES, MOST_CRASHES, OPEN_CRASHES,
+    Admission, Circuit, CircuitState, Circuits, HALF_OPEN_CRASHES, MAX_CRASHES, OPEN_CRASHES,
 };
 use crate::key::{ContentKey, Millis, UpstreamKey};
 
-/// After a crash its home waits so long before it counts it: the reports of one crash come from
-/// several hosts, some after a connection that is not refused but unanswered (250 ms). Counted at
-/// the first report, whoever is reported first would be taken for the cause of the others. Each crash settles by
-/// itself: a caller who comes again sooner than this would put the decision off for as long as he comes.
+/// Delay between the first report of a crash and the decision on it. The reports of one crash come
+/// from several hosts, some after a connection that times out (250 ms) instead of being refused.
+/// Decided at the first report, the first content reported would be taken for the cause of the
+/// others. Each crash settles independently; otherwise a caller that retries faster than this could
+/// postpone the decision indefinitely.
 const SETTLE_MS: Millis = 300;
-/// How long a probe keeps others of its content from running: until its first token and what may
-/// follow it on a crowded engine. Its end lets the next one run sooner.
-const PROBE_MS: Millis = 5_000;
-/// A crash counts for so long. A caller that comes back later is like a new one.
-const CRASH_MS: Millis = 600_000;
-/// Contents that were reported, at most: some 1 MB. The oldest reports yield.
-const MOST_SUSPECTS: usize = 4_096;
-/// Crashes whose cause is known, at most. Reports of a crash come within seconds of it.
-const MOST_EXPLAINED: usize = 1_024;
+/// How long a probe blocks other requests of its content: time for its first token on an overloaded
+/// engine. If it ends earlier, the next one may run.
+const PROBE_TIMEOUT_MS: Millis = 5_000;
+/// How long a crash counts. A caller that returns later is treated as new.
+const CRASH_EXPIRY_MS: Millis = 600_000;
+/// Maximum number of suspected contents: about 1 MB. The oldest reports are evicted.
+const MAX_SUSPECTS: usize = 4_096;
+/// Maximum number of crashes whose cause is known. Reports of a crash arrive within seconds of it.
+const MAX_EXPLAINED: usize = 1_024;
 
-/// An upstream's end, as it was reported for one content.
+/// The crash of an upstream, as reported for one content.
 #[derive(Debug, Clone, Copy)]
 struct Crash {
     upstream: UpstreamKey,
@@ -36,7 +37,7 @@
     }
 }
 
-/// A content that had just begun on upstreams as they ended.
+/// A content that had just started on upstreams when they crashed.
 #[derive(Debug, Clone, Default)]
 struct Suspect {
     crashes: Vec<Crash>,
@@ -52,13 +53,13 @@
         if self.was_on(crash.upstream) {
             return;
         }
-        if self.crashes.len() >= MOST_CRASHES {
+        if self.crashes.len() >= MAX_CRASHES {
             self.crashes.remove(0);
         }
         self.crashes.push(crash);
     }
 
-    /// Whether a crash has settled that was not decided on; it counts as decided on from then on.
+    /// Whether any settled crash has not been evaluated yet; marks them as evaluated.
     fn take_due(&mut self, now_ms: Millis) -> bool {
         let mut is_due = false;
         for crash in &mut self.crashes {
@@ -71,26 +72,26 @@
     }
 }
 
-/// What the home of a service knows of upstreams that ended.
+/// Crash reports of upstreams, as known to the home of a service.
 #[derive(Debug, Clone, Default)]
 pub struct CrashRecord {
     suspects: HashMap<ContentKey, Suspect>,
-    /// Who ended an upstream, where that is known.
+    /// The content that caused a crash, where known.
     explained: HashMap<UpstreamKey, ContentKey>,
-    /// Until when one request of a content may be running.
+    /// Until when a probe of a content may be running.
     probes: HashMap<ContentKey, Millis>,
 }
 
 impl CrashRecord {
-    /// A request of this content had just begun on an upstream that ended.
+    /// Records that a request with this content had just started on an upstream that crashed.
     pub fn report(&mut self, now_ms: Millis, content: ContentKey, upstream: UpstreamKey) {
         let cause = self.explained.get(&upstream);
         if cause.is_some_and(|cause| *cause != content) {
             return;
         }
-        self.make_room(now_ms);
+        self.evict_oldest(now_ms);
         let suspect = self.suspects.entry(content).or_default();
-        if now_ms.saturating_sub(suspect.reported_ms) >= CRASH_MS {
+        if now_ms.saturating_sub(suspect.reported_ms) >= CRASH_EXPIRY_MS {
             suspect.crashes.clear();
         }
         if suspect.was_on(upstream) {
@@ -104,7 +105,7 @@
         suspect.reported_ms = now_ms;
     }
 
-    /// Decides on the contents whose reports have come; `circuits` has taken each of them.
+    /// Decides on contents with settled reports, and adds the new circuits to `circuits`.
     pub fn evaluate(&mut self, now_ms: Millis, circuits: &mut Circuits) -> Vec<Circuit> {
         let suspects = self.suspects.iter_mut();
         let due = suspects.filter_map(|(content, suspect)| {
@@ -113,20 +114,20 @@
         });
         let mut due: Vec<ContentKey> = due.collect();
         due.sort_unstable();
-        let mut made = Vec::new();
+        let mut decisions = Vec::new();
         for content in due {
-            self.decide(now_ms, content, circuits, &mut made);
+            self.decide(now_ms, content, circuits, &mut decisions);
         }
-        made
+        decisions
     }
 
-    /// Whether reports wait to be decided on.
+    /// Whether any reports have not been evaluated.
     pub fn has_unevaluated(&self) -> bool {
         let crashes = self.suspects.values().flat_map(|one| &one.crashes);
         crashes.into_iter().any(|crash| !crash.is_evaluated)
     }
 
-    /// A request of this content was answered whole: it is not what ends upstreams.
+    /// Clears a content after one of its requests has completed: it does not crash upstreams.
     pub fn clear(
         &mut self,
         now_ms: Millis,
@@ -137,14 +138,16 @@
         self.explained.retain(|_, cause| *cause != content);
         if let Some(cleared) = self.suspects.remove(&content) {
             let upstreams = cleared.crashes.iter().map(|crash| crash.upstream);
-            self.evaluate_again(&upstreams.collect::<Vec<_>>(), circuits);
+            self.reevaluate(&upstreams.collect::<Vec<_>>(), circuits);
         }
         close(now_ms, content, circuits)
     }
 
-    /// Who else was on these upstreams is the likelier cause now. One whose circuit is open was taken
-    /// for the cause already: decided on again when it is half-open, it would open for longer for nothing new.
-    fn evaluate_again(&mut self, upstreams: &[UpstreamKey], circuits: &Circuits) {
+    /// Marks the crashes of these upstreams for evaluation again, because the remaining suspects
+    /// are now more likely to be the cause. Contents with an open circuit are skipped: they were
+    /// already taken for the cause, and evaluating the same crashes again when half-open would open
+    /// their circuit for longer.
+    fn reevaluate(&mut self, upstreams: &[UpstreamKey], circuits: &Circuits) {
         let others = self.suspects.iter_mut().filter(|(content, _)| {
             let known = circuits.find(**content);
             known.is_none_or(|known| known.state != CircuitState::Open)
@@ -154,13 +157,13 @@
         }
     }
 
-    /// Whether a request of a content that runs one at a time may be the probe.
+    /// Grants a request of a restricted content as the probe, unless another one is running.
     pub fn grant_probe(&mut self, now_ms: Millis, content: ContentKey) -> bool {
         self.probes.retain(|_, until_ms| now_ms < *until_ms);
         if self.probes.contains_key(&content) {
             return false;
         }
-        self.probes.insert(content, now_ms + PROBE_MS);
+        self.probes.insert(content, now_ms + PROBE_TIMEOUT_MS);
         true
     }
 
@@ -169,14 +172,14 @@
         now_ms: Millis,
         content: ContentKey,
         circuits: &mut Circuits,
-        made: &mut Vec<Circuit>,
+        decisions: &mut Vec<Circuit>,
     ) {
         let Some(crashes) = self.crashes_of(now_ms, content, circuits) else {
             return;
         };
         let known = circuits.find(content).cloned();
         let state = match crashes.len() {
-            count if count >= OPEN_CRASHES && !self.may_be_another(content, &crashes) => {
+            count if count >= OPEN_CRASHES && !self.has_other_suspect(content, &crashes) => {
                 CircuitState::Open
             }
             count if count >= HALF_OPEN_CRASHES => CircuitState::HalfOpen,
@@ -186,7 +189,7 @@
         if state == CircuitState::Open {
             self.explain(content, &crashes);
         }
-        // Requests that were on their way as it opened change nothing.
+        // Crashes by requests that were in flight when the circuit opened change nothing.
         if !is_open && (state == CircuitState::Open || known.as_ref().is_none_or(is_closed)) {
             let restricted = known.as_ref().filter(|known| !is_closed(known));
             let openings = restricted.map_or(0, |known| known.openings);
@@ -199,15 +202,15 @@
                 state,
             };
             circuits.adopt(now_ms, circuit.clone());
-            made.push(circuit);
+            decisions.push(circuit);
         }
         if state == CircuitState::Open {
-            made.extend(self.clear_others(now_ms, content, &crashes, circuits));
+            decisions.extend(self.clear_others(now_ms, content, &crashes, circuits));
         }
     }
 
-    /// The settled, unexplained crashes of a content, with those of its circuit: a home that has just
-    /// become one has only that. `None` where nothing is left.
+    /// The settled, unexplained crashes of a content, including those of its circuit, which are all
+    /// that a new home has. `None` if none are left.
     fn crashes_of(
         &mut self,
         now_ms: Millis,
@@ -227,24 +230,25 @@
         Some(settled.map(|crash| crash.upstream).collect())
     }
 
-    /// Whether another content was on all the same upstreams. Either may be the cause then, as where
-    /// two are sent on to other upstreams in step. Running one at a time tells which.
-    fn may_be_another(&self, content: ContentKey, crashes: &[UpstreamKey]) -> bool {
+    /// Whether another content was on all the same upstreams. Either one may then be the cause, as
+    /// when two requests are retried on other upstreams together. Running one at a time tells them
+    /// apart.
+    fn has_other_suspect(&self, content: ContentKey, crashes: &[UpstreamKey]) -> bool {
         self.suspects.iter().any(|(other, suspect)| {
-            let shares_all = crashes.iter().all(|crash| suspect.was_on(*crash));
-            *other != content && shares_all
+            let is_on_all = crashes.iter().all(|crash| suspect.was_on(*crash));
+            *other != content && is_on_all
         })
     }
 
     fn explain(&mut self, content: ContentKey, crashes: &[UpstreamKey]) {
-        if self.explained.len() + crashes.len() > MOST_EXPLAINED {
+        if self.explained.len() + crashes.len() > MAX_EXPLAINED {
             self.explained.clear();
         }
         let causes = crashes.iter().map(|crash| (*crash, content));
         self.explained.extend(causes);
     }
 
-    /// Takes back what others were suspected of in crashes whose cause is known now.
+    /// Clears other contents of crashes whose cause is now known.
     fn clear_others(
         &mut self,
         now_ms: Millis,
@@ -262,8 +266,8 @@
             suspect
                 .crashes
                 .retain(|crash| !crashes.contains(&crash.upstream));
-            let fell = suspect.crashes.len() < before;
-            if fell && suspect.crashes.len() < HALF_OPEN_CRASHES {
+            let has_removed = suspect.crashes.len() < before;
+            if has_removed && suspect.crashes.len() < HALF_OPEN_CRASHES {
                 cleared.push(*content);
             }
         }
@@ -276,13 +280,13 @@
             .collect()
     }
 
-    fn make_room(&mut self, now_ms: Millis) {
-        if self.suspects.len() < MOST_SUSPECTS {
+    fn evict_oldest(&mut self, now_ms: Millis) {
+        if self.suspects.len() < MAX_SUSPECTS {
             return;
         }
         self.suspects
-            .retain(|_, suspect| now_ms.saturating_sub(suspect.reported_ms) < CRASH_MS);
-        if self.suspects.len() < MOST_SUSPECTS {
+            .retain(|_, suspect| now_ms.saturating_sub(suspect.reported_ms) < CRASH_EXPIRY_MS);
+        if self.suspects.len() < MAX_SUSPECTS {
             return;
         }
         let oldest = self.suspects.iter().min_by_key(|(_, one)| one.reported_ms);
@@ -292,7 +296,7 @@
     }
 }
 
-/// Closes a content's circuit, where it isn't.
+/// Closes a content's circuit unless it is closed.
 fn close(now_ms: Millis, content: ContentKey, circuits: &mut Circuits) -> Option<Circuit> {
     let known = circuits.find(content).filter(|known| !is_closed(known))?;
     let circuit = Circuit {
--- a/crates/policy/src/circuit/restoration.rs
+++ b/crates/policy/src/circuit/restoration.rs
@@ -1,21 +1,21 @@
-//! What of circuits to write anew, and what to remove, in a store that has come back from a copy.
+//! Repairs the stored circuits after the store was restored from a copy.
 
 use std::collections::HashMap;
 
 use super::{Circuit, CircuitState};
 use crate::key::ContentKey;
 
-/// What a store that came back from a copy lacks of circuits, and what it has too much.
+/// Differences between the known circuits and a store that was restored from a copy.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Restoration {
     /// Circuits to write.
     pub write: Vec<Circuit>,
-    /// Contents whose entries to remove: their circuits were closed since the copy.
+    /// Contents whose entries to remove, because their circuits have closed since the copy.
     pub remove: Vec<ContentKey>,
 }
 
 impl Restoration {
-    /// Compares what a host knows with what the store has: how often each stored circuit was opened.
+    /// Compares the circuits known to a host with the number of openings of each stored circuit.
     pub fn of(known: Vec<Circuit>, stored: &HashMap<ContentKey, u32>) -> Self {
         let mut restoration = Self::default();
         for circuit in known {
--- a/crates/policy/src/handover.rs
+++ b/crates/policy/src/handover.rs
@@ -1,61 +1,61 @@
-//! What a host does next with a stream whose generation may be on its way to another engine.
+//! Decides the next step for a stream whose generation may be migrating to another engine.
 //!
-//! Two things go on at once: the engine's stream goes on, ends or breaks, and a carry copies the
-//! generation's memory, stops the generation or finds that it can't. Each may come to its end at any
-//! moment of the other. Looked at one by one, an end that came while the stop was under way was put
-//! aside for the carry to explain, and where the carry then had stopped nothing, nothing was left to
-//! read or to wait for: the caller sat before a whole answer that never ended.
+//! Two processes run concurrently: the engine's stream continues, ends or breaks, and a migration
+//! copies the generation's memory, then stops the generation or fails to. Either may finish at any
+//! point of the other. Handled separately, a stream end during the stop would be left for the
+//! migration to explain; if the migration then had stopped nothing, there would be nothing left to
+//! read or to wait for, and the caller of a complete answer would never see its end.
 //!
-//! So one table holds both, and a stream is always read, waited for, or over.
+//! So one state machine covers both, and a stream is always being read, waited for, or finished.
 
-/// How far a carry is.
+/// The stage of a migration.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 enum Stage {
-    /// There is none.
+    /// No migration is in progress.
     #[default]
     Idle,
-    /// The long copy is under way, and the generation goes on.
+    /// The long copy is in progress, and the generation continues.
     Copying,
-    /// The engine has been told to stop the generation, which ends its stream.
+    /// The engine has been asked to stop the generation, which ends its stream.
     Stopping,
 }
 
-/// How an engine's stream is over.
+/// How an engine's stream ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum StreamEnd {
-    /// As its framing says.
+    /// Properly terminated by its framing.
     Complete,
-    /// Broken off, or its engine is known to be gone.
+    /// Broken off, or its engine is known to have ended.
     Broken,
 }
 
-/// What a carry has come to.
+/// The progress of a migration.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum MigrationStep {
-    /// The long copy is there, and the engine is told to stop the generation.
+    /// The long copy is complete, and the engine is asked to stop the generation.
     Copied,
-    /// The carry is over, and the engine has not stopped the generation.
+    /// The migration is over, and the engine has not stopped the generation.
     NotStopped,
-    /// The carry is over, and the engine has stopped the generation, or may have.
+    /// The migration is over, and the engine has stopped the generation, or may have.
     Stopped,
 }
 
-/// What to do next.
+/// The next step for the stream.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum NextStep {
-    /// Read on.
+    /// Continue reading.
     Read,
-    /// Nothing more is to be read before the carry tells what became of the generation.
+    /// Wait for the outcome of the migration; there is nothing more to read.
     AwaitMigration,
-    /// The answer is whole.
+    /// The answer is complete.
     Finish,
-    /// The generation is lost with its engine: go on from a copy of its memory.
+    /// The generation is lost with its engine: continue from a copy of its memory.
     Recover,
-    /// The generation is stopped: go on from where its memory is.
+    /// The generation is stopped: continue where its memory is.
     Resume,
 }
 
-/// One stream and the carry of its generation.
+/// A stream and the migration of its generation.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Handover {
     stage: Stage,
@@ -63,44 +63,44 @@
 }
 
 impl Handover {
-    /// Whether the engine's stream may still bring something.
+    /// Whether the engine's stream may deliver more.
     pub fn is_stream_open(&self) -> bool {
         self.ended.is_none()
     }
 
-    /// Whether a carry may begin: not beside another, nor when there is nothing left to carry.
+    /// Whether a migration may begin: none is in progress and the stream has not ended.
     pub fn can_begin_migration(&self) -> bool {
         self.stage == Stage::Idle && self.is_stream_open()
     }
 
-    /// A carry begins.
+    /// Records the start of a migration.
     pub fn begin_migration(&mut self) {
         self.stage = Stage::Copying;
     }
 
-    /// The engine's stream is over.
+    /// Records the end of the engine's stream.
     ///
     /// An engine that stops a generation ends its stream, and an answer without a length then looks
-    /// whole. Only the carry can tell the one from the other.
+    /// complete. Only the outcome of the migration distinguishes the two.
     pub fn end_stream(&mut self, end: StreamEnd) -> NextStep {
         self.ended = Some(end);
         if self.stage == Stage::Stopping {
             return NextStep::AwaitMigration;
         }
         self.stage = Stage::Idle;
-        over(end)
+        after_end(end)
     }
 
-    /// The carry has come to something.
+    /// Records the progress of the migration.
     pub fn advance_migration(&mut self, step: MigrationStep) -> NextStep {
         match step {
             MigrationStep::Copied => {
                 self.stage = Stage::Stopping;
-                self.ended.map_or(NextStep::Read, over)
+                self.ended.map_or(NextStep::Read, after_end)
             }
             MigrationStep::NotStopped => {
                 self.stage = Stage::Idle;
-                self.ended.map_or(NextStep::Read, over)
+                self.ended.map_or(NextStep::Read, after_end)
             }
             MigrationStep::Stopped => {
                 self.stage = Stage::Idle;
@@ -109,13 +109,13 @@
         }
     }
 
-    /// Another stream goes on with the generation.
+    /// Resets the state for another stream that continues the generation.
     pub fn restart(&mut self) {
         *self = Self::default();
     }
 }
 
-fn over(end: StreamEnd) -> NextStep {
+fn after_end(end: StreamEnd) -> NextStep {
     match end {
         StreamEnd::Complete => NextStep::Finish,
         StreamEnd::Broken => NextStep::Recover,
