--- a/crates/gateway/src/collection_reader.rs
+++ b/crates/gateway/src/collection_reader.rs
@@ -1,4 +1,4 @@
-//! Follows one collection of the store: a whole list first, then what has changed since.
+//! Reads one collection of the store: first a complete list, then the changes since.
 
 use std::ops::Range;
 use std::sync::Arc;
@@ -12,24 +12,26 @@
 use crate::gateway::Gateway;
 use crate::metadata::{Changes, Collection, Freshness, Snapshot, StoreError};
 
-/// Between two tries while the store is away; drawn anew each time, lest all hosts come at once.
+/// Between two attempts while the store is unavailable; randomised, so that not all hosts call at
+/// once.
 const RETRY_MS: Range<u64> = 150..450;
-/// The same after some tries: each is paid for, and a second of delay after an outage of seconds is
-/// within the time that upstreams need to register again.
-const LATER_RETRY_MS: Range<u64> = 400..900;
-/// Tries before that: a connection that was cut, or a store that turned one call away.
-const SOON_RETRIES: u32 = 3;
+/// The same after [`SHORT_RETRIES`] attempts: each call has a cost, and a delay of a second after an
+/// outage of seconds is within the time that upstreams need to register again.
+const LONG_RETRY_MS: Range<u64> = 400..900;
+/// Attempts with the short delay, for a connection that was cut or a store that rejected a single
+/// call.
+const SHORT_RETRIES: u32 = 3;
 
-/// What the store tells of a collection.
+/// An update of a collection from the store.
 pub(crate) enum StoreUpdate<T> {
-    /// All there is.
+    /// The complete list.
     Snapshot(Snapshot<T>),
-    /// What has changed.
+    /// The changes since a revision.
     Changes(Changes<T>),
 }
 
 impl<T> StoreUpdate<T> {
-    /// The revision that it tells of.
+    /// The revision of the update.
     pub(crate) fn revision(&self) -> Revision {
         match self {
             Self::Snapshot(all) => all.revision,
@@ -38,16 +40,16 @@
     }
 }
 
-/// One collection of the store that this host follows.
+/// A reader of one collection of the store.
 #[derive(Debug)]
 pub(crate) struct CollectionReader {
-    /// What it is called in the log.
+    /// Name in the log.
     what: &'static str,
-    /// What it is called in metrics.
+    /// Name in metrics.
     label: &'static str,
-    /// Calls that have failed since the last that succeeded.
+    /// Failed calls since the last successful one.
     failures: u32,
-    /// Lists that were read since the last watch that succeeded.
+    /// Lists read since the last successful watch.
     lists: u32,
 }
 
@@ -61,7 +63,7 @@
         }
     }
 
-    /// Asks the store for what has changed since a revision, or for all.
+    /// Reads the changes since a revision, or the complete list without one.
     pub(crate) async fn read<T>(
         &mut self,
         gateway: &Gateway,
@@ -69,17 +71,17 @@
         since: Option<Revision>,
         wait: Duration,
     ) -> Result<StoreUpdate<T>, StoreError> {
-        let heard = match since {
+        let update = match since {
             None => source
                 .list(Freshness::Newest)
                 .await
                 .map(StoreUpdate::Snapshot),
             Some(held) => source.watch(held, wait).await.map(StoreUpdate::Changes),
         };
-        let heard = heard.and_then(|heard| self.check(gateway, since, heard));
-        gateway.metrics.store_call(self.label, outcome(&heard));
-        let heard = heard?;
-        match &heard {
+        let update = update.and_then(|update| self.check(gateway, since, update));
+        gateway.metrics.store_call(self.label, outcome(&update));
+        let update = update?;
+        match &update {
             StoreUpdate::Snapshot(all) => {
                 self.lists += 1;
                 gateway.report_unusable_in_list(self.what, all);
@@ -92,17 +94,17 @@
         if std::mem::take(&mut self.failures) > 0 {
             info!("store: {} can be read again", self.what);
         }
-        Ok(heard)
+        Ok(update)
     }
 
-    /// Checks the era of an answer: one number names different states in two eras.
+    /// Checks the era of an answer: one revision number denotes different states in two eras.
     fn check<T>(
         &self,
         gateway: &Gateway,
         since: Option<Revision>,
-        heard: StoreUpdate<T>,
+        update: StoreUpdate<T>,
     ) -> Result<StoreUpdate<T>, StoreError> {
-        let revision = heard.revision();
+        let revision = update.revision();
         gateway.observe_era(revision, format_args!("the store with {}", self.what));
         match (since, gateway.store_era.latest()) {
             (None, Some(latest)) if revision.era < latest => Err(StoreError::StaleEra {
@@ -113,17 +115,17 @@
                 known: held,
                 received: revision,
             }),
-            _ => Ok(heard),
+            _ => Ok(update),
         }
     }
 
-    /// After a failed call: tells of it, and waits before the next. All is to be read anew then, as
-    /// after an outage a list tells more than a watch from an old revision.
+    /// Logs a failed call and waits before the next one. The collection has to be listed anew then,
+    /// as after an outage a list shows more than a watch from an old revision.
     pub(crate) async fn handle_failure(&mut self, gateway: &Arc<Gateway>, error: &StoreError) {
         if !error.is_outage() {
             info!("store: {} to be read anew: {error}", self.what);
             if self.lists > 1 {
-                // The list before was no use either.
+                // The previous list did not allow a watch either.
                 pause(self.lists).await;
             }
             return;
@@ -138,19 +140,19 @@
     }
 }
 
-/// Waits before the next try after so many failures.
+/// Waits before the next attempt after this many failures.
 async fn pause(failures: u32) {
-    let range = match failures <= SOON_RETRIES {
+    let range = match failures <= SHORT_RETRIES {
         true => RETRY_MS,
-        false => LATER_RETRY_MS,
+        false => LONG_RETRY_MS,
     };
     let pause_ms = rand::rng().random_range(range);
     sleep(Duration::from_millis(pause_ms)).await;
 }
 
-/// A call's outcome on metrics.
-pub(crate) fn outcome<T>(heard: &Result<T, StoreError>) -> &'static str {
-    match heard {
+/// The metric label for the outcome of a call.
+pub(crate) fn outcome<T>(update: &Result<T, StoreError>) -> &'static str {
+    match update {
         Ok(_) => "ok",
         Err(StoreError::HistoryGone { .. }) => "history_gone",
         Err(StoreError::EraChanged { .. }) => "other_era",
--- a/crates/gateway/src/dissemination.rs
+++ b/crates/gateway/src/dissemination.rs
@@ -1,10 +1,11 @@
-//! How what every host holds gets from a few watchers to all.
+//! Disseminates replicated state from a few watchers to all hosts.
 //!
-//! A host in each area (a data centre, or several small ones) watches the store, and so does the home
-//! of each cell, which must hear of a leaving engine at once. A watcher passes its news on to its
-//! area along a tree, so no host sends more than a few copies whatever the fleet's size. What a dead host in
-//! the tree keeps from others they find by the versions in the next pings. Watching everywhere would cost a
-//! waiting call a host and one more for each change.
+//! One host in each area (a data centre, or several small ones) watches the store, and so does the
+//! home of each cell, which must learn of a leaving engine at once. A watcher sends its updates to
+//! its area along a tree, so no host sends more than a few copies whatever the size of the fleet.
+//! Hosts that miss an update because of a dead host in the tree detect it by the versions in the
+//! next pings. A watch on every host would cost one waiting call per host, and another one for each
+//! change.
 
 use std::collections::{BTreeMap, HashMap};
 use std::net::SocketAddr;
@@ -27,23 +28,24 @@
 use crate::gateway::Gateway;
 use crate::store_sync::log_store_restored;
 
-/// A host that can't read the store says so again with each failed call; silence ends it.
-const BLIND_MS: Millis = 2_500;
-/// Between two such words of one host.
-const BLIND_AGAIN_MS: Millis = 400;
-/// Changes of the upstreams that come within this time are passed on together; a leaving upstream
-/// may get requests for two seconds.
+/// A host without store access repeats its announcement with each failed call; without a repeat
+/// within this time it counts as having access again.
+const STORE_UNREADABLE_TTL_MS: Millis = 2_500;
+/// Minimum time between two such announcements of one host.
+const STORE_UNREADABLE_INTERVAL_MS: Millis = 400;
+/// Changes of the upstreams within this time are announced together; a leaving upstream may get
+/// requests for two seconds.
 const ANNOUNCE_DELAY: Duration = Duration::from_millis(100);
 
-/// What this host has passed on, and what it has heard of the store from others.
+/// What this host has announced, and what other hosts have announced about their store access.
 #[derive(Debug, Default)]
 pub(crate) struct Dissemination {
-    /// The revision of the upstreams up to which this host has passed them on.
+    /// The revision up to which this host has announced the upstreams.
     announced: Mutex<Revision>,
-    /// Hosts of this area that can't read the store, and until when that is believed.
-    blind: Mutex<HashMap<HostKey, Millis>>,
-    told_blind_ms: Mutex<Millis>,
-    /// What has changed of the upstreams will be passed on in a moment.
+    /// Hosts of this area without store access, and until when that holds.
+    unreadable: Mutex<HashMap<HostKey, Millis>>,
+    unreadable_announced_ms: Mutex<Millis>,
+    /// Whether an announcement of the upstreams is scheduled.
     is_announcing: AtomicBool,
 }
 
@@ -53,7 +55,7 @@
         self.is_watcher() || (self.may_watch() && self.is_home_of_any_cell())
     }
 
-    /// Whether this host knows enough of the others to tell who watches.
+    /// Whether this host knows enough of the others to determine the watchers.
     fn may_watch(&self) -> bool {
         let now_ms = self.clock.now_ms();
         self.fleet.join.lock().may_watch(now_ms)
@@ -65,21 +67,23 @@
             return false;
         }
         let now_ms = self.clock.now_ms();
-        let blind = self.dissemination.blind.lock().clone();
+        let unreadable = self.dissemination.unreadable.lock().clone();
         let members = self.fleet.members.lock();
         let me = members.own_key();
         let area = self.area(&members);
-        let near = members
+        let in_area = members
             .homes()
             .filter(|(key, note)| *key != me && area.contains(&note.data_centre));
-        let others = near.map(|(key, _)| WatchCandidate {
+        let others = in_area.map(|(key, _)| WatchCandidate {
             rank: key.0,
-            is_blind: blind.get(&key).is_some_and(|until_ms| now_ms < *until_ms),
+            is_blind: unreadable
+                .get(&key)
+                .is_some_and(|until_ms| now_ms < *until_ms),
         });
         area.is_watcher(me.0, others)
     }
 
-    /// The data centres that this host's news come from and go to.
+    /// The data centres with which this host exchanges updates.
     fn area(&self, members: &Members) -> WatchArea {
         let mut hosts: BTreeMap<String, usize> = BTreeMap::new();
         for (_, note) in members.homes() {
@@ -88,48 +92,48 @@
         WatchArea::of(&self.settings.host.data_centre, &hosts)
     }
 
-    /// Tells this area that this host can't read the store.
+    /// Announces to this area that this host can't read the store.
     pub(crate) fn announce_store_unreadable(self: &Arc<Self>) {
         let now_ms = self.clock.now_ms();
         {
-            let mut told_ms = self.dissemination.told_blind_ms.lock();
-            if now_ms.saturating_sub(*told_ms) < BLIND_AGAIN_MS {
+            let mut announced_ms = self.dissemination.unreadable_announced_ms.lock();
+            if now_ms.saturating_sub(*announced_ms) < STORE_UNREADABLE_INTERVAL_MS {
                 return;
             }
-            *told_ms = now_ms;
+            *announced_ms = now_ms;
         }
         self.announce(
             ReplicatedState::StoreUnreadable,
             &self.host_key(),
-            self.neighbours(),
+            self.area_branches(),
         );
     }
 
     fn handle_store_unreadable(&self, value: &[u8]) -> Result<(), EncodingError> {
         let host: HostKey = decode(ReplicatedState::StoreUnreadable, value)?;
-        let until_ms = self.clock.now_ms() + BLIND_MS;
-        self.dissemination.blind.lock().insert(host, until_ms);
+        let until_ms = self.clock.now_ms() + STORE_UNREADABLE_TTL_MS;
+        self.dissemination.unreadable.lock().insert(host, until_ms);
         Ok(())
     }
 
-    /// Passes on a configuration that the store has told this host.
+    /// Announces a configuration that this host has read from the store.
     pub(crate) fn announce_configuration(self: &Arc<Self>) {
         let Some(held) = self.in_force() else { return };
         if self.is_watcher() {
-            let area = self.neighbours();
+            let area = self.area_branches();
             self.announce(ReplicatedState::Configuration, &held.configuration, area);
         }
     }
 
-    /// This host reads the upstreams anew, to pass on from then on what has changed since.
+    /// Marks the present revision as announced, before this host reads the upstreams anew.
     pub(crate) fn reset_announced_revision(&self) {
         let held = self.roster.lock().revision();
         *self.dissemination.announced.lock() = held;
     }
 
-    /// Passes on what has changed of the upstreams, with all that changes within a moment.
+    /// Announces changes of the upstreams, together with all that follow within [`ANNOUNCE_DELAY`].
     ///
-    /// The home of a cell takes each change as it comes. Passed on one by one, hundreds a second
+    /// The home of a cell reads each change separately. Announced one by one, hundreds a second
     /// would each be a message to every host.
     pub(crate) fn schedule_directory_announcement(self: &Arc<Self>) {
         if self
@@ -163,49 +167,49 @@
             }
             roster.change_since(before)
         };
-        self.announce(ReplicatedState::Upstreams, &change, self.neighbours());
+        self.announce(ReplicatedState::Upstreams, &change, self.area_branches());
     }
 
-    /// Tells an audience, over a few of it.
+    /// Sends an update to an audience along its branches.
     pub(crate) fn announce<T: Serialize>(
         self: &Arc<Self>,
         holding: ReplicatedState,
-        news: &T,
+        update: &T,
         audience: Vec<Vec<SocketAddr>>,
     ) {
-        match encode(holding, news) {
-            Ok(value) => self.pass_on(holding, &value, audience),
-            Err(error) => warn!("spread: could not write news: {error}"),
+        match encode(holding, update) {
+            Ok(value) => self.send_to_branches(holding, &value, audience),
+            Err(error) => warn!("spread: could not encode an update: {error}"),
         }
     }
 
     /// The other hosts of this area, in branches.
-    pub(crate) fn neighbours(&self) -> Vec<Vec<SocketAddr>> {
+    pub(crate) fn area_branches(&self) -> Vec<Vec<SocketAddr>> {
         let area = self.area(&self.fleet.members.lock());
         self.audience(|data_centre| area.contains(data_centre))
     }
 
     /// All other hosts, in branches.
-    pub(crate) fn everybody(&self) -> Vec<Vec<SocketAddr>> {
+    pub(crate) fn all_branches(&self) -> Vec<Vec<SocketAddr>> {
         self.audience(|_| true)
     }
 
-    fn audience(&self, hears: impl Fn(&str) -> bool) -> Vec<Vec<SocketAddr>> {
+    fn audience(&self, includes: impl Fn(&str) -> bool) -> Vec<Vec<SocketAddr>> {
         let members = self.fleet.members.lock();
         let me = members.own_key();
-        let listeners = members
+        let recipients = members
             .homes()
-            .filter(|(key, note)| *key != me && hears(&note.data_centre));
-        let listeners = listeners.map(|(key, note)| Listener {
+            .filter(|(key, note)| *key != me && includes(&note.data_centre));
+        let recipients = recipients.map(|(key, note)| Listener {
             data_centre: note.data_centre.as_str(),
             rank: key.0,
             address: note.address,
         });
-        branches(&self.settings.host.data_centre, listeners)
+        branches(&self.settings.host.data_centre, recipients)
     }
 
-    /// Sends news to the first of each branch, with the rest of it to pass them on to.
-    fn pass_on(
+    /// Sends an update to the first host of each branch, which forwards it to the rest.
+    fn send_to_branches(
         self: &Arc<Self>,
         holding: ReplicatedState,
         value: &[u8],
@@ -217,15 +221,17 @@
             };
             let (gateway, first, rest) = (self.clone(), *first, rest.to_vec());
             let value = value.to_vec();
-            tokio::spawn(async move { gateway.tell(first, holding, value, rest).await });
+            tokio::spawn(
+                async move { gateway.send_announcement(first, holding, value, rest).await },
+            );
         }
     }
 
-    /// Tells one host, or in its place the rest of its branch.
+    /// Sends an update to one host, or to the rest of its branch if that host does not answer.
     ///
-    /// Hosts die many at once, and each is still believed present for some seconds. Left there, the
-    /// news of a leaving upstream would reach the rest of the branch only by its pings.
-    async fn tell(
+    /// Many hosts may die at once, and each is considered present for some more seconds. Without
+    /// this fallback a leaving upstream would become known in the rest of the branch only by pings.
+    async fn send_announcement(
         self: Arc<Self>,
         host: SocketAddr,
         holding: ReplicatedState,
@@ -241,19 +247,21 @@
             client.announce(context, announcement).await
         };
         if let Err(error) = self.fleet.peers.call(host, call).await {
-            warn!("spread: news went around a host: {error}");
-            self.pass_on(holding, &value, parts(&rest));
+            warn!(
+                "spread: a host does not answer, its branch is sent the update directly: {error}"
+            );
+            self.send_to_branches(holding, &value, parts(&rest));
         }
     }
 
-    /// Takes news and passes it on.
+    /// Applies an announcement and forwards it.
     pub(crate) fn handle_announcement(self: &Arc<Self>, announcement: Announcement) {
         let Announcement {
             holding,
             value,
             audience,
         } = announcement;
-        let taken = match holding {
+        let applied = match holding {
             ReplicatedState::Configuration => self.handle_configuration(&value),
             ReplicatedState::Upstreams => self.handle_directory_change(&value),
             ReplicatedState::StoreUnreadable => self.handle_store_unreadable(&value),
@@ -261,16 +269,16 @@
             ReplicatedState::Circuits => self.handle_circuits(&value),
             ReplicatedState::Evacuations => self.handle_evacuations(&value),
         };
-        if let Err(error) = taken {
-            warn!("spread: could not read news: {error}");
+        if let Err(error) = applied {
+            warn!("spread: could not decode an update: {error}");
             return;
         }
-        self.pass_on(holding, &value, parts(&audience));
+        self.send_to_branches(holding, &value, parts(&audience));
     }
 
     fn handle_members(&self, value: &[u8]) -> Result<(), EncodingError> {
-        let news: Vec<Rumour> = decode(ReplicatedState::Members, value)?;
-        self.merge_rumours(&news);
+        let update: Vec<Rumour> = decode(ReplicatedState::Members, value)?;
+        self.merge_rumours(&update);
         Ok(())
     }
 
--- a/crates/gateway/src/evacuations.rs
+++ b/crates/gateway/src/evacuations.rs
@@ -139,7 +139,7 @@
     /// Passes on what the store has told this host.
     fn announce_evacuations(self: &Arc<Self>) {
         let state = self.evacuations.lock().state(self.clock.now_ms());
-        self.announce(ReplicatedState::Evacuations, &state, self.neighbours());
+        self.announce(ReplicatedState::Evacuations, &state, self.area_branches());
     }
 }
 
--- a/crates/gateway/src/fleet.rs
+++ b/crates/gateway/src/fleet.rs
@@ -1,7 +1,8 @@
-//! The other hosts: who is there, and what they know that this host doesn't.
+//! Tracks the other hosts, and fetches the state that they hold in a later version.
 //!
-//! Who is alive is told by pings alone, since nothing of ours expires in the store by itself. A ping
-//! compares versions of what all hosts hold, so a host that the store turns away follows its peers.
+//! Liveness is determined by pings alone, since no entry of a host expires in the store by itself.
+//! A ping compares the versions of all replicated state, so a host without store access is updated
+//! by its peers.
 
 use std::collections::HashSet;
 use std::net::SocketAddr;
@@ -30,42 +31,44 @@
 use crate::join::JoiningHosts;
 use crate::presence_log::PresenceLog;
 
-/// Between two pings. Each goes to one member, so a host's share doesn't grow with the fleet.
+/// Between two pings. Each goes to one member, so a host's share does not grow with the size of the
+/// fleet.
 const PING_PERIOD: Duration = Duration::from_millis(250);
-/// A peer that holds a later revision of the upstreams has to hold it for so long before it is
-/// asked: the store's own answer is mostly on its way. Within the time that a leaving upstream may
-/// still get requests.
-const BEHIND_MS: Millis = 300;
+/// A peer has to hold a later revision of the upstreams for this long before it is asked: the
+/// store's own answer is usually on its way. The delay is within the time in which a leaving
+/// upstream may still get requests.
+const FETCH_DELAY_MS: Millis = 300;
 
-/// A host that no other has spoken to for so long may be cut off: some pings each way are due in it.
-const TOUCH_MS: Millis = 1_000;
+/// A host without contact for this long may be partitioned: several pings in each direction are due
+/// within it.
+const CONTACT_TIMEOUT_MS: Millis = 1_000;
 
-/// What this host knows of the others.
+/// This host's view of the other hosts.
 pub(crate) struct Fleet {
     pub(crate) members: Mutex<Members>,
     pub(crate) peers: Peers<GatewayPeerClient>,
-    /// How far this host has come since its start.
+    /// This host's progress in joining the fleet.
     pub(crate) join: Mutex<Join>,
     pub(crate) joining: JoiningHosts,
-    /// How far this host's list of upstreams is behind its peers'.
+    /// How far this host's list of upstreams is behind that of its peers.
     lag: Mutex<Lag>,
     drift: Mutex<Drift>,
     presence: Mutex<PresenceLog>,
-    /// What is being fetched from a peer now.
+    /// State that is being fetched from a peer.
     fetching: Mutex<HashSet<ReplicatedState>>,
-    /// This start of the host has ever written its entry.
+    /// Whether this start of the host has ever written its entry.
     has_written_entry: AtomicBool,
     has_entry: AtomicBool,
-    /// When another host last answered or asked.
+    /// Time of the last ping or answer from another host.
     last_contact_ms: AtomicU64,
 }
 
 impl Fleet {
-    /// A fleet of this host alone.
+    /// Creates a fleet of this host alone.
     ///
-    /// The name is unique to this start. A host that starts again is a new member and the old one
-    /// dies by not answering; were it the same member, only a clock could tell which start a rumour
-    /// is about, and clocks jump.
+    /// The name is unique to this start. A restarted host is a new member, and the previous one is
+    /// declared dead by not answering. If both were the same member, only a clock could tell which
+    /// start a rumour is about, and clocks jump.
     pub(crate) fn new(now_ms: Millis, host: &HostRegistration, has_seeds: bool) -> Self {
         let start: u64 = rand::random();
         let note = MemberInfo {
@@ -93,34 +96,33 @@
         self.has_written_entry.load(Ordering::Relaxed)
     }
 
-    /// Whether the store has that entry.
+    /// Whether the store has the entry.
     pub(crate) fn has_entry(&self) -> bool {
         self.has_entry.load(Ordering::Relaxed)
     }
 
-    /// The entry is written.
     pub(crate) fn mark_entry_written(&self) {
         self.has_written_entry.store(true, Ordering::Relaxed);
         self.has_entry.store(true, Ordering::Relaxed);
     }
 
-    /// The store has come back from a copy, which may lack the entry.
+    /// Records that the store was restored from a backup, which may lack the entry.
     pub(crate) fn mark_entry_lost(&self) {
         self.has_entry.store(false, Ordering::Relaxed);
     }
 
-    /// Whether what this host believes of the others is likely true: it has spoken to one just now, or
-    /// has never met any.
+    /// Whether this host's view of the others is likely to be right: it had contact with one
+    /// recently, or has never met any.
     pub(crate) fn has_recent_contact(&self, now_ms: Millis) -> bool {
         let join = *self.join.lock();
         if !join.has_met() {
             return join.may_watch(now_ms);
         }
         let last_contact_ms = self.last_contact_ms.load(Ordering::Relaxed);
-        join.may_watch(now_ms) && now_ms.saturating_sub(last_contact_ms) < TOUCH_MS
+        join.may_watch(now_ms) && now_ms.saturating_sub(last_contact_ms) < CONTACT_TIMEOUT_MS
     }
 
-    /// Hosts that are believed present, this one with them.
+    /// Number of hosts that are considered present, this one included.
     pub(crate) fn host_count(&self) -> usize {
         self.members.lock().present().count()
     }
@@ -135,7 +137,7 @@
         (ping, MembersDigest(members.digest()))
     }
 
-    /// The line on who has come and who is gone, where one is due.
+    /// Returns the log line on joined and departed hosts when one is due.
     fn presence_line(&self, now_ms: Millis) -> Option<String> {
         let present = {
             let members = self.members.lock();
@@ -158,7 +160,7 @@
         }
     }
 
-    /// Pings an address, and takes what its host holds in a later version.
+    /// Pings an address, and fetches state that its host holds in a later version.
     pub(crate) async fn ping_address(self: &Arc<Self>, address: SocketAddr) {
         let (ping, digest) = self.fleet.ping_message(self.versions());
         if let Some((pong, theirs)) = self.send_ping(address, ping, digest).await {
@@ -190,7 +192,7 @@
         match self.send_ping(target.address, ping, digest).await {
             Some((pong, theirs)) => {
                 if pong.from.member.name != target.name {
-                    // The address is in use again: the start that had it before is gone.
+                    // Another start uses the address: the previous one has ended.
                     self.mark_dead(&target);
                 }
                 self.handle_pong(target.address, pong, theirs).await;
@@ -243,16 +245,16 @@
         }
     }
 
-    /// Takes what reaches every member on another way than by rumours.
-    pub(crate) fn merge_rumours(&self, news: &[Rumour]) {
+    /// Merges rumours that reach every member by other means than pings.
+    pub(crate) fn merge_rumours(&self, rumours: &[Rumour]) {
         let now_ms = self.clock.now_ms();
         let mut members = self.fleet.members.lock();
-        for rumour in news {
+        for rumour in rumours {
             members.apply_unrelayed(now_ms, rumour.clone());
         }
     }
 
-    /// Answers a ping, and learns from it.
+    /// Applies a ping and answers it.
     pub(crate) fn handle_ping(
         self: &Arc<Self>,
         ping: Ping,
@@ -272,9 +274,9 @@
         (pong, digest)
     }
 
-    /// Fetches what a peer holds in a later version.
+    /// Fetches state that a peer holds in a later version.
     async fn fetch_newer(&self, peer: SocketAddr, theirs: Versions, members: MembersDigest) {
-        // Before the configuration, with which a host begins to serve.
+        // Evacuations come before the configuration, with which a host begins to serve.
         if self.evacuations.lock().is_behind(theirs.evacuations) {
             self.fetch_evacuations(peer).await;
         }
@@ -302,7 +304,7 @@
         drift.hear(self.clock.now_ms(), own == theirs.0)
     }
 
-    /// Exchanges all beliefs of members with a peer; true where it answered.
+    /// Exchanges the complete member lists with a peer; returns whether it answered.
     pub(crate) async fn exchange_members(&self, peer: SocketAddr) -> bool {
         let beliefs = self.fleet.members.lock().snapshot();
         let call = |client: GatewayPeerClient, context| async move {
@@ -320,19 +322,19 @@
         }
     }
 
-    /// Answers a peer's beliefs of members with this host's.
+    /// Merges a peer's member list and answers with this host's.
     pub(crate) fn handle_member_exchange(&self, theirs: &[Rumour]) -> Vec<Rumour> {
         let beliefs = self.fleet.members.lock().snapshot();
         self.merge_rumours(theirs);
         beliefs
     }
 
-    /// Whether this host has missed news of the upstreams that a peer has.
+    /// Whether this host lacks changes of the upstreams that a peer has.
     fn is_behind(&self, theirs: Revision) -> bool {
         let now_ms = self.clock.now_ms();
         let own = self.roster.lock().revision();
         let mut lag = self.fleet.lag.lock();
-        lag.hear(now_ms, own, theirs, Directory::PROVISIONAL, BEHIND_MS)
+        lag.hear(now_ms, own, theirs, Directory::PROVISIONAL, FETCH_DELAY_MS)
     }
 
     async fn fetch_configuration(&self, peer: SocketAddr) -> Option<Configuration> {
@@ -361,8 +363,8 @@
         self.fetch(peer, ReplicatedState::Upstreams, call).await
     }
 
-    /// Asks a peer for what it holds, unless that is being asked of another one: pings of several
-    /// that are ahead come within the time that one answer takes.
+    /// Fetches state from a peer, unless it is being fetched from another one: pings of several
+    /// peers with later versions arrive within the time that one answer takes.
     async fn fetch<T, F>(
         &self,
         peer: SocketAddr,
@@ -381,7 +383,7 @@
         match decode(holding, &value.ok()?) {
             Ok(held) => Some(held),
             Err(error) => {
-                warn!("fleet: could not read what {peer} holds: {error}");
+                warn!("fleet: could not decode the state of {peer}: {error}");
                 None
             }
         }
--- a/crates/gateway/src/join.rs
+++ b/crates/gateway/src/join.rs
@@ -1,9 +1,10 @@
-//! How this host finds the others, and stays findable for those that start later.
+//! Finds the other hosts, and keeps this host discoverable for hosts that start later.
 //!
-//! A host that starts asks one of the settings' seeds, which announces it to all; what all hold it
-//! takes from another member, drawn anew by each, lest the seeds send everything to everybody. The
-//! store names hosts for the case that every seed is gone. The few hosts that watch the store keep
-//! an entry there, so that a start costs the store nothing and some live host can always be found.
+//! A starting host contacts one of the seeds from the settings, which announces it to all hosts. It
+//! fetches the replicated state from another member, which each host draws at random; otherwise the
+//! seeds would have to send everything to everybody. The store names hosts for the case that all
+//! seeds are gone. The few hosts that watch the store keep an entry there, so a start costs the
+//! store nothing and some live host can always be found.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -22,48 +23,48 @@
 use crate::gateway::Gateway;
 use crate::metadata::Freshness;
 
-/// After so long without an answer the next seed is asked as well.
+/// The next seed is contacted as well after this long without an answer.
 const NEXT_SEED_DELAY: Duration = Duration::from_millis(120);
-/// Between two tries to meet any other host.
-const MEET_PERIOD: Duration = Duration::from_millis(50);
-/// Between two tries to write or read the hosts' entries.
+/// Between two attempts to contact another host.
+const CONTACT_PERIOD: Duration = Duration::from_millis(50);
+/// Between two attempts to write or read the hosts' entries.
 const ENTRY_PERIOD: Duration = Duration::from_millis(1_500);
 /// How often a host that knows no other reads the entries again.
-const LONELY_PERIOD: Duration = Duration::from_secs(10);
-/// Between two looks of a watcher at the entries: how long a part of the fleet that knows nothing of
-/// the rest may stay so.
+const NO_HOSTS_PERIOD: Duration = Duration::from_secs(10);
+/// Between two checks of the entries by a watcher: how long a separated part of the fleet may stay
+/// unaware of the rest.
 const ENTRY_CHECK_PERIOD: Duration = Duration::from_secs(5);
-/// Members that a joining_host is told of, those of its own data centre first. With a tenth of them gone it
-/// is all but sure to reach one.
-const SAMPLE: usize = 8;
-/// Members asked for what all hold, one after the other, until one answers.
-const TELLERS: usize = 3;
-/// Hosts of the store's entries that are spoken to at once.
-const NAMED: usize = 3;
-/// JoiningHosts of this time are announced together: all hosts start within 0.3 s, and each
-/// announcement is a message to everybody.
+/// Members named to a joining host, those of its own data centre first. With a tenth of them gone
+/// it is almost certain to reach one.
+const SAMPLE_SIZE: usize = 8;
+/// Members asked for the replicated state, one after the other, until one answers.
+const MAX_SYNC_PEERS: usize = 3;
+/// Hosts from the store's entries that are contacted at once.
+const MAX_CONTACTED_ENTRIES: usize = 3;
+/// Hosts that join within this time are announced together: all hosts start within 0.3 s, and each
+/// announcement is a message to every host.
 const ANNOUNCE_DELAY: Duration = Duration::from_millis(50);
 
-/// JoiningHosts that this host is to announce.
+/// Joining hosts that this host has yet to announce.
 #[derive(Debug, Default)]
 pub(crate) struct JoiningHosts {
     waiting: Mutex<Vec<Rumour>>,
 }
 
 impl Gateway {
-    /// Meets the other hosts, and from then on keeps what the store says of hosts true.
+    /// Contacts the other hosts, and from then on keeps the hosts' entries in the store up to date.
     pub(crate) async fn join_fleet(self: Arc<Self>, seeds: Vec<SocketAddr>) {
         tokio::spawn(self.clone().ping_members());
         let own = self.settings.host.address;
         let seeds: Vec<SocketAddr> = seeds.into_iter().filter(|seed| *seed != own).collect();
-        while !self.meet_any(&seeds).await {
+        while !self.contact_any(&seeds).await {
             let period = match self.is_lonely() {
                 true => self.discover_from_store().await,
-                false => MEET_PERIOD,
+                false => CONTACT_PERIOD,
             };
             sleep(period).await;
             if self.fleet.host_count() > 1 {
-                // Others have found this host.
+                // Other hosts have found this one.
                 self.fleet.join.lock().meet(self.clock.now_ms());
                 break;
             }
@@ -75,8 +76,8 @@
         self.fleet.join.lock().is_lonely(self.clock.now_ms())
     }
 
-    /// Makes this host known at one of the addresses; true where one answered.
-    async fn meet_any(self: &Arc<Self>, addresses: &[SocketAddr]) -> bool {
+    /// Introduces this host to one of the addresses; returns whether one answered.
+    async fn contact_any(self: &Arc<Self>, addresses: &[SocketAddr]) -> bool {
         let mut order = addresses.to_vec();
         order.shuffle(&mut rand::rng());
         let sample = self.introduce(order).await;
@@ -91,14 +92,15 @@
         true
     }
 
-    /// The first answer to an introduction; the next address is tried where one is slow or fails.
+    /// Returns the first answer to an introduction; the next address is contacted if one is slow or
+    /// fails.
     async fn introduce(self: &Arc<Self>, addresses: Vec<SocketAddr>) -> Option<Vec<Rumour>> {
         let (answers, mut answered) = mpsc::channel(addresses.len().max(1));
         for address in addresses {
             let (gateway, answers) = (self.clone(), answers.clone());
             tokio::spawn(async move {
                 let sample = gateway.introduce_to(address).await;
-                // Nobody waits for it where another one was first.
+                // Another answer came first if nobody receives this one.
                 let _ = answers.send(sample).await;
             });
             let waited = tokio::time::timeout(NEXT_SEED_DELAY, answered.recv()).await;
@@ -122,13 +124,13 @@
         self.fleet.peers.call(address, call).await.ok()
     }
 
-    /// Takes what all hold from one of a few members.
+    /// Fetches the replicated state from one of a few members.
     async fn sync_with_any(self: &Arc<Self>, mut sample: Vec<Rumour>) {
         self.merge_rumours(&sample);
         let own = self.host_key();
         sample.retain(|one| HostKey::of(&one.member.name) != own);
-        for teller in sample.into_iter().take(TELLERS) {
-            let address = teller.member.address;
+        for peer in sample.into_iter().take(MAX_SYNC_PEERS) {
+            let address = peer.member.address;
             if self.exchange_members(address).await {
                 self.ping_address(address).await;
                 return;
@@ -136,18 +138,18 @@
         }
     }
 
-    /// Answers a joining_host, and has all others hear of it.
+    /// Answers a joining host with a sample of members, and announces it to all others.
     pub(crate) fn handle_join(self: &Arc<Self>, joining_host: Rumour) -> Vec<Rumour> {
         let now_ms = self.clock.now_ms();
-        let (is_news, sample) = {
+        let (is_new, sample) = {
             let mut members = self.fleet.members.lock();
-            let is_news = members.apply_unrelayed(now_ms, joining_host.clone());
+            let is_new = members.apply_unrelayed(now_ms, joining_host.clone());
             (
-                is_news,
-                members.sample(&joining_host.member, rand::random(), SAMPLE),
+                is_new,
+                members.sample(&joining_host.member, rand::random(), SAMPLE_SIZE),
             )
         };
-        if is_news {
+        if is_new {
             self.schedule_join_announcement(joining_host);
         }
         sample
@@ -170,7 +172,7 @@
         });
     }
 
-    /// Tells all that this host leaves, and removes its entry.
+    /// Announces to all hosts that this one leaves, and removes its entry.
     pub(crate) async fn leave_fleet(self: &Arc<Self>) {
         let me = {
             let mut members = self.fleet.members.lock();
@@ -184,46 +186,48 @@
         }
     }
 
-    fn announce_members(self: &Arc<Self>, news: &[Rumour]) {
-        self.announce(ReplicatedState::Members, &news, self.everybody());
+    fn announce_members(self: &Arc<Self>, rumours: &[Rumour]) {
+        self.announce(ReplicatedState::Members, &rumours, self.all_branches());
     }
 
-    /// Tells all hosts of all that are known, where two parts of the fleet have just met by one host each.
-    /// By pings alone some would place for seconds more as if the other part weren't there.
+    /// Announces all known members to all hosts, after two parts of the fleet have met through one
+    /// host each. By pings alone some hosts would ignore the other part in placements for some
+    /// seconds more.
     fn announce_all_known(self: &Arc<Self>) {
         let known = self.fleet.members.lock().snapshot();
         self.announce_members(&known);
     }
 
-    /// Writes this host's entry and speaks to others that have one; how long to wait then.
+    /// Writes this host's entry and contacts hosts that have one; returns how long to wait after
+    /// that.
     async fn discover_from_store(self: &Arc<Self>) -> Duration {
         if !self.write_entry().await {
             return ENTRY_PERIOD;
         }
-        // Of two hosts that do this at once, the one that writes later reads both entries, if what
-        // it reads isn't old.
-        let Some(others) = self.named_hosts(Freshness::Newest).await else {
+        // If two hosts do this at once, the one that writes later reads both entries, provided that
+        // its read is not stale.
+        let Some(others) = self.listed_hosts(Freshness::Newest).await else {
             return ENTRY_PERIOD;
         };
         if others.is_empty() {
             self.fleet.join.lock().find_nobody();
-            return LONELY_PERIOD;
+            return NO_HOSTS_PERIOD;
         }
         let mut addresses: Vec<SocketAddr> = others.into_values().collect();
         addresses.shuffle(&mut rand::rng());
-        addresses.truncate(NAMED);
-        match self.meet_any(&addresses).await {
+        addresses.truncate(MAX_CONTACTED_ENTRIES);
+        match self.contact_any(&addresses).await {
             true => Duration::ZERO,
             false => ENTRY_PERIOD,
         }
     }
 
-    /// While this host watches: keeps its own entry, meets named hosts that are not known to be
+    /// While this host watches: keeps its own entry, contacts listed hosts that are not known to be
     /// present, and removes entries of those that are gone.
     ///
-    /// Two parts of a fleet that started while the store was away and no seed answered know nothing
-    /// of each other, and each would place generations as if it had all engines to itself. Each has
-    /// a watcher, and both name themselves in the one store.
+    /// Two parts of a fleet that started during a store outage without an answer from any seed do
+    /// not know of each other, and each would place generations as if it had all engines to itself.
+    /// Each part has a watcher, and both write their entries into the same store.
     async fn keep_entries(self: &Arc<Self>) {
         let mut absences = Absences::default();
         loop {
@@ -240,7 +244,7 @@
         if !self.fleet.has_entry() && !self.write_entry().await {
             return;
         }
-        let Some(mut others) = self.named_hosts(Freshness::MayBeStale).await else {
+        let Some(mut others) = self.listed_hosts(Freshness::MayBeStale).await else {
             return;
         };
         {
@@ -249,19 +253,19 @@
             others.retain(|_, address| !present.contains(address));
         }
         absences.keep(|name| others.contains_key(name));
-        for (name, address) in others.into_iter().take(NAMED) {
-            if self.meet_any(&[address]).await {
+        for (name, address) in others.into_iter().take(MAX_CONTACTED_ENTRIES) {
+            if self.contact_any(&[address]).await {
                 absences.answer(&name);
                 self.announce_all_known();
             } else if absences.miss(&name) {
-                info!("fleet: {name} is gone, its entry is removed");
+                info!("fleet: removing the entry of {name}, which does not answer");
                 self.remove_entry(&name).await;
             }
         }
     }
 
-    /// The other hosts that have an entry; `None` where the store can't be read.
-    async fn named_hosts(&self, freshness: Freshness) -> Option<HashMap<String, SocketAddr>> {
+    /// The other hosts that have an entry; `None` if the store can't be read.
+    async fn listed_hosts(&self, freshness: Freshness) -> Option<HashMap<String, SocketAddr>> {
         let listed = self.metadata.hosts.list(freshness).await;
         self.metrics.store_call("hosts", outcome(&listed));
         match listed {
@@ -285,7 +289,7 @@
         match written {
             Ok(()) => {
                 self.fleet.mark_entry_written();
-                // Written just before the store came back from a copy, it is lost.
+                // An entry written just before the store was restored from a backup is lost.
                 if era.is_some() && self.store_era.latest() != era {
                     self.fleet.mark_entry_lost();
                 }
--- a/crates/gateway/src/poison.rs
+++ b/crates/gateway/src/poison.rs
@@ -75,7 +75,7 @@
         for circuit in decided {
             self.store_circuit(circuit);
         }
-        self.announce(ReplicatedState::Circuits, &decided, self.everybody());
+        self.announce(ReplicatedState::Circuits, &decided, self.all_branches());
     }
 }
 
--- a/crates/gateway/src/store_sync.rs
+++ b/crates/gateway/src/store_sync.rs
@@ -1,4 +1,4 @@
-//! Keeps the configuration, the upstreams and the hosts as the store has them.
+//! Keeps the configuration and the upstreams in step with the store.
 
 use std::ops::Range;
 use std::sync::Arc;
@@ -16,61 +16,62 @@
 use crate::metadata::{Change, Freshness};
 use crate::roster::Roster;
 
-/// The part of the time in which a change must be in force for which a watch waits. A store that falls
-/// silent, or loses an answer, shows only when the watch is over; each watch costs a call.
+/// Share of the bound within which a change must be in force that one watch waits. A store that
+/// falls silent or loses an answer is detected only when the watch ends; each watch costs a call.
 pub(crate) const WATCH_SHARE: f32 = 0.5;
-/// How often a host that doesn't watch looks whether it should.
-const IDLE_PERIOD: Duration = Duration::from_millis(200);
-/// How often a host that has just started looks whether its peers have been asked.
-const JOIN_PERIOD: Duration = Duration::from_millis(10);
-/// Between two reads of a host that neither its peers nor the store have told anything: before the
-/// first configuration is written, and while the store is away. Drawn anew each time.
-const UNTOLD_MS: Range<u64> = 800..1_600;
-/// The part of the same time that passes between two watches of the upstreams: changes that come
-/// together are one call. The home of a cell doesn't wait, for the notice of a leaving engine is short.
-const MERGE_SHARE: f32 = 0.06;
-/// How often what is kept for a while only is looked at.
-const EXPIRE_PERIOD: Duration = Duration::from_millis(100);
+/// How often a host that does not watch checks whether it should.
+const WATCH_CHECK_PERIOD: Duration = Duration::from_millis(200);
+/// How often a host that has just started checks whether its peers have been asked.
+const JOIN_CHECK_PERIOD: Duration = Duration::from_millis(10);
+/// Between two reads of a host that has neither data from its peers nor from the store: before the
+/// first configuration is written, and during a store outage. Randomised for each read.
+const READ_INTERVAL_MS: Range<u64> = 800..1_600;
+/// Share of the same bound that passes between two watches of the upstreams, so that changes close
+/// together cost one call. The home of a cell does not wait, as the notice of a leaving engine is
+/// short.
+const WATCH_PAUSE_SHARE: f32 = 0.06;
+/// How often state that is kept for a limited time is checked for expiry.
+const EXPIRY_CHECK_PERIOD: Duration = Duration::from_millis(100);
 
-/// Spaces the reads of a host that nobody has told anything.
+/// Spaces the reads of a host that has no data yet.
 #[derive(Debug, Default)]
-struct Untold {
+struct InitialReads {
     next_ms: Millis,
 }
 
-impl Untold {
-    /// Whether to read now; not again before a drawn time has passed.
+impl InitialReads {
+    /// Whether to read now; false until the random interval has passed.
     fn is_due(&mut self, gateway: &Gateway) -> bool {
         let now_ms = gateway.clock.now_ms();
         if now_ms < self.next_ms || !gateway.may_read() {
             return false;
         }
-        self.next_ms = now_ms + rand::rng().random_range(UNTOLD_MS);
+        self.next_ms = now_ms + rand::rng().random_range(READ_INTERVAL_MS);
         true
     }
 }
 
 impl Gateway {
-    /// Follows the operator's configuration.
+    /// Watches the operator's configuration while this host is the watcher of its area.
     pub(crate) async fn sync_configuration(self: Arc<Self>) {
         let source = &*self.metadata.configuration;
-        let wait = self.part_of_change_bound(WATCH_SHARE);
+        let wait = self.share_of_change_bound(WATCH_SHARE);
         let mut reader = CollectionReader::new("the configuration", "configuration");
-        let mut untold = Untold::default();
+        let mut initial_reads = InitialReads::default();
         let mut revision = None;
         loop {
             if !self.is_watcher() {
                 revision = None;
-                if self.version() == 0 && untold.is_due(&self) {
+                if self.version() == 0 && initial_reads.is_due(&self) {
                     self.read_configuration().await;
                 }
                 sleep(self.watch_check_period()).await;
                 continue;
             }
             match reader.read(&self, source, revision, wait).await {
-                Ok(heard) => {
-                    revision = Some(heard.revision());
-                    for configuration in configurations(heard) {
+                Ok(update) => {
+                    revision = Some(update.revision());
+                    for configuration in configurations(update) {
                         self.apply_stored(configuration);
                     }
                     self.read_circuits().await;
@@ -83,7 +84,7 @@
         }
     }
 
-    /// Takes what the store has as the configuration, and passes it on.
+    /// Applies the stored configuration, and announces it.
     fn apply_stored(self: &Arc<Self>, configuration: Configuration) {
         let (stored, held) = (configuration.version, self.version());
         if stored < held {
@@ -94,17 +95,17 @@
         }
     }
 
-    /// Follows the upstreams' registrations.
+    /// Watches the upstreams' registrations while this host should.
     pub(crate) async fn sync_registrations(self: Arc<Self>) {
         let source = &*self.metadata.registrations;
-        let wait = self.part_of_change_bound(WATCH_SHARE);
+        let wait = self.share_of_change_bound(WATCH_SHARE);
         let mut reader = CollectionReader::new("the upstreams", "upstreams");
-        let mut untold = Untold::default();
+        let mut initial_reads = InitialReads::default();
         let mut is_listed = false;
         loop {
             if !self.watches_upstreams() {
                 is_listed = false;
-                if !self.knows_upstreams() && untold.is_due(&self) {
+                if !self.knows_upstreams() && initial_reads.is_due(&self) {
                     self.read_registrations().await;
                 }
                 sleep(self.watch_check_period()).await;
@@ -116,12 +117,12 @@
             }
             let since = is_listed.then_some(held);
             match reader.read(&self, source, since, wait).await {
-                Ok(heard) => {
+                Ok(update) => {
                     is_listed = true;
-                    self.apply_registrations(heard);
+                    self.apply_registrations(update);
                     self.schedule_directory_announcement();
                     if !self.is_home_of_any_cell() {
-                        sleep(self.part_of_change_bound(MERGE_SHARE)).await;
+                        sleep(self.share_of_change_bound(WATCH_PAUSE_SHARE)).await;
                     }
                 }
                 Err(error) => {
@@ -137,44 +138,45 @@
         }
     }
 
-    /// Takes what the store tells of the upstreams, or drops it where peers have told later news.
-    fn apply_registrations(&self, heard: StoreUpdate<Registration>) {
+    /// Applies the store's update of the upstreams, or drops it if peers have sent a later one.
+    fn apply_registrations(&self, update: StoreUpdate<Registration>) {
         let held = self.roster.lock().revision();
-        if heard.revision() < held {
-            self.report_stale_answer("the upstreams", heard.revision(), held);
+        if update.revision() < held {
+            self.report_stale_answer("the upstreams", update.revision(), held);
         }
-        self.roster_step(|roster, now_ms| match heard {
+        self.update_roster(|roster, now_ms| match update {
             StoreUpdate::Snapshot(list) => roster.replace(now_ms, list),
             StoreUpdate::Changes(changes) => roster.apply(now_ms, changes),
         });
     }
 
-    fn part_of_change_bound(&self, share: f32) -> Duration {
+    fn share_of_change_bound(&self, share: f32) -> Duration {
         Duration::from_millis((self.settings.change_bound_ms as f32 * share) as u64)
     }
 
-    /// Whether a peer or the store has told of any upstream.
+    /// Whether a peer or the store has provided a list of upstreams.
     fn knows_upstreams(&self) -> bool {
         self.roster.lock().revision() > Revision::default()
     }
 
-    /// Whether this host may read what no peer has told it.
+    /// Whether this host may read from the store what no peer has provided.
     fn may_read(&self) -> bool {
         let now_ms = self.clock.now_ms();
         self.fleet.join.lock().may_read(now_ms)
     }
 
-    /// How long a host that doesn't watch waits until it looks again whether it should.
+    /// Time until a host that does not watch checks again whether it should.
     pub(crate) fn watch_check_period(&self) -> Duration {
         match self.may_read() {
-            true => IDLE_PERIOD,
-            false => JOIN_PERIOD,
+            true => WATCH_CHECK_PERIOD,
+            false => JOIN_CHECK_PERIOD,
         }
     }
 
-    /// Reads the configuration once, where no peer has told it.
+    /// Reads the configuration once if no peer has provided it.
     async fn read_configuration(self: &Arc<Self>) {
-        // With the configuration this host begins to serve, so the evacuations have to be known by then.
+        // This host begins to serve with the configuration, so the evacuations have to be known by
+        // then.
         let (listed, ()) = tokio::join!(
             self.metadata.configuration.list(Freshness::MayBeStale),
             self.read_evacuations()
@@ -190,12 +192,14 @@
             }
             Err(error) => {
                 self.metrics.store_failures.inc();
-                warn!("store: no configuration known, and it can't be read: {error}");
+                warn!(
+                    "store: no configuration known, and the configuration can't be read: {error}"
+                );
             }
         }
     }
 
-    /// Reads the upstreams once, where no peer has told them.
+    /// Reads the upstreams once if no peer has provided them.
     async fn read_registrations(self: &Arc<Self>) {
         let listed = self
             .metadata
@@ -206,19 +210,19 @@
         match listed {
             Ok(list) => {
                 self.report_unusable_in_list("the upstreams", &list);
-                self.roster_step(|roster, now_ms| roster.load_provisional(now_ms, list));
+                self.update_roster(|roster, now_ms| roster.load_provisional(now_ms, list));
             }
             Err(error) => {
                 self.metrics.store_failures.inc();
-                warn!("store: no upstream known, and they can't be read: {error}");
+                warn!("store: no upstream known, and the upstreams can't be read: {error}");
             }
         }
     }
 
-    /// Ends what was kept only until the store, back from an outage or a copy, would tell of it again.
+    /// Ends what was kept only until the store would confirm it after an outage or a restore.
     pub(crate) async fn expire_unconfirmed(self: Arc<Self>) {
         loop {
-            sleep(EXPIRE_PERIOD).await;
+            sleep(EXPIRY_CHECK_PERIOD).await;
             self.expire_evacuations();
             let mut roster = self.roster.lock();
             if roster.expire(self.clock.now_ms()) {
@@ -227,7 +231,7 @@
         }
     }
 
-    /// Takes what a peer knows of the upstreams and this host doesn't.
+    /// Applies a peer's change of the upstreams.
     pub(crate) fn apply_peer_upstreams(&self, change: DirectoryChange) {
         self.observe_era(change.revision, "a peer");
         let now_ms = self.clock.now_ms();
@@ -236,14 +240,18 @@
         let before = roster.revision();
         if roster.apply_peer_change(now_ms, change) {
             let revision = roster.revision();
-            let how = if is_complete { "whole" } else { "in part" };
-            info!("upstreams: revision {revision} is a peer's, {how}, after {before}");
+            let extent = if is_complete {
+                "complete"
+            } else {
+                "incremental"
+            };
+            info!("upstreams: revision {revision} from a peer, {extent}, replaces {before}");
             self.apply_directory(&roster.directory());
         }
         log_store_restored(before, &roster);
     }
 
-    fn roster_step(&self, step: impl FnOnce(&mut Roster, Millis) -> bool) {
+    fn update_roster(&self, step: impl FnOnce(&mut Roster, Millis) -> bool) {
         let now_ms = self.clock.now_ms();
         let mut roster = self.roster.lock();
         roster.mark_store_available(now_ms);
@@ -261,7 +269,7 @@
     }
 }
 
-/// Tells the log what is kept against a store that has come back from a copy since a revision.
+/// Logs the differences to a store that was restored from a backup since a revision.
 pub(crate) fn log_store_restored(before: Revision, roster: &Roster) {
     let revision = roster.revision();
     if !revision.is_return_since(before, Directory::PROVISIONAL) {
@@ -269,15 +277,15 @@
     }
     let unconfirmed = roster.unconfirmed();
     info!(
-        "upstreams: revision {revision} follows {before}: {} are kept that it lacks, {} left alone that had gone",
+        "upstreams: revision {revision} follows {before}: {} kept that the store lacks, {} ignored that had left",
         unconfirmed.missing, unconfirmed.restored
     );
 }
 
-/// The configurations that an answer of the store names, in order. One that is gone leaves the one in
-/// force.
-fn configurations(heard: StoreUpdate<Configuration>) -> Vec<Configuration> {
-    match heard {
+/// The configurations in an update from the store, in order. A removed configuration leaves the
+/// active one in force.
+fn configurations(update: StoreUpdate<Configuration>) -> Vec<Configuration> {
+    match update {
         StoreUpdate::Snapshot(all) => all.items,
         StoreUpdate::Changes(changes) => {
             let puts = changes
--- a/crates/gateway/src/stored_circuits.rs
+++ b/crates/gateway/src/stored_circuits.rs
@@ -97,7 +97,7 @@
                 let (old, circuits) = circuits.partition(Circuit::is_expired);
                 let news = adopt_circuits(self.as_ref(), circuits, "the store");
                 if !news.is_empty() {
-                    self.announce(ReplicatedState::Circuits, &news, self.neighbours());
+                    self.announce(ReplicatedState::Circuits, &news, self.area_branches());
                 }
                 self.remove_old(old).await;
                 self.restore_circuits(&stored);
