--- a/crates/bench/src/cmd/decide.rs
+++ b/crates/bench/src/cmd/decide.rs
@@ -5,9 +5,9 @@
 
 use bpaf::Bpaf;
 use fulmarpath_policy::{
-    Ask, AskId, Candidate, Cell, CellEngine, EngineCapacity, EngineLoad, Home, HomeSettings,
-    HostKey, Lengths, OrganisationKey, PlacementRequest, RunEnd, RunKey, RunStatement, ServiceKey,
-    UpstreamKey, Weights, pick,
+    Candidate, Cell, CellEngine, EngineCapacity, EngineLoad, EnginePermitRequest, Home,
+    HomeSettings, HostKey, Lengths, OrganisationKey, PermitRequestId, PlacementRequest, RunEnd,
+    RunKey, RunStatement, ServiceKey, UpstreamKey, Weights, pick,
 };
 use serde::Serialize;
 
@@ -125,7 +125,7 @@
         let candidates: Vec<Candidate> = (0..size.engines_of_model)
             .map(|engine| Candidate {
                 upstream: UpstreamKey::of(&format!("engine-{engine}")),
-                near: engine % 9 == 0,
+                is_local: engine % 9 == 0,
                 load: EngineLoad {
                     running: 20,
                     waiting: 0,
@@ -152,8 +152,8 @@
         }
         let settings = HomeSettings::new(Weights::default(), 1.0, 1_000_000, 0.0);
         let mut home = Home::new(settings);
-        let ask = |id: u64| Ask {
-            id: AskId(id),
+        let ask = |id: u64| EnginePermitRequest {
+            id: PermitRequestId(id),
             host: HostKey(id % 410),
             organisation: OrganisationKey(id % size.organisations),
             service: ServiceKey(1),
@@ -162,23 +162,23 @@
             prompt_tokens: 900,
             out_tokens: 0,
             output_limit_tokens: 8_000,
-            patience_ms: 10_000,
+            max_wait_ms: 10_000,
             only_now: false,
             known_tokens: None,
         };
         let mut outcomes = Vec::new();
         for id in 0..size.running {
-            home.ask(1_000, ask(id), &lengths);
+            home.request_permit(1_000, ask(id), &lengths);
         }
         home.step(1_000, &lengths, &mut outcomes);
         let started = Instant::now();
         for id in 0..u64::from(self.count) {
             let id = id + 1_000_000;
             outcomes.clear();
-            home.ask(1_000, ask(id), &lengths);
+            home.request_permit(1_000, ask(id), &lengths);
             home.step(1_000, &lengths, &mut outcomes);
             black_box(&outcomes);
-            home.withdraw(AskId(id));
+            home.withdraw(PermitRequestId(id));
         }
         started.elapsed().as_secs_f64() * 1e6 / f64::from(self.count)
     }
--- a/crates/bench/src/sim/policies.rs
+++ b/crates/bench/src/sim/policies.rs
@@ -88,7 +88,7 @@
     );
     let product = HomeSettings {
         queue_limit: 1_000,
-        lapse_ms: 10_000_000,
+        permit_ttl_ms: 10_000_000,
         ..product
     };
     match policy {
@@ -101,7 +101,7 @@
             lead_bound_tokens: f64::INFINITY,
             lend_share: 1.0,
             moves: false,
-            early: 0.0,
+            early_refusal_factor: 0.0,
             ..product
         },
         _ => HomeSettings {
@@ -112,7 +112,7 @@
             lead_bound_tokens: f64::INFINITY,
             lend_share: 1.0,
             moves: false,
-            early: 0.0,
+            early_refusal_factor: 0.0,
             prompt_ms_per_token: 0.0,
             ..product
         },
@@ -135,6 +135,6 @@
     if let Some(lead) = tuning.lead_bound_tokens {
         settings.lead_bound_tokens = lead;
     }
-    settings.early = tuning.early.unwrap_or(settings.early);
+    settings.early_refusal_factor = tuning.early.unwrap_or(settings.early_refusal_factor);
     settings
 }
--- a/crates/bench/src/sim/world.rs
+++ b/crates/bench/src/sim/world.rs
@@ -8,7 +8,7 @@
 use std::collections::{BinaryHeap, HashMap};
 
 use fulmarpath_policy::{
-    AskId, EngineLoad, Home, HostKey, Lengths, Millis, PermitKey, UpstreamKey, highest,
+    EngineLoad, Home, HostKey, Lengths, Millis, PermitKey, PermitRequestId, UpstreamKey, highest,
 };
 use fulmarpath_standin::{EngineEvent, EngineModel, EngineSpec};
 
@@ -234,7 +234,7 @@
             } => self.hedge(request, ask, only_now),
             Event::Refused { request, ask } => self.refused(request, ask),
             Event::Withdraw { home, ask } => {
-                self.homes[home].withdraw(AskId(ask));
+                self.homes[home].withdraw(PermitRequestId(ask));
                 self.step_home(home);
             }
             Event::Submit {
--- a/crates/bench/src/sim/world/admission.rs
+++ b/crates/bench/src/sim/world/admission.rs
@@ -1,8 +1,8 @@
 //! From an arrival to a permit or a refusal.
 
 use fulmarpath_policy::{
-    Ask, AskId, Candidate, EngineLoad, HostKey, OrganisationKey, Outcome, ServiceKey, UpstreamKey,
-    pick,
+    Candidate, EngineLoad, EnginePermitRequest, HostKey, OrganisationKey, Outcome, PermitRequestId,
+    ServiceKey, UpstreamKey, pick,
 };
 
 use super::super::policies::PolicyName;
@@ -74,7 +74,7 @@
             .filter(|engine| Some(*engine) != without && !self.dead[*engine])
             .map(|engine| Candidate {
                 upstream: upstream_key(engine),
-                near: engine % DATA_CENTRES == arrival.host % DATA_CENTRES,
+                is_local: engine % DATA_CENTRES == arrival.host % DATA_CENTRES,
                 load: self.views[arrival.host][engine],
                 cached: false,
             })
@@ -137,15 +137,15 @@
         let one = &self.requests[request];
         let arrival = one.arrival;
         let waited_ms = (self.now_us - arrival.at_us) / 1_000;
-        let patience_ms = if one.out > 0 || one.retried {
+        let max_wait_ms = if one.out > 0 || one.retried {
             60_000
         } else {
             PATIENCE_MS.saturating_sub(waited_ms)
         };
         let total: f32 = (0..ORGANISATIONS).map(weight).sum();
         let known = self.settings.policy == PolicyName::Oracle;
-        let message = Ask {
-            id: AskId(ask),
+        let message = EnginePermitRequest {
+            id: PermitRequestId(ask),
             host: HostKey(arrival.host as u64),
             organisation: OrganisationKey(arrival.organisation as u64),
             service: ServiceKey(arrival.service as u64),
@@ -154,13 +154,13 @@
             prompt_tokens: arrival.prompt_tokens,
             out_tokens: one.out,
             output_limit_tokens: LIMITS[arrival.service],
-            patience_ms,
+            max_wait_ms,
             only_now,
             known_tokens: known.then_some(arrival.length_tokens),
         };
         let now_ms = self.now_ms();
         let lengths = &self.lengths[self.home_host[home]];
-        self.homes[home].ask(now_ms, message, lengths);
+        self.homes[home].request_permit(now_ms, message, lengths);
         self.step_home(home);
         let load = self.home_load(home);
         let engine = self.engine_of(home);
--- a/crates/bench/src/slopes/bytes.rs
+++ b/crates/bench/src/slopes/bytes.rs
@@ -1,7 +1,8 @@
 //! The bytes of each control message as it goes over the wire.
 
 use fulmarpath_policy::{
-    Ask, AskId, Bounds, EngineLoad, HostKey, OrganisationKey, PermitKey, ServiceKey, UpstreamKey,
+    Bounds, EngineLoad, EnginePermitRequest, HostKey, OrganisationKey, PermitKey, PermitRequestId,
+    ServiceKey, UpstreamKey,
 };
 use fulmarpath_wire::{
     ClaimAnswer, ClaimRequest, LimitAnswer, MemberInfo, MemberState, PermitAnswer, PermitId,
@@ -62,8 +63,8 @@
 const BAD_SECOND_RUMOURS: usize = 8;
 
 pub(crate) fn measure() -> Vec<CallBytes> {
-    let ask = Ask {
-        id: AskId(u64::MAX),
+    let ask = EnginePermitRequest {
+        id: PermitRequestId(u64::MAX),
         host: HostKey(u64::MAX),
         organisation: OrganisationKey(u64::MAX),
         service: ServiceKey(u64::MAX),
@@ -72,7 +73,7 @@
         prompt_tokens: 900,
         out_tokens: 0,
         output_limit_tokens: 8_000,
-        patience_ms: 10_000,
+        max_wait_ms: 10_000,
         only_now: false,
         known_tokens: None,
     };
@@ -118,7 +119,7 @@
             &pong(BAD_SECOND_RUMOURS),
         ),
         call("ask, granted", &(UpstreamKey(1), ask), &granted),
-        call("withdraw", &(UpstreamKey(1), AskId(1)), &()),
+        call("withdraw", &(UpstreamKey(1), PermitRequestId(1)), &()),
         call("progress of 1 permit", &report(1), &nothing),
         call("progress of 11 permits", &report(11), &nothing),
         call("slot under a limit", &slot, &LimitAnswer::Taken),
--- a/crates/bench/src/slopes/cpu.rs
+++ b/crates/bench/src/slopes/cpu.rs
@@ -4,7 +4,8 @@
 
 use fulmarpath::dev::{Deployment, Size};
 use fulmarpath_policy::{
-    Ask, AskId, Bounds, HostKey, OrganisationKey, PermitKey, ServiceKey, UpstreamKey,
+    Bounds, EnginePermitRequest, HostKey, OrganisationKey, PermitKey, PermitRequestId, ServiceKey,
+    UpstreamKey,
 };
 use fulmarpath_wire::{
     MemberInfo, MemberState, PeerClient, PermitId, Ping, Progress, Rumour, RunState, SlotRequest,
@@ -106,9 +107,9 @@
     (used_us() - before_us) / WATCHED.as_micros() as f64
 }
 
-fn ask(number: u32) -> Ask {
-    Ask {
-        id: AskId(u64::from(number)),
+fn ask(number: u32) -> EnginePermitRequest {
+    EnginePermitRequest {
+        id: PermitRequestId(u64::from(number)),
         host: HostKey(1),
         organisation: OrganisationKey(u64::from(number % 10)),
         service: ServiceKey(1),
@@ -117,7 +118,7 @@
         prompt_tokens: 60,
         out_tokens: 0,
         output_limit_tokens: 8_000,
-        patience_ms: 10_000,
+        max_wait_ms: 10_000,
         only_now: true,
         known_tokens: None,
     }
--- a/crates/bench/src/slopes/memory.rs
+++ b/crates/bench/src/slopes/memory.rs
@@ -6,7 +6,8 @@
 use fulmarpath::dev::caller::{Ask as CallerAsk, open};
 use fulmarpath::dev::{CALLER_KEY, Deployment, Size};
 use fulmarpath_policy::{
-    Ask, AskId, Home, HomeSettings, HostKey, Lengths, OrganisationKey, ServiceKey, Weights,
+    EnginePermitRequest, Home, HomeSettings, HostKey, Lengths, OrganisationKey, PermitRequestId,
+    ServiceKey, Weights,
 };
 use fulmarpath_standin::EngineSpec;
 use fulmarpath_wire::MemberInfo;
@@ -86,8 +87,8 @@
     let mut home = Home::new(settings);
     let lengths = Lengths::new();
     for number in 0..permits {
-        let ask = Ask {
-            id: AskId(number),
+        let ask = EnginePermitRequest {
+            id: PermitRequestId(number),
             host: HostKey(number),
             organisation: OrganisationKey(number % 10),
             service: ServiceKey(1),
@@ -96,11 +97,11 @@
             prompt_tokens: 900,
             out_tokens: 0,
             output_limit_tokens: 8_000,
-            patience_ms: 10_000,
+            max_wait_ms: 10_000,
             only_now: false,
             known_tokens: None,
         };
-        home.ask(1, ask, &lengths);
+        home.request_permit(1, ask, &lengths);
     }
     home.step(1, &lengths, &mut Vec::new());
     home
--- a/crates/cluster/src/homes.rs
+++ b/crates/cluster/src/homes.rs
@@ -5,8 +5,8 @@
 use std::time::Duration;
 
 use fulmarpath_policy::{
-    Ask, AskId, EngineLoad, Home, HomeSettings, HostKey, Lengths, Millis, Outcome, UpstreamKey,
-    Weights,
+    Ask, EngineLoad, Home, HomeSettings, HostKey, Lengths, Millis, Outcome, PermitRequestId,
+    UpstreamKey, Weights,
 };
 use fulmarpath_upstream::{EngineState, LoadReport};
 use fulmarpath_wire::{PermitAnswer, PermitId, PermitReply, Progress, ProgressReply, RunState};
@@ -63,7 +63,7 @@
 struct State {
     entries: HashMap<UpstreamKey, Entry>,
     lengths: Lengths,
-    waiters: HashMap<AskId, oneshot::Sender<PermitAnswer>>,
+    waiters: HashMap<PermitRequestId, oneshot::Sender<PermitAnswer>>,
     moves: HashMap<HostKey, Vec<PermitId>>,
 }
 
@@ -186,7 +186,7 @@
         }
     }
 
-    pub(crate) fn withdraw(&self, now_ms: Millis, upstream: UpstreamKey, ask: AskId) {
+    pub(crate) fn withdraw(&self, now_ms: Millis, upstream: UpstreamKey, ask: PermitRequestId) {
         let mut state = self.state.lock();
         if let Some(entry) = state.entries.get_mut(&upstream) {
             entry.home.withdraw(ask);
--- a/crates/cluster/src/node.rs
+++ b/crates/cluster/src/node.rs
@@ -8,7 +8,8 @@
 
 use async_trait::async_trait;
 use fulmarpath_policy::{
-    AskId, Bounds, EngineLoad, HostKey, LimitTable, Millis, OrganisationKey, Over, UpstreamKey,
+    Bounds, EngineLoad, HostKey, LimitTable, Millis, OrganisationKey, Over, PermitRequestId,
+    UpstreamKey,
 };
 use fulmarpath_store::{HostEntry, HostList, HostListing, ListedState, ObjectApi, Role};
 use fulmarpath_upstream::Plain;
@@ -81,7 +82,7 @@
     pub(crate) key: HostKey,
     pub(crate) members: Mutex<Members>,
     pub(crate) loads: Mutex<HashMap<UpstreamKey, EngineLoad>>,
-    pub(crate) held: Mutex<HashMap<AskId, Arc<HeldPermit>>>,
+    pub(crate) held: Mutex<HashMap<PermitRequestId, Arc<HeldPermit>>>,
     pub(crate) homeless_permits: Mutex<HashMap<UpstreamKey, u32>>,
     pub(crate) limits: Mutex<LimitTable>,
     slots: Mutex<HashMap<OrganisationKey, u32>>,
--- a/crates/cluster/src/permits.rs
+++ b/crates/cluster/src/permits.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use fulmarpath_policy::{
-    Ask, AskId, Candidate, HostKey, Millis, OrganisationKey, RefusalReason, ServiceKey,
+    Ask, Candidate, HostKey, Millis, OrganisationKey, PermitRequestId, RefusalReason, ServiceKey,
     UpstreamKey, pick,
 };
 use fulmarpath_upstream::Engine;
@@ -176,7 +176,7 @@
 struct PendingRequest {
     node: Arc<Node>,
     upstream: UpstreamKey,
-    ask: AskId,
+    ask: PermitRequestId,
     granted: bool,
 }
 
@@ -284,7 +284,7 @@
         request: PermitRequest,
         deadline_ms: Millis,
     ) -> Result<Grant, NotGranted> {
-        let id = AskId(rand::rng().random());
+        let id = PermitRequestId(rand::rng().random());
         let mut pending = PendingRequest {
             node: self.clone(),
             upstream,
@@ -329,7 +329,12 @@
         }
     }
 
-    fn request_message(&self, id: AskId, request: &PermitRequest, max_wait_ms: Millis) -> Ask {
+    fn request_message(
+        &self,
+        id: PermitRequestId,
+        request: &PermitRequest,
+        max_wait_ms: Millis,
+    ) -> Ask {
         Ask {
             id,
             host: self.key,
@@ -392,7 +397,7 @@
         info!("permits: started without a home");
         Ok(Grant {
             upstream,
-            ask: self.request_message(AskId(rand::rng().random()), request, 0),
+            ask: self.request_message(PermitRequestId(rand::rng().random()), request, 0),
             id: None,
             priority: 0,
         })
@@ -404,7 +409,7 @@
         }
     }
 
-    async fn withdraw(&self, upstream: UpstreamKey, ask: AskId) {
+    async fn withdraw(&self, upstream: UpstreamKey, ask: PermitRequestId) {
         for (key, note) in self.engine_homes(upstream, HOMES_TRIED) {
             if key == self.key {
                 self.homes.withdraw(self.clock.now_ms(), upstream, ask);
--- a/crates/cluster/src/server.rs
+++ b/crates/cluster/src/server.rs
@@ -3,7 +3,9 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-use fulmarpath_policy::{Ask, AskId, Circuit, ContentKey, HostKey, OrganisationKey, UpstreamKey};
+use fulmarpath_policy::{
+    Ask, Circuit, ContentKey, HostKey, OrganisationKey, PermitRequestId, UpstreamKey,
+};
 use fulmarpath_wire::{
     ClaimAnswer, ClaimRequest, Document, FetchAnswer, LimitAnswer, Peer, PeerClient, PermitAnswer,
     PermitId, PermitReply, Ping, Pong, Progress, ProgressReply, SlotRequest, framed,
@@ -88,7 +90,7 @@
         })
     }
 
-    async fn withdraw(self, _: Context, upstream: UpstreamKey, ask: AskId) {
+    async fn withdraw(self, _: Context, upstream: UpstreamKey, ask: PermitRequestId) {
         let now_ms = self.node.clock.now_ms();
         self.node.homes.withdraw(now_ms, upstream, ask);
     }
--- a/crates/entry/src/drive.rs
+++ b/crates/entry/src/drive.rs
@@ -138,7 +138,7 @@
             }
             let Started::Streams(stream) = started else {
                 without.push(upstream);
-                if unsent.is_some() && !self.drivers.budget(upstream, RetryBudget::retry) {
+                if unsent.is_some() && !self.drivers.budget(upstream, RetryBudget::try_retry) {
                     let proof = unsent.take().unwrap_or_else(Unsent::refused_by_upstream);
                     return End::NotRun(NotRun::new(proof, NotRunReason::RefusedByUpstream));
                 }
@@ -224,7 +224,8 @@
     async fn start(&mut self, permit: &Permit, unsent: &mut Option<Unsent>) -> Started {
         self.attempt += 1;
         self.begun_ms = None;
-        self.drivers.budget(permit.upstream, RetryBudget::first_try);
+        self.drivers
+            .budget(permit.upstream, RetryBudget::record_first_attempt);
         let span = info_span!("engine.generate", attempt = self.attempt);
         let request = GenerateRequest {
             traceparent: self.job.hop.traceparent(&span),
--- a/crates/gateway/src/availability.rs
+++ b/crates/gateway/src/availability.rs
@@ -32,7 +32,7 @@
         let by_service = cold.map(|one| {
             let cold_limit = ColdLimit {
                 cold_ms: one.cold_ms,
-                starts: bound.starts(one.cold_per_second),
+                starts: bound.starts_per_host(one.cold_per_second),
             };
             (one.name.clone(), cold_limit)
         });
--- a/crates/gateway/src/backpressure.rs
+++ b/crates/gateway/src/backpressure.rs
@@ -24,7 +24,7 @@
             }
             (_, None) => info!("backpressure: {instance} names no limit any more"),
         }
-        if let Some(rest_ms) = signals.rest_ms {
+        if let Some(rest_ms) = signals.backoff_ms {
             info!("backpressure: {instance} wants nothing from this host for {rest_ms} ms");
         }
         if after.is_leaving() && !before.is_leaving() {
@@ -45,7 +45,7 @@
         let known = table.backpressure.get(&upstream).copied();
         let before = known.unwrap_or_default();
         let mut after = before;
-        after.hear(now_ms, signals);
+        after.update(now_ms, signals);
         // Most upstreams never ask for anything.
         if known.is_some() || signals != Signals::default() {
             table.backpressure.insert(upstream, after);
@@ -57,14 +57,14 @@
     pub(crate) fn apply_limit(&self, upstream: UpstreamKey, per_s: f32, heard_ms: Millis) {
         let mut table = self.table.lock();
         let asked = table.backpressure.entry(upstream).or_default();
-        asked.hear_limit(per_s, heard_ms);
+        asked.merge_limit(per_s, heard_ms);
     }
 
     /// An upstream's limit leaves no start for this host before `until_ms`.
     pub(crate) fn throttle_until(&self, upstream: UpstreamKey, until_ms: Millis) {
         let mut table = self.table.lock();
         let asked = table.backpressure.entry(upstream).or_default();
-        asked.hold(until_ms);
+        asked.throttle_until(until_ms);
     }
 
     /// The limit that an upstream names, and how old its word is.
@@ -77,7 +77,7 @@
         let asked = table.backpressure.get(&upstream)?;
         Some(AdvertisedLimit {
             per_s: asked.limit_per_s()?,
-            age_ms: now_ms.saturating_sub(asked.heard_ms()),
+            age_ms: now_ms.saturating_sub(asked.updated_ms()),
         })
     }
 
@@ -85,7 +85,7 @@
     pub(crate) fn throttled(&self, now_ms: Millis) -> Vec<UpstreamKey> {
         let table = self.table.lock();
         let asked = table.backpressure.iter();
-        let throttled = asked.filter(|(_, asked)| asked.is_closed(now_ms));
+        let throttled = asked.filter(|(_, asked)| asked.is_blocked(now_ms));
         throttled.map(|(upstream, _)| *upstream).collect()
     }
 
@@ -96,7 +96,7 @@
 
     /// Registered upstreams that want nothing from this host now.
     pub(crate) fn backing_off_count(&self, now_ms: Millis) -> usize {
-        self.count_asking(|asked| asked.rests(now_ms))
+        self.count_asking(|asked| asked.is_backing_off(now_ms))
     }
 
     fn count_asking(&self, asks: impl Fn(&Backpressure) -> bool) -> usize {
--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -247,18 +247,18 @@
     pub(crate) fn count_request(&self, now_ms: Millis, service: &str) {
         let mut retries = self.retries.lock();
         if let Some(window) = retries.get_mut(service) {
-            window.request(now_ms);
+            window.record_request(now_ms);
             return;
         }
         let mut window = RetryWindow::new(*self.retry_bound.lock());
-        window.request(now_ms);
+        window.record_request(now_ms);
         retries.insert(service.to_owned(), window);
     }
 
     /// Counts a generation that goes on elsewhere towards its service's retries.
     pub(crate) fn count_continuation(&self, now_ms: Millis, service: &str) {
         if let Some(window) = self.retries.lock().get_mut(service) {
-            window.go_on(now_ms);
+            window.record_continuation(now_ms);
         }
     }
 
@@ -273,7 +273,7 @@
         };
         let mut retries = self.retries.lock();
         let left = retries.iter_mut().map(|(service, window)| {
-            let left = window.left(now_ms, hosts);
+            let left = window.remaining(now_ms, hosts);
             (service.clone(), left as i64)
         });
         Readings {
@@ -296,7 +296,7 @@
         let hosts = self.fleet.host_count();
         let mut retries = self.retries.lock();
         let window = retries.get_mut(service);
-        let allowed = window.is_some_and(|window| window.retry(now_ms, hosts));
+        let allowed = window.is_some_and(|window| window.try_retry(now_ms, hosts));
         if allowed {
             self.metrics.retries.inc();
         }
--- a/crates/gateway/src/head.rs
+++ b/crates/gateway/src/head.rs
@@ -2,7 +2,7 @@
 
 use std::net::SocketAddr;
 
-use fulmarpath_policy::{Millis, Signals, StatedLoad};
+use fulmarpath_policy::{Millis, ReportedLoad, Signals};
 use hyper::{HeaderMap, StatusCode};
 
 /// A part of a prompt that other requests may share.
@@ -94,7 +94,7 @@
     /// The response comes from the upstream itself, with a signature over its bytes.
     pub is_signed: bool,
     /// The reported load of the upstream.
-    pub load: Option<StatedLoad>,
+    pub load: Option<ReportedLoad>,
     /// The upstream closes the connection and may be about to leave.
     pub is_closing: bool,
     /// Backpressure signals of the upstream.
--- a/crates/gateway/src/instance.rs
+++ b/crates/gateway/src/instance.rs
@@ -2,7 +2,7 @@
 
 use std::net::SocketAddr;
 
-use fulmarpath_policy::{Cold, FlightId, Gauge, Millis, UpstreamKey};
+use fulmarpath_policy::{Cold, InFlightId, Millis, UpstreamKey, UpstreamStats};
 use slotmap::new_key_type;
 use tokio_util::sync::CancellationToken;
 
@@ -20,7 +20,7 @@
 pub(crate) struct Instance {
     pub(crate) upstream: UpstreamKey,
     pub(crate) registration: Registration,
-    pub(crate) gauge: Gauge,
+    pub(crate) gauge: UpstreamStats,
     /// The upstream has announced on a connection that it is leaving.
     pub(crate) is_leaving: bool,
     /// Its data centre is evacuated.
@@ -40,7 +40,7 @@
         Self {
             upstream: upstream_key(&registration),
             registration,
-            gauge: Gauge::default(),
+            gauge: UpstreamStats::default(),
             is_leaving: false,
             is_evacuated: false,
             cold_until_ms: 0,
@@ -94,7 +94,7 @@
     pub(crate) address: SocketAddr,
     /// Cancelled when the upstream has restarted: whatever ran there is lost.
     pub(crate) lost: CancellationToken,
-    pub(crate) flight: FlightId,
+    pub(crate) flight: InFlightId,
 }
 
 impl Chosen {
--- a/crates/gateway/src/instances.rs
+++ b/crates/gateway/src/instances.rs
@@ -3,7 +3,7 @@
 use std::collections::HashMap;
 
 use fulmarpath_policy::{
-    Choice, Cold, Evacuations, Millis, StatedLoad, UpstreamKey, Verdict, choose,
+    Choice, Cold, Evacuations, Millis, ReportedLoad, UpstreamKey, Verdict, choose,
 };
 use parking_lot::Mutex;
 
@@ -114,7 +114,7 @@
             .map(|(key, one)| Choice {
                 key,
                 cost: one.gauge.cost(now_ms),
-                near: one.registration.data_centre == self.data_centre,
+                is_local: one.registration.data_centre == self.data_centre,
             })
             .collect();
         let warm = choose(&choices, draw);
@@ -185,7 +185,8 @@
     pub(crate) fn reserve(&self, now_ms: Millis, upstream: UpstreamKey) -> Option<Chosen> {
         self.reserve_if(now_ms, upstream, |table, key| {
             let asked = table.backpressure.get(&upstream);
-            table.takes_work(&table.arena[key]) && !asked.is_some_and(|asked| asked.rests(now_ms))
+            table.takes_work(&table.arena[key])
+                && !asked.is_some_and(|asked| asked.is_backing_off(now_ms))
         })
     }
 
@@ -260,17 +261,17 @@
         now_ms: Millis,
         key: InstanceKey,
         latency_ms: Millis,
-        load: Option<StatedLoad>,
+        load: Option<ReportedLoad>,
     ) {
         self.with(key, |one| {
-            one.gauge.answered(latency_ms);
+            one.gauge.record_latency(latency_ms);
             // An upstream that was unreachable is cold when it returns, and its entry may not say
             // so yet.
             if std::mem::take(&mut one.is_unreachable) {
                 one.mark_cold(now_ms);
             }
             if let Some(load) = load {
-                one.gauge.state(now_ms, load);
+                one.gauge.record_load(now_ms, load);
             }
         });
     }
@@ -278,14 +279,14 @@
     /// Records that no connection could be made.
     pub(crate) fn unreachable(&self, now_ms: Millis, key: InstanceKey) {
         self.with(key, |one| {
-            one.gauge.unreachable(now_ms);
+            one.gauge.record_unreachable(now_ms);
             one.is_unreachable = true;
         });
     }
 
     /// Deprioritises the upstream until `until_ms`.
     pub(crate) fn penalise_until(&self, until_ms: Millis, key: InstanceKey) {
-        self.with(key, |one| one.gauge.spare_until(until_ms));
+        self.with(key, |one| one.gauge.penalise_until(until_ms));
     }
 
     /// Marks an upstream as gone for good: another upstream answers at its address.
--- a/crates/gateway/src/upstream_table.rs
+++ b/crates/gateway/src/upstream_table.rs
@@ -53,13 +53,13 @@
     /// From when on an upstream takes more of this host, by what it asks for.
     pub(crate) fn available_at_ms(&self, upstream: UpstreamKey) -> Millis {
         let asked = self.backpressure.get(&upstream);
-        asked.map_or(0, Backpressure::opens_ms)
+        asked.map_or(0, Backpressure::blocked_until_ms)
     }
 
     /// Whether an upstream wants nothing new of this host now.
     pub(crate) fn is_throttled(&self, now_ms: Millis, upstream: UpstreamKey) -> bool {
         let asked = self.backpressure.get(&upstream);
-        asked.is_some_and(|asked| asked.is_closed(now_ms))
+        asked.is_some_and(|asked| asked.is_blocked(now_ms))
     }
 
     /// Whether an upstream takes new work, by its registration and by its own word.
@@ -77,7 +77,7 @@
     pub(crate) fn forget_gone(&mut self, now_ms: Millis) {
         let known = &self.by_upstream;
         self.backpressure.retain(|upstream, asked| {
-            let age_ms = now_ms.saturating_sub(asked.heard_ms());
+            let age_ms = now_ms.saturating_sub(asked.updated_ms());
             known.contains_key(upstream) || age_ms < KEPT_MS
         });
     }
--- a/crates/policy/src/backlog.rs
+++ b/crates/policy/src/backlog.rs
@@ -1,7 +1,7 @@
 //! How fast a home's queue is served, and who in it can't start in time.
 
-use crate::ask::AskId;
 use crate::key::Millis;
+use crate::permit_request::PermitRequestId;
 use crate::queue::{OrderRule, Rank, Waiting, rank};
 
 /// Time over which the rate is averaged.
@@ -71,7 +71,7 @@
         now_ms: Millis,
         order: OrderRule,
         early: f32,
-    ) -> Vec<AskId> {
+    ) -> Vec<PermitRequestId> {
         let Some(rate) = self.tokens_per_ms() else {
             return Vec::new();
         };
@@ -85,7 +85,7 @@
         for (waiting, _) in ranked {
             let wait_ms = ahead_tokens / rate * self.doubt;
             let waited_ms = now_ms.saturating_sub(waiting.since_ms);
-            let left_ms = waiting.ask.patience_ms.saturating_sub(waited_ms) as f32;
+            let left_ms = waiting.ask.max_wait_ms.saturating_sub(waited_ms) as f32;
             if !waiting.ask.is_resumption() && wait_ms > left_ms * early {
                 hopeless.push(waiting.ask.id);
                 continue;
--- a/crates/policy/src/backpressure.rs
+++ b/crates/policy/src/backpressure.rs
@@ -18,7 +18,7 @@
     /// It leaves, and wants nothing new.
     pub is_leaving: bool,
     /// It has turned this host away, and wants nothing from it for so long.
-    pub rest_ms: Option<Millis>,
+    pub backoff_ms: Option<Millis>,
 }
 
 /// What one upstream asks of its callers, as far as this host has heard.
@@ -39,12 +39,12 @@
 impl Backpressure {
     /// Takes what an answer asks for. A limit that it doesn't name any more is over; one that leaves
     /// doesn't come back.
-    pub fn hear(&mut self, now_ms: Millis, signals: Signals) {
+    pub fn update(&mut self, now_ms: Millis, signals: Signals) {
         self.limit_per_s = signals.limit_per_s;
         self.heard_ms = now_ms;
         self.is_leaving |= signals.is_leaving;
-        if let Some(rest_ms) = signals.rest_ms {
-            if !self.rests(now_ms) {
+        if let Some(rest_ms) = signals.backoff_ms {
+            if !self.is_backing_off(now_ms) {
                 self.continued = 0;
             }
             self.rest_until_ms = self.rest_until_ms.max(now_ms.saturating_add(rest_ms));
@@ -55,7 +55,7 @@
     }
 
     /// Takes a limit that another host was told at a moment, unless more has been heard since.
-    pub fn hear_limit(&mut self, per_s: f32, heard_ms: Millis) {
+    pub fn merge_limit(&mut self, per_s: f32, heard_ms: Millis) {
         if heard_ms > self.heard_ms {
             self.limit_per_s = Some(per_s);
             self.heard_ms = heard_ms;
@@ -63,7 +63,7 @@
     }
 
     /// Its limit leaves no start for this host before `until_ms`.
-    pub fn hold(&mut self, until_ms: Millis) {
+    pub fn throttle_until(&mut self, until_ms: Millis) {
         self.held_until_ms = until_ms;
     }
 
@@ -78,13 +78,13 @@
     }
 
     /// Whether it wants nothing from this host now.
-    pub fn rests(&self, now_ms: Millis) -> bool {
+    pub fn is_backing_off(&self, now_ms: Millis) -> bool {
         now_ms < self.rest_until_ms
     }
 
     /// Whether a generation may go on there; counted where it rests.
     pub fn may_continue(&mut self, now_ms: Millis) -> bool {
-        if !self.rests(now_ms) {
+        if !self.is_backing_off(now_ms) {
             return true;
         }
         self.continued += 1;
@@ -92,17 +92,17 @@
     }
 
     /// Whether it wants nothing new of this host now.
-    pub fn is_closed(&self, now_ms: Millis) -> bool {
-        self.is_leaving || now_ms < self.opens_ms()
+    pub fn is_blocked(&self, now_ms: Millis) -> bool {
+        self.is_leaving || now_ms < self.blocked_until_ms()
     }
 
     /// When it was last heard.
-    pub fn heard_ms(&self) -> Millis {
+    pub fn updated_ms(&self) -> Millis {
         self.heard_ms
     }
 
     /// From when on this host may send to it, unless it leaves; now or before where it may at once.
-    pub fn opens_ms(&self) -> Millis {
+    pub fn blocked_until_ms(&self) -> Millis {
         self.held_until_ms.max(self.rest_until_ms)
     }
 }
--- a/crates/policy/src/cell/engine.rs
+++ b/crates/policy/src/cell/engine.rs
@@ -150,7 +150,7 @@
     /// Records that a request is sent to it.
     pub(super) fn record_start(&mut self, now_ms: Millis) {
         if self.is_cold(now_ms) {
-            self.cold_starts.note(now_ms);
+            self.cold_starts.record(now_ms);
         }
     }
 
--- a/crates/policy/src/choose.rs
+++ b/crates/policy/src/choose.rs
@@ -8,7 +8,7 @@
     /// What one more request costs there.
     pub cost: f32,
     /// Whether it stands in this host's own data centre.
-    pub near: bool,
+    pub is_local: bool,
 }
 
 /// Costs within this factor of the least count as equal, so that hosts that see the same state
@@ -19,7 +19,7 @@
 
 /// The cheapest upstream; `draw` (0 to 1) decides between equals.
 pub fn choose<K: Copy>(choices: &[Choice<K>], draw: f32) -> Option<K> {
-    let cost = |choice: &Choice<K>| choice.cost * if choice.near { 1.0 } else { FAR_FACTOR };
+    let cost = |choice: &Choice<K>| choice.cost * if choice.is_local { 1.0 } else { FAR_FACTOR };
     let least = choices.iter().map(cost).min_by(f32::total_cmp)?;
     let equal: Vec<&Choice<K>> = choices
         .iter()
--- a/crates/policy/src/cold.rs
+++ b/crates/policy/src/cold.rs
@@ -26,7 +26,7 @@
 
 impl ColdBound {
     /// Starts that one host hands out in any one second, at an upstream that bears `per_second`.
-    pub fn starts(self, per_second: f32) -> u32 {
+    pub fn starts_per_host(self, per_second: f32) -> u32 {
         let all = per_second * self.overage + self.slack;
         ((all / HOMES) as u32).max(1)
     }
@@ -58,7 +58,7 @@
     }
 
     /// Counts a request that starts now.
-    pub fn note(&mut self, now_ms: Millis) {
+    pub fn record(&mut self, now_ms: Millis) {
         self.at_ms
             .retain(|at_ms| now_ms.saturating_sub(*at_ms) < WINDOW_MS);
         self.at_ms.push_back(now_ms);
@@ -79,7 +79,7 @@
         if now_ms < next_ms {
             return Err(next_ms - now_ms);
         }
-        self.note(now_ms);
+        self.record(now_ms);
         Ok(())
     }
 }
--- a/crates/policy/src/home.rs
+++ b/crates/policy/src/home.rs
@@ -3,7 +3,6 @@
 use serde::{Deserialize, Serialize};
 use slotmap::SlotMap;
 
-use crate::ask::{Ask, AskId, Outcome, PermitKey, RefusalReason};
 use crate::backlog::Backlog;
 use crate::fair::Fairness;
 use crate::fit::Forecast;
@@ -12,6 +11,9 @@
 use crate::lengths::Lengths;
 use crate::load::EngineLoad;
 use crate::permit::{Permit, wanted};
+use crate::permit_request::{
+    EnginePermitRequest, Outcome, PermitKey, PermitRequestId, RefusalReason,
+};
 use crate::queue::{Waiting, next};
 use crate::unexplained::Unexplained;
 
@@ -82,8 +84,8 @@
     /// Takes in an ask. Its outcome comes from this or a later [`Home::step`].
     ///
     /// An ask that comes again changes nothing: the answer to the first may have been lost.
-    pub fn ask(&mut self, now_ms: Millis, ask: Ask, lengths: &Lengths) {
-        if self.is_queued(ask.id) || self.granted(ask.id).is_some() {
+    pub fn request_permit(&mut self, now_ms: Millis, ask: EnginePermitRequest, lengths: &Lengths) {
+        if self.is_queued(ask.id) || self.granted_permit(ask.id).is_some() {
             return;
         }
         let expected = match ask.known_tokens {
@@ -99,25 +101,25 @@
     }
 
     /// The permit that an ask was granted, and its priority; an ask may come twice.
-    pub fn granted(&self, ask: AskId) -> Option<(PermitKey, i32)> {
+    pub fn granted_permit(&self, ask: PermitRequestId) -> Option<(PermitKey, i32)> {
         let mut permits = self.permits.iter();
         let (key, permit) = permits.find(|(_, permit)| permit.ask.id == ask)?;
         Some((key, permit.priority))
     }
 
     /// Whether an ask is in the queue.
-    pub fn is_queued(&self, ask: AskId) -> bool {
+    pub fn is_queued(&self, ask: PermitRequestId) -> bool {
         self.queue.iter().any(|waiting| waiting.ask.id == ask)
     }
 
     /// Whether a permit is known.
-    pub fn knows(&self, permit: PermitKey) -> bool {
+    pub fn has_permit(&self, permit: PermitKey) -> bool {
         self.permits.contains_key(permit)
     }
 
     /// Counts a generation that already runs, which an earlier home had permitted.
-    pub fn restore(&mut self, now_ms: Millis, ask: Ask) -> PermitKey {
-        if let Some((known, _)) = self.granted(ask.id) {
+    pub fn restore(&mut self, now_ms: Millis, ask: EnginePermitRequest) -> PermitKey {
+        if let Some((known, _)) = self.granted_permit(ask.id) {
             return known;
         }
         self.fairness.enqueue(ask.organisation, ask.weight);
@@ -125,10 +127,10 @@
     }
 
     /// Takes back an ask that is no longer wanted.
-    pub fn withdraw(&mut self, ask: AskId) {
+    pub fn withdraw(&mut self, ask: PermitRequestId) {
         if let Some(index) = self.queue.iter().position(|waiting| waiting.ask.id == ask) {
             self.drop_waiting(index);
-        } else if let Some((permit, _)) = self.granted(ask) {
+        } else if let Some((permit, _)) = self.granted_permit(ask) {
             self.release(permit);
         }
     }
@@ -160,7 +162,7 @@
         lengths: &mut Lengths,
     ) {
         if let Some(entry) = self.release(permit) {
-            let Ask {
+            let EnginePermitRequest {
                 organisation,
                 service,
                 ..
@@ -217,7 +219,7 @@
     /// Drops permits whose host has gone silent. Without this the memory that a dead host's
     /// permits hold would never be given out again.
     fn lapse(&mut self, now_ms: Millis) {
-        let lapse_ms = self.settings.lapse_ms;
+        let lapse_ms = self.settings.permit_ttl_ms;
         let gone: Vec<PermitKey> = self
             .permits
             .iter()
@@ -254,7 +256,7 @@
             Some(RefusalReason::TooLarge)
         } else if index >= self.settings.queue_limit && !waiting.ask.is_resumption() {
             Some(RefusalReason::QueueFull)
-        } else if waited_ms >= waiting.ask.patience_ms {
+        } else if waited_ms >= waiting.ask.max_wait_ms {
             Some(RefusalReason::TooLate)
         } else {
             None
@@ -264,13 +266,16 @@
     /// Refuses now what could not start in time anyway: its caller learns at once that it was not
     /// run, rather than after having waited for nothing.
     fn refuse_hopeless(&mut self, now_ms: Millis, outcomes: &mut Vec<Outcome>) {
-        if self.settings.early <= 0.0 || self.queue.len() < 2 {
+        if self.settings.early_refusal_factor <= 0.0 || self.queue.len() < 2 {
             return;
         }
         let order = self.settings.order;
-        let hopeless = self
-            .backlog
-            .hopeless(&self.queue, now_ms, order, self.settings.early);
+        let hopeless = self.backlog.hopeless(
+            &self.queue,
+            now_ms,
+            order,
+            self.settings.early_refusal_factor,
+        );
         for ask in hopeless {
             let place = self.queue.iter().position(|one| one.ask.id == ask);
             if let Some(index) = place {
@@ -335,7 +340,7 @@
         }
     }
 
-    fn is_paced(&self, now_ms: Millis, ask: &Ask) -> bool {
+    fn is_paced(&self, now_ms: Millis, ask: &EnginePermitRequest) -> bool {
         let tokens = ask.prompt_tokens + ask.out_tokens;
         self.settings.prompt_ms_per_token <= 0.0
             || tokens < UNPACED_TOKENS
@@ -345,7 +350,7 @@
 
     /// Whether the organisation would hold more than its guaranteed share. One generation at a
     /// time is always its own: a small share of one engine may be less than a single prompt.
-    fn borrows(&self, ask: &Ask) -> bool {
+    fn borrows(&self, ask: &EnginePermitRequest) -> bool {
         let own = ask.share * self.settings.memory_tokens as f32;
         let held = self.fairness.held_tokens(ask.organisation) as f32;
         held > 0.0 && held + (ask.prompt_tokens + ask.out_tokens) as f32 > own
@@ -367,7 +372,7 @@
         }
     }
 
-    fn insert(&mut self, now_ms: Millis, ask: Ask, priority: i32) -> PermitKey {
+    fn insert(&mut self, now_ms: Millis, ask: EnginePermitRequest, priority: i32) -> PermitKey {
         let tokens = ask.prompt_tokens + ask.out_tokens;
         self.fairness.start(ask.organisation, tokens);
         self.held_tokens += u64::from(tokens);
--- a/crates/policy/src/home_settings.rs
+++ b/crates/policy/src/home_settings.rs
@@ -24,11 +24,11 @@
     pub moves: bool,
     /// An ask whose predicted wait exceeds this multiple of its patience is refused at once; 0
     /// waits for each to run out.
-    pub early: f32,
+    pub early_refusal_factor: f32,
     /// The longest queue.
     pub queue_limit: usize,
     /// A permit without a word from its host for so long lapses.
-    pub lapse_ms: Millis,
+    pub permit_ttl_ms: Millis,
 }
 
 /// After so long a footprint counts for half in the queue's order.
@@ -60,9 +60,9 @@
             lend_share,
             prompt_ms_per_token: prompt_ms_per_token * PACE,
             moves: true,
-            early: EARLY,
+            early_refusal_factor: EARLY,
             queue_limit: QUEUE_LIMIT,
-            lapse_ms: LAPSE_MS,
+            permit_ttl_ms: LAPSE_MS,
         }
     }
 }
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -4,7 +4,6 @@
 //! milliseconds since a start that the caller chooses.
 
 mod absences;
-mod ask;
 mod backlog;
 mod backpressure;
 mod branches;
@@ -18,7 +17,6 @@
 mod failures;
 mod fair;
 mod fit;
-mod gauge;
 mod handover;
 mod home;
 mod home_settings;
@@ -30,6 +28,7 @@
 mod load;
 mod pacer;
 mod permit;
+mod permit_request;
 mod pick;
 mod queue;
 mod rendezvous;
@@ -37,11 +36,11 @@
 mod retry_window;
 mod revision;
 mod unexplained;
+mod upstream_stats;
 mod watchers;
 mod weights;
 
 pub use absences::Absences;
-pub use ask::{Ask, AskId, Outcome, PermitKey, RefusalReason};
 pub use backpressure::{Backpressure, Signals};
 pub use branches::{Listener, branches, parts};
 pub use cell::{
@@ -59,7 +58,6 @@
 pub use evacuations::{EvacuationChange, EvacuationState, Evacuations};
 pub use fair::Fairness;
 pub use fit::{FitRule, Footprint};
-pub use gauge::{FlightId, Gauge, StatedLoad, Verdict};
 pub use handover::{Handover, MigrationStep, NextStep, StreamEnd};
 pub use home::{Home, HomeLoad};
 pub use home_settings::HomeSettings;
@@ -70,11 +68,13 @@
 pub use limits::{Bounds, LimitTable, Over};
 pub use load::EngineLoad;
 pub use pacer::Pacer;
+pub use permit_request::{EnginePermitRequest, Outcome, PermitKey, PermitRequestId, RefusalReason};
 pub use pick::{Candidate, Pick, pick};
 pub use queue::OrderRule;
 pub use rendezvous::{highest, rank};
 pub use retry::RetryBudget;
 pub use retry_window::{RetryBound, RetryWindow};
 pub use revision::Revision;
+pub use upstream_stats::{InFlightId, ReportedLoad, UpstreamStats, Verdict};
 pub use watchers::{WatchArea, WatchCandidate};
 pub use weights::Weights;
--- a/crates/policy/src/pacer.rs
+++ b/crates/policy/src/pacer.rs
@@ -24,7 +24,7 @@
     }
 
     /// Counts a start at a rate.
-    pub fn note(&mut self, now_ms: Millis, per_s: f32) {
+    pub fn record(&mut self, now_ms: Millis, per_s: f32) {
         self.due_ms = self.due_ms.max(now_ms as f64) + interval_ms(per_s);
     }
 
@@ -35,7 +35,7 @@
     pub fn grant(&mut self, now_ms: Millis, per_s: f32) -> Result<(), Millis> {
         match self.wait_ms(now_ms) {
             0 => {
-                self.note(now_ms, per_s);
+                self.record(now_ms, per_s);
                 Ok(())
             }
             wait_ms => Err(wait_ms),
--- a/crates/policy/src/permit.rs
+++ b/crates/policy/src/permit.rs
@@ -1,16 +1,16 @@
 //! One generation that a home has let start.
 
-use crate::ask::{Ask, AskId};
 use crate::fit::Footprint;
 use crate::key::Millis;
 use crate::lengths::Lengths;
+use crate::permit_request::{EnginePermitRequest, PermitRequestId};
 
 /// The pace of a batch is trusted for so long after a report.
 const PACE_BOUND_MS: Millis = 1_500;
 
 #[derive(Debug)]
 pub(crate) struct Permit {
-    pub(crate) ask: Ask,
+    pub(crate) ask: EnginePermitRequest,
     pub(crate) out_tokens: u32,
     pub(crate) heard_at_ms: Millis,
     draw: f32,
@@ -20,7 +20,7 @@
 }
 
 impl Permit {
-    pub(crate) fn new(now_ms: Millis, ask: Ask, priority: i32) -> Self {
+    pub(crate) fn new(now_ms: Millis, ask: EnginePermitRequest, priority: i32) -> Self {
         Self {
             ask,
             out_tokens: ask.out_tokens,
@@ -57,7 +57,12 @@
     }
 }
 
-fn footprint<'a>(ask: &Ask, out_tokens: u32, draw: f32, lengths: &'a Lengths) -> Footprint<'a> {
+fn footprint<'a>(
+    ask: &EnginePermitRequest,
+    out_tokens: u32,
+    draw: f32,
+    lengths: &'a Lengths,
+) -> Footprint<'a> {
     Footprint {
         prompt_tokens: ask.prompt_tokens as f32,
         out_tokens: out_tokens as f32,
@@ -69,12 +74,12 @@
 }
 
 /// A draw that stays with its ask, so that a prediction doesn't jump from step to step.
-fn draw(ask: AskId) -> f32 {
+fn draw(ask: PermitRequestId) -> f32 {
     let hash = xxhash_rust::xxh3::xxh3_64(&ask.0.to_le_bytes());
     (hash >> 40) as f32 / (1u64 << 24) as f32
 }
 
 /// What an ask would hold if it started now.
-pub(crate) fn wanted<'a>(ask: &Ask, lengths: &'a Lengths) -> Footprint<'a> {
+pub(crate) fn wanted<'a>(ask: &EnginePermitRequest, lengths: &'a Lengths) -> Footprint<'a> {
     footprint(ask, ask.out_tokens, draw(ask.id), lengths)
 }
--- a/crates/policy/src/ask.rs
+++ b/crates/policy/src/permit_request.rs
@@ -12,13 +12,13 @@
 
 /// Names an ask; chosen by the entry host, unique over all hosts.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
-pub struct AskId(pub u64);
+pub struct PermitRequestId(pub u64);
 
 /// A request to start a generation on the engine.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
-pub struct Ask {
+pub struct EnginePermitRequest {
     /// Names this ask.
-    pub id: AskId,
+    pub id: PermitRequestId,
     /// The entry host that asks.
     pub host: HostKey,
     /// For whom.
@@ -36,14 +36,15 @@
     /// The answer's bound.
     pub output_limit_tokens: u32,
     /// How long the ask may wait.
-    pub patience_ms: Millis,
+    #[serde(rename = "patience_ms")]
+    pub max_wait_ms: Millis,
     /// Whether to refuse at once rather than queue.
     pub only_now: bool,
     /// The whole length, where it is known (the bench's oracle).
     pub known_tokens: Option<u32>,
 }
 
-impl Ask {
+impl EnginePermitRequest {
     /// Whether the caller has tokens of this generation already.
     pub fn is_resumption(&self) -> bool {
         self.out_tokens > 0
@@ -71,7 +72,7 @@
     /// The generation may start.
     Granted {
         /// The ask.
-        ask: AskId,
+        ask: PermitRequestId,
         /// The host that asked.
         host: HostKey,
         /// Names the permit from now on.
@@ -82,7 +83,7 @@
     /// The generation may not start here.
     Refused {
         /// The ask.
-        ask: AskId,
+        ask: PermitRequestId,
         /// The host that asked.
         host: HostKey,
         /// Why.
--- a/crates/policy/src/pick.rs
+++ b/crates/policy/src/pick.rs
@@ -10,7 +10,7 @@
     /// The engine.
     pub upstream: UpstreamKey,
     /// Whether it stands in the entry host's own data centre.
-    pub near: bool,
+    pub is_local: bool,
     /// Its last known load.
     pub load: EngineLoad,
     /// Whether cache events say that it holds the prompt's prefix.
@@ -42,7 +42,7 @@
     let mut nearest = Nearest::default();
     for one in candidates {
         let share = share(one.load);
-        let near = one.near && share < NEAR_SPILL_SHARE;
+        let near = one.is_local && share < NEAR_SPILL_SHARE;
         let class = u8::from(share <= bound) * 4 + u8::from(near) * 2 + u8::from(one.cached);
         nearest.take(one.upstream, share + f32::from(u8::from(!near)));
         // Hashing is most of the work: it is left out where the class decides.
--- a/crates/policy/src/queue.rs
+++ b/crates/policy/src/queue.rs
@@ -1,8 +1,8 @@
 //! The order in which a home's queue is served.
 
-use crate::ask::Ask;
 use crate::fair::Fairness;
 use crate::key::Millis;
+use crate::permit_request::EnginePermitRequest;
 
 /// Which ask is served next, among those that fairness allows.
 #[derive(Debug, Clone, Copy, PartialEq)]
@@ -18,7 +18,7 @@
 
 #[derive(Debug, Clone)]
 pub(crate) struct Waiting {
-    pub(crate) ask: Ask,
+    pub(crate) ask: EnginePermitRequest,
     pub(crate) since_ms: Millis,
     pub(crate) footprint_tokens: f32,
 }
@@ -35,7 +35,7 @@
     rule: OrderRule,
     fairness: &Fairness,
     lead_bound_tokens: f64,
-    borrows: impl Fn(&Ask) -> bool,
+    borrows: impl Fn(&EnginePermitRequest) -> bool,
 ) -> Option<usize> {
     let charge_bound = fairness.least_waiting() + lead_bound_tokens;
     let mut best: Option<(usize, (bool, Rank))> = None;
--- a/crates/policy/src/retry.rs
+++ b/crates/policy/src/retry.rs
@@ -19,12 +19,12 @@
     }
 
     /// A first try was made.
-    pub fn first_try(&mut self) {
+    pub fn record_first_attempt(&mut self) {
         self.saved = (self.saved + self.share).min(self.most);
     }
 
     /// Whether a retry may be made; takes it from the budget.
-    pub fn retry(&mut self) -> bool {
+    pub fn try_retry(&mut self) -> bool {
         if self.saved < 1.0 {
             return false;
         }
--- a/crates/policy/src/retry_window.rs
+++ b/crates/policy/src/retry_window.rs
@@ -48,14 +48,14 @@
     }
 
     /// A request of a caller came.
-    pub fn request(&mut self, now_ms: Millis) {
+    pub fn record_request(&mut self, now_ms: Millis) {
         self.forget(now_ms);
         self.requests.push_back(now_ms);
     }
 
     /// Whether a request may be sent once more; counted where it may.
-    pub fn retry(&mut self, now_ms: Millis, hosts: usize) -> bool {
-        if self.left(now_ms, hosts) < 1.0 {
+    pub fn try_retry(&mut self, now_ms: Millis, hosts: usize) -> bool {
+        if self.remaining(now_ms, hosts) < 1.0 {
             return false;
         }
         self.retries.push_back(now_ms);
@@ -64,13 +64,13 @@
 
     /// A request goes on elsewhere from a copy of its memory: that is not asked about, since nobody makes
     /// again what is there already, but it arrives at the service like a retry, and leaves the fewer.
-    pub fn go_on(&mut self, now_ms: Millis) {
+    pub fn record_continuation(&mut self, now_ms: Millis) {
         self.forget(now_ms);
         self.retries.push_back(now_ms);
     }
 
     /// Requests that may still be sent once more within the window.
-    pub fn left(&mut self, now_ms: Millis, hosts: usize) -> f32 {
+    pub fn remaining(&mut self, now_ms: Millis, hosts: usize) -> f32 {
         self.forget(now_ms);
         let own = self.bound.ratio * self.requests.len() as f32;
         let extra = self.bound.extra / hosts.max(1) as f32;
--- a/crates/policy/src/gauge.rs
+++ b/crates/policy/src/upstream_stats.rs
@@ -23,7 +23,7 @@
 
 /// An upstream's own statement of its load.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct StatedLoad {
+pub struct ReportedLoad {
     /// Requests it works on.
     pub running: u32,
     /// Requests that wait there.
@@ -47,7 +47,7 @@
 
 #[derive(Debug, Clone, Copy)]
 struct Statement {
-    load: StatedLoad,
+    load: ReportedLoad,
     at_ms: Millis,
     /// Requests of this host since: started less ended.
     since: i32,
@@ -55,7 +55,7 @@
 
 /// What one host knows of one upstream.
 #[derive(Debug, Clone, Default)]
-pub struct Gauge {
+pub struct UpstreamStats {
     in_flight: Vec<(u64, Millis)>,
     next_id: u64,
     statement: Option<Statement>,
@@ -66,22 +66,22 @@
 
 /// A request in flight, by which its end is reported.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct FlightId(u64);
+pub struct InFlightId(u64);
 
-impl Gauge {
+impl UpstreamStats {
     /// A request goes out.
-    pub fn start(&mut self, now_ms: Millis) -> FlightId {
+    pub fn start(&mut self, now_ms: Millis) -> InFlightId {
         let id = self.next_id;
         self.next_id += 1;
         self.in_flight.push((id, now_ms));
         if let Some(statement) = &mut self.statement {
             statement.since += 1;
         }
-        FlightId(id)
+        InFlightId(id)
     }
 
     /// A request is over.
-    pub fn end(&mut self, now_ms: Millis, flight: FlightId, verdict: Verdict) {
+    pub fn end(&mut self, now_ms: Millis, flight: InFlightId, verdict: Verdict) {
         let place = self.in_flight.iter().position(|(id, _)| *id == flight.0);
         let Some(place) = place else { return };
         self.in_flight.swap_remove(place);
@@ -97,7 +97,7 @@
     }
 
     /// The first byte of an answer came after `latency_ms`.
-    pub fn answered(&mut self, latency_ms: Millis) {
+    pub fn record_latency(&mut self, latency_ms: Millis) {
         let latency_ms = latency_ms as f32;
         let held = self.latency_ms.unwrap_or(latency_ms);
         // A slower answer counts at once, a faster one bit by bit.
@@ -106,7 +106,7 @@
     }
 
     /// The upstream stated its load.
-    pub fn state(&mut self, now_ms: Millis, load: StatedLoad) {
+    pub fn record_load(&mut self, now_ms: Millis, load: ReportedLoad) {
         self.statement = Some(Statement {
             load,
             at_ms: now_ms,
@@ -115,12 +115,12 @@
     }
 
     /// No connection could be made.
-    pub fn unreachable(&mut self, now_ms: Millis) {
+    pub fn record_unreachable(&mut self, now_ms: Millis) {
         self.failures.fail_all(now_ms);
     }
 
     /// The upstream is full or about to leave: it had better be spared until then.
-    pub fn spare_until(&mut self, until_ms: Millis) {
+    pub fn penalise_until(&mut self, until_ms: Millis) {
         self.shed_until_ms = self.shed_until_ms.max(until_ms);
     }
 
--- a/crates/policy/tests/backpressure.rs
+++ b/crates/policy/tests/backpressure.rs
@@ -6,12 +6,12 @@
 const LIMITED: Signals = Signals {
     limit_per_s: Some(3.0),
     is_leaving: false,
-    rest_ms: None,
+    backoff_ms: None,
 };
 const LEAVING: Signals = Signals {
     limit_per_s: None,
     is_leaving: true,
-    rest_ms: None,
+    backoff_ms: None,
 };
 
 struct Told {
@@ -28,11 +28,11 @@
 #[case::earlier(Told { per_s: 5.0, heard_ms: 400, limit_per_s: Some(3.0) })]
 fn the_newest_word_on_a_limit_counts(#[case] told: Told) {
     let mut asked = Backpressure::default();
-    asked.hear(1_000, LIMITED);
-    asked.hear_limit(told.per_s, told.heard_ms);
+    asked.update(1_000, LIMITED);
+    asked.merge_limit(told.per_s, told.heard_ms);
     assert_eq!(asked.limit_per_s(), told.limit_per_s);
-    asked.hear(2_000, Signals::default());
-    asked.hear_limit(told.per_s, told.heard_ms);
+    asked.update(2_000, Signals::default());
+    asked.merge_limit(told.per_s, told.heard_ms);
     assert_eq!(asked.limit_per_s(), None);
 }
 
@@ -40,27 +40,27 @@
 #[test]
 fn nothing_is_held_back_behind_a_limit() {
     let mut asked = Backpressure::default();
-    asked.hear(1_000, LIMITED);
-    asked.hold(1_400);
-    assert!(asked.opens_ms() > 1_399);
-    assert!(asked.opens_ms() <= 1_400);
-    asked.hold(9_000);
-    asked.hear(1_500, Signals::default());
-    assert!(asked.opens_ms() <= 1_500);
+    asked.update(1_000, LIMITED);
+    asked.throttle_until(1_400);
+    assert!(asked.blocked_until_ms() > 1_399);
+    assert!(asked.blocked_until_ms() <= 1_400);
+    asked.throttle_until(9_000);
+    asked.update(1_500, Signals::default());
+    assert!(asked.blocked_until_ms() <= 1_500);
 }
 
 /// Guards against a late answer without the word, which would bring one that leaves back.
 #[test]
 fn one_that_leaves_stays_closed() {
     let mut asked = Backpressure::default();
-    asked.hear(1_000, LEAVING);
-    asked.hear(1_100, Signals::default());
-    assert!(asked.is_closed(600_000));
+    asked.update(1_000, LEAVING);
+    asked.update(1_100, Signals::default());
+    assert!(asked.is_blocked(600_000));
 }
 
 fn rest(rest_ms: u64) -> Signals {
     Signals {
-        rest_ms: Some(rest_ms),
+        backoff_ms: Some(rest_ms),
         ..Signals::default()
     }
 }
@@ -81,11 +81,11 @@
 fn the_longest_rest_counts(#[case] case: Rests) {
     let mut asked = Backpressure::default();
     for (now_ms, rest_ms) in case.asked {
-        asked.hear(*now_ms, rest(*rest_ms));
+        asked.update(*now_ms, rest(*rest_ms));
     }
-    asked.hear(1_200, Signals::default());
-    assert!(asked.is_closed(case.over_ms - 1));
-    assert!(!asked.is_closed(case.over_ms));
+    asked.update(1_200, Signals::default());
+    assert!(asked.is_blocked(case.over_ms - 1));
+    assert!(!asked.is_blocked(case.over_ms));
 }
 
 /// Guards against generations that go on one after the other at an upstream that rests, each of them the
@@ -94,13 +94,13 @@
 fn one_generation_goes_on_in_a_rest() {
     let mut asked = Backpressure::default();
     assert!(asked.may_continue(500));
-    asked.hear(1_000, rest(3_000));
+    asked.update(1_000, rest(3_000));
     assert!(asked.may_continue(1_100));
     assert!(!asked.may_continue(1_200));
     // The same rest, though it is asked for once more.
-    asked.hear(1_300, rest(3_000));
+    asked.update(1_300, rest(3_000));
     assert!(!asked.may_continue(1_400));
     assert!(asked.may_continue(4_300));
-    asked.hear(5_000, rest(1_000));
+    asked.update(5_000, rest(1_000));
     assert!(asked.may_continue(5_100));
 }
--- a/crates/policy/tests/cold.rs
+++ b/crates/policy/tests/cold.rs
@@ -16,7 +16,7 @@
 #[case::no_slack(Rate { bound: ColdBound { overage: 1.0, slack: 0.0 }, per_second: 3.0, starts: 1 })]
 #[case::at_least_one(Rate { bound: ColdBound { overage: 1.0, slack: 0.0 }, per_second: 0.0, starts: 1 })]
 fn one_home_hands_out_half(#[case] case: Rate) {
-    assert_eq!(case.bound.starts(case.per_second), case.starts);
+    assert_eq!(case.bound.starts_per_host(case.per_second), case.starts);
     let all = case.per_second * case.bound.overage + case.bound.slack;
     assert!(case.starts == 1 || case.starts as f32 * 2.0 <= all);
 }
--- a/crates/policy/tests/home.rs
+++ b/crates/policy/tests/home.rs
@@ -1,9 +1,9 @@
 //! The decisions of one home, with the time as an argument.
 
 use fulmarpath_policy::{
-    Ask, AskId, Bounds, Candidate, EngineLoad, Home, HomeSettings, HostKey, Lengths, LimitTable,
-    OrganisationKey, Outcome, Over, RefusalReason, RetryBudget, ServiceKey, UpstreamKey, Weights,
-    pick,
+    Bounds, Candidate, EngineLoad, EnginePermitRequest, Home, HomeSettings, HostKey, Lengths,
+    LimitTable, OrganisationKey, Outcome, Over, PermitRequestId, RefusalReason, RetryBudget,
+    ServiceKey, UpstreamKey, Weights, pick,
 };
 
 const MEMORY_TOKENS: u32 = 10_000;
@@ -17,9 +17,9 @@
     ))
 }
 
-fn ask(id: u64, organisation: u64, prompt_tokens: u32) -> Ask {
-    Ask {
-        id: AskId(id),
+fn ask(id: u64, organisation: u64, prompt_tokens: u32) -> EnginePermitRequest {
+    EnginePermitRequest {
+        id: PermitRequestId(id),
         host: HostKey(1),
         organisation: OrganisationKey(organisation),
         service: ServiceKey(1),
@@ -28,7 +28,7 @@
         prompt_tokens,
         out_tokens: 0,
         output_limit_tokens: 500,
-        patience_ms: 10_000,
+        max_wait_ms: 10_000,
         only_now: false,
         known_tokens: Some(100),
     }
@@ -60,7 +60,7 @@
 fn what_fits_starts_and_the_rest_waits() {
     let (mut home, lengths) = (home(), Lengths::new());
     for id in 0..5 {
-        home.ask(1_000, ask(id, id, 3_000), &lengths);
+        home.request_permit(1_000, ask(id, id, 3_000), &lengths);
     }
     assert_eq!(granted(&step(&mut home, 1_000)).len(), 3);
     assert_eq!(home.load().queued, 2);
@@ -71,12 +71,12 @@
 #[test]
 fn an_ask_that_comes_twice_holds_once() {
     let (mut home, lengths) = (home(), Lengths::new());
-    home.ask(1_000, ask(1, 1, 3_000), &lengths);
+    home.request_permit(1_000, ask(1, 1, 3_000), &lengths);
     step(&mut home, 1_000);
-    home.ask(1_300, ask(1, 1, 3_000), &lengths);
+    home.request_permit(1_300, ask(1, 1, 3_000), &lengths);
     assert!(step(&mut home, 1_300).is_empty());
     assert_eq!(home.load().held_tokens, 3_000);
-    assert!(home.granted(AskId(1)).is_some());
+    assert!(home.granted_permit(PermitRequestId(1)).is_some());
 }
 
 /// Another host believes to be home as well and fills the engine: its report shows more than this
@@ -84,7 +84,7 @@
 #[test]
 fn memory_that_no_permit_explains_is_kept_free() {
     let (mut home, lengths) = (home(), Lengths::new());
-    home.ask(1_000, ask(1, 1, 100), &lengths);
+    home.request_permit(1_000, ask(1, 1, 100), &lengths);
     step(&mut home, 1_000);
     let load = EngineLoad {
         used_tokens: 9_000,
@@ -94,7 +94,7 @@
     for report in 0..8 {
         home.report(1_100 + report * 500, load);
     }
-    home.ask(5_200, ask(2, 2, 3_000), &lengths);
+    home.request_permit(5_200, ask(2, 2, 3_000), &lengths);
     assert!(granted(&step(&mut home, 5_200)).is_empty());
 }
 
@@ -102,9 +102,9 @@
 #[test]
 fn permits_of_a_dead_host_lapse() {
     let (mut home, lengths) = (home(), Lengths::new());
-    home.ask(1_000, ask(1, 1, 9_000), &lengths);
+    home.request_permit(1_000, ask(1, 1, 9_000), &lengths);
     step(&mut home, 1_000);
-    home.ask(2_000, ask(2, 2, 9_000), &lengths);
+    home.request_permit(2_000, ask(2, 2, 9_000), &lengths);
     assert!(granted(&step(&mut home, 2_000)).is_empty());
     assert_eq!(granted(&step(&mut home, 7_100)), [2]);
 }
@@ -112,24 +112,24 @@
 #[test]
 fn refusals_say_why_and_come_at_once_where_nothing_can_help() {
     let (mut home, lengths) = (home(), Lengths::new());
-    home.ask(1_000, ask(1, 1, MEMORY_TOKENS), &lengths);
+    home.request_permit(1_000, ask(1, 1, MEMORY_TOKENS), &lengths);
     assert_eq!(
         refused(&step(&mut home, 1_000)),
         [(1, RefusalReason::TooLarge)]
     );
-    home.ask(1_000, ask(2, 1, 9_000), &lengths);
+    home.request_permit(1_000, ask(2, 1, 9_000), &lengths);
     step(&mut home, 1_000);
-    let hurried = Ask {
+    let hurried = EnginePermitRequest {
         only_now: true,
         ..ask(3, 1, 9_000)
     };
-    home.ask(1_000, hurried, &lengths);
+    home.request_permit(1_000, hurried, &lengths);
     assert_eq!(
         refused(&step(&mut home, 1_000)),
         [(3, RefusalReason::NoRoomNow)]
     );
     home.set_leaving(true);
-    home.ask(1_000, ask(4, 1, 10), &lengths);
+    home.request_permit(1_000, ask(4, 1, 10), &lengths);
     assert_eq!(
         refused(&step(&mut home, 1_000)),
         [(4, RefusalReason::Leaving)]
@@ -143,16 +143,16 @@
     let (mut home, lengths) = (home(), Lengths::new());
     let mut permits = Vec::new();
     for id in 0..3 {
-        home.ask(1_000, ask(id, 1, 3_000), &lengths);
+        home.request_permit(1_000, ask(id, 1, 3_000), &lengths);
     }
     for outcome in step(&mut home, 1_000) {
         if let Outcome::Granted { permit, .. } = outcome {
             permits.push(permit);
         }
     }
-    home.ask(1_100, ask(10, 1, 200), &lengths);
-    home.ask(1_100, ask(11, 1, 200), &lengths);
-    home.ask(1_200, ask(20, 2, 2_500), &lengths);
+    home.request_permit(1_100, ask(10, 1, 200), &lengths);
+    home.request_permit(1_100, ask(11, 1, 200), &lengths);
+    home.request_permit(1_200, ask(20, 2, 2_500), &lengths);
     assert!(granted(&step(&mut home, 1_200)).is_empty());
     home.cancel(permits[0]);
     assert_eq!(granted(&step(&mut home, 1_300))[0], 20);
@@ -161,17 +161,17 @@
 #[test]
 fn resumptions_go_before_new_work() {
     let (mut home, lengths) = (home(), Lengths::new());
-    home.ask(1_000, ask(1, 1, 9_000), &lengths);
+    home.request_permit(1_000, ask(1, 1, 9_000), &lengths);
     let permit = match step(&mut home, 1_000)[0] {
         Outcome::Granted { permit, .. } => permit,
         other => panic!("{other:?}"),
     };
-    home.ask(1_100, ask(2, 2, 100), &lengths);
-    let resumed = Ask {
+    home.request_permit(1_100, ask(2, 2, 100), &lengths);
+    let resumed = EnginePermitRequest {
         out_tokens: 50,
         ..ask(3, 1, 8_000)
     };
-    home.ask(1_200, resumed, &lengths);
+    home.request_permit(1_200, resumed, &lengths);
     home.cancel(permit);
     assert_eq!(granted(&step(&mut home, 1_300))[0], 3);
 }
@@ -246,8 +246,8 @@
     let mut budget = RetryBudget::new(0.1, 2.0);
     let mut made = 0;
     for _ in 0..100 {
-        budget.first_try();
-        made += u32::from(budget.retry());
+        budget.record_first_attempt();
+        made += u32::from(budget.try_retry());
     }
     assert!((10..=12).contains(&made), "{made}");
 }
@@ -256,7 +256,7 @@
 fn a_prefix_stays_with_its_engine_until_that_is_loaded() {
     let candidate = |engine: u64, used_tokens| Candidate {
         upstream: UpstreamKey(engine),
-        near: true,
+        is_local: true,
         load: EngineLoad {
             used_tokens,
             memory_tokens: 1_000,
--- a/crates/policy/tests/upstreams.rs
+++ b/crates/policy/tests/upstreams.rs
@@ -1,7 +1,7 @@
 //! What one host knows of upstreams, which one it chooses, and how often it tries again.
 
 use fulmarpath_policy::{
-    Choice, Gauge, RetryBound, RetryWindow, StatedLoad, UpstreamKey, Verdict, choose,
+    Choice, ReportedLoad, RetryBound, RetryWindow, UpstreamKey, UpstreamStats, Verdict, choose,
 };
 use rstest::rstest;
 
@@ -24,15 +24,15 @@
 #[case::sheds(Sickness { verdicts: &[Verdict::Shed; 8], latency_ms: 30, is_spared: true })]
 #[case::slow(Sickness { verdicts: &[Verdict::Good; 8], latency_ms: 240, is_spared: true })]
 fn sick_upstreams_are_spared(#[case] case: Sickness) {
-    let mut sick = Gauge::default();
-    let mut well = Gauge::default();
+    let mut sick = UpstreamStats::default();
+    let mut well = UpstreamStats::default();
     for (turn, verdict) in case.verdicts.iter().enumerate() {
         let now_ms = 1_000 + turn as u64 * 50;
         let flight = sick.start(now_ms);
-        sick.answered(case.latency_ms);
+        sick.record_latency(case.latency_ms);
         sick.end(now_ms + 40, flight, *verdict);
         let flight = well.start(now_ms);
-        well.answered(30);
+        well.record_latency(30);
         well.end(now_ms + 30, flight, Verdict::Good);
     }
     well.start(1_500);
@@ -43,7 +43,7 @@
 /// An upstream hangs: nothing comes back, so the age of what it owes makes it dear.
 #[test]
 fn a_hanging_upstream_grows_dear() {
-    let mut hanging = Gauge::default();
+    let mut hanging = UpstreamStats::default();
     hanging.start(1_000);
     assert!(hanging.cost(2_000) > 10.0 * hanging.cost(1_010));
 }
@@ -51,8 +51,8 @@
 /// What failed is tried again after a while without a failure.
 #[test]
 fn failures_are_forgiven() {
-    let mut gauge = Gauge::default();
-    gauge.unreachable(1_000);
+    let mut gauge = UpstreamStats::default();
+    gauge.record_unreachable(1_000);
     assert!(gauge.failure_share(1_000) > 0.99);
     assert!(gauge.failure_share(12_000) < 0.06);
 }
@@ -60,13 +60,13 @@
 /// A stated load counts with what this host has sent since, and fades.
 #[test]
 fn stated_load_is_brought_up_to_date() {
-    let mut gauge = Gauge::default();
-    let load = StatedLoad {
+    let mut gauge = UpstreamStats::default();
+    let load = ReportedLoad {
         running: 5,
         waiting: 1,
         slots: 6,
     };
-    gauge.state(1_000, load);
+    gauge.record_load(1_000, load);
     gauge.start(1_000);
     assert!((gauge.occupancy(1_000) - 7.0).abs() < 0.01);
     assert!((gauge.occupancy(4_000) - 1.0).abs() < 0.01);
@@ -90,7 +90,7 @@
         .map(|(key, cost, near)| Choice {
             key: UpstreamKey(*key),
             cost: *cost,
-            near: *near,
+            is_local: *near,
         })
         .collect();
     assert_eq!(choose(&choices, case.draw).map(|key| key.0), case.expected);
@@ -117,9 +117,11 @@
     for _ in 0..case.hosts {
         let mut window = RetryWindow::new(bound);
         for request in 0..case.requests_each {
-            window.request(request as u64);
+            window.record_request(request as u64);
         }
-        retried += (0..1_000).filter(|_| window.retry(100, case.hosts)).count();
+        retried += (0..1_000)
+            .filter(|_| window.try_retry(100, case.hosts))
+            .count();
     }
     let requests = (case.hosts * case.requests_each) as f32;
     let allowed = bound.ratio * requests + bound.extra;
@@ -139,9 +141,9 @@
         window_ms: 1_000,
     };
     let mut window = RetryWindow::new(bound);
-    assert!(window.retry(0, 1));
-    assert!(!window.retry(900, 1));
-    assert!(window.retry(1_001, 1));
+    assert!(window.try_retry(0, 1));
+    assert!(!window.try_retry(900, 1));
+    assert!(window.try_retry(1_001, 1));
 }
 
 /// Engines leave, and their generations go on elsewhere, each of which arrives at the service once more.
@@ -155,17 +157,17 @@
     };
     let mut window = RetryWindow::new(bound);
     for _ in 0..100 {
-        window.request(0);
+        window.record_request(0);
     }
     for _ in 0..13 {
-        window.go_on(10);
+        window.record_continuation(10);
     }
-    assert!(window.retry(20, 1));
-    assert!(!window.retry(20, 1));
+    assert!(window.try_retry(20, 1));
+    assert!(!window.try_retry(20, 1));
     for _ in 0..10 {
-        window.go_on(30);
+        window.record_continuation(30);
     }
-    assert!(window.left(40, 1) < 0.0);
-    window.request(1_020);
-    assert!(!window.retry(1_020, 1));
+    assert!(window.remaining(40, 1) < 0.0);
+    window.record_request(1_020);
+    assert!(!window.try_retry(1_020, 1));
 }
--- a/crates/wire/src/service.rs
+++ b/crates/wire/src/service.rs
@@ -1,6 +1,8 @@
 //! The calls that entry hosts make to each other.
 
-use fulmarpath_policy::{Ask, AskId, Circuit, ContentKey, OrganisationKey, UpstreamKey};
+use fulmarpath_policy::{
+    Circuit, ContentKey, EnginePermitRequest, OrganisationKey, PermitRequestId, UpstreamKey,
+};
 
 use crate::message::{
     ClaimAnswer, ClaimRequest, Document, FetchAnswer, LimitAnswer, PermitId, PermitReply, Ping,
@@ -21,13 +23,13 @@
     /// Returns one part of the configuration by its hash; empty where it isn't held.
     async fn part(hash: String) -> Vec<u8>;
     /// Requests a permit from the home of an engine, or polls an earlier request with the same id.
-    async fn ask(upstream: UpstreamKey, request: Ask) -> PermitReply;
+    async fn ask(upstream: UpstreamKey, request: EnginePermitRequest) -> PermitReply;
     /// Withdraws a permit request or the permit granted for it.
-    async fn withdraw(upstream: UpstreamKey, request: AskId);
+    async fn withdraw(upstream: UpstreamKey, request: PermitRequestId);
     /// Reports the progress of one host's permits; the reply names those that should move.
     async fn progress(host: fulmarpath_policy::HostKey, progress: Vec<Progress>) -> ProgressReply;
     /// Restores a permit at a home that doesn't know it.
-    async fn restore(upstream: UpstreamKey, request: Ask) -> Option<PermitId>;
+    async fn restore(upstream: UpstreamKey, request: EnginePermitRequest) -> Option<PermitId>;
     /// Takes a slot under an organisation's limits.
     async fn take_slot(request: SlotRequest) -> LimitAnswer;
     /// Reports how many slots the caller holds for each organisation.
