--- a/crates/cluster/src/homes.rs
+++ b/crates/cluster/src/homes.rs
@@ -5,8 +5,8 @@
 use std::time::Duration;
 
 use fulmarpath_policy::{
-    Ask, EngineLoad, Home, HomeSettings, HostKey, Lengths, Millis, Outcome, PermitRequestId,
-    UpstreamKey, Weights,
+    EngineLoad, EnginePermitRequest, Home, HomeSettings, HostKey, Lengths, Millis, Outcome,
+    PermitRequestId, UpstreamKey, Weights,
 };
 use fulmarpath_upstream::{EngineState, LoadReport};
 use fulmarpath_wire::{PermitAnswer, PermitId, PermitReply, Progress, ProgressReply, RunState};
@@ -91,7 +91,7 @@
         now_ms: Millis,
         upstream: UpstreamKey,
         settings: HomeSettings,
-        ask: Ask,
+        ask: EnginePermitRequest,
     ) -> PermitReply {
         let (sender, receiver) = oneshot::channel();
         {
@@ -101,7 +101,7 @@
                 .entries
                 .entry(upstream)
                 .or_insert_with(|| new_entry(settings));
-            if let Some((key, priority)) = entry.home.granted(ask.id) {
+            if let Some((key, priority)) = entry.home.granted_permit(ask.id) {
                 let permit = PermitId {
                     epoch: self.epoch,
                     key,
@@ -111,7 +111,7 @@
                 return PermitReply { answer, load };
             }
             state.waiters.insert(ask.id, sender);
-            entry.home.ask(now_ms, ask, &state.lengths);
+            entry.home.request_permit(now_ms, ask, &state.lengths);
             self.step(now_ms, state, upstream);
         }
         let answer = tokio::time::timeout(MAX_CALL_WAIT, receiver).await;
@@ -199,7 +199,7 @@
         now_ms: Millis,
         upstream: UpstreamKey,
         settings: HomeSettings,
-        ask: Ask,
+        ask: EnginePermitRequest,
     ) -> PermitId {
         let mut state = self.state.lock();
         let entry = state
@@ -221,7 +221,7 @@
                 .entries
                 .get_mut(&one.upstream)
                 .map(|entry| &mut entry.home)
-                .filter(|home| one.permit.epoch == self.epoch && home.knows(one.permit.key));
+                .filter(|home| one.permit.epoch == self.epoch && home.has_permit(one.permit.key));
             let Some(home) = home else {
                 reply.unknown.push(one.permit);
                 continue;
--- a/crates/cluster/src/permits.rs
+++ b/crates/cluster/src/permits.rs
@@ -5,8 +5,8 @@
 use std::time::Duration;
 
 use fulmarpath_policy::{
-    Ask, Candidate, HostKey, Millis, OrganisationKey, PermitRequestId, RefusalReason, ServiceKey,
-    UpstreamKey, pick,
+    Candidate, EnginePermitRequest, HostKey, Millis, OrganisationKey, PermitRequestId,
+    RefusalReason, ServiceKey, UpstreamKey, pick,
 };
 use fulmarpath_upstream::Engine;
 use fulmarpath_wire::{
@@ -92,7 +92,7 @@
 #[derive(Debug)]
 pub(crate) struct HeldPermit {
     pub(crate) upstream: UpstreamKey,
-    pub(crate) ask: Ask,
+    pub(crate) ask: EnginePermitRequest,
     /// `None` where the generation started without a home; changes when a new home takes over.
     pub(crate) id: Mutex<Option<PermitId>>,
     pub(crate) out_tokens: AtomicU32,
@@ -192,7 +192,7 @@
 
 struct Grant {
     upstream: UpstreamKey,
-    ask: Ask,
+    ask: EnginePermitRequest,
     id: Option<PermitId>,
     priority: i32,
 }
@@ -271,7 +271,7 @@
             .filter(|upstream| !closed.contains(&upstream.entry.data_centre))
             .map(|upstream| Candidate {
                 upstream: upstream.key,
-                near: upstream.entry.data_centre == self.settings.data_centre,
+                is_local: upstream.entry.data_centre == self.settings.data_centre,
                 load: loads.get(&upstream.key).copied().unwrap_or_default(),
                 cached: false,
             })
@@ -334,8 +334,8 @@
         id: PermitRequestId,
         request: &PermitRequest,
         max_wait_ms: Millis,
-    ) -> Ask {
-        Ask {
+    ) -> EnginePermitRequest {
+        EnginePermitRequest {
             id,
             host: self.key,
             organisation: request.organisation,
@@ -345,14 +345,18 @@
             prompt_tokens: request.prompt_tokens,
             out_tokens: request.out_tokens,
             output_limit_tokens: request.output_limit_tokens,
-            patience_ms: max_wait_ms,
+            max_wait_ms,
             only_now: request.only_now,
             known_tokens: None,
         }
     }
 
     /// Asks the best home that answers.
-    async fn request_from_home(&self, upstream: UpstreamKey, ask: Ask) -> Option<PermitReply> {
+    async fn request_from_home(
+        &self,
+        upstream: UpstreamKey,
+        ask: EnginePermitRequest,
+    ) -> Option<PermitReply> {
         for (key, note) in self.engine_homes(upstream, HOMES_TRIED) {
             if key == self.key {
                 return self.handle_permit_request(upstream, ask).await;
@@ -372,7 +376,7 @@
     pub(crate) async fn handle_permit_request(
         &self,
         upstream: UpstreamKey,
-        ask: Ask,
+        ask: EnginePermitRequest,
     ) -> Option<PermitReply> {
         let settings = self.home_settings_of(upstream)?;
         let now_ms = self.clock.now_ms();
--- a/crates/cluster/src/server.rs
+++ b/crates/cluster/src/server.rs
@@ -4,7 +4,8 @@
 use std::sync::Arc;
 
 use fulmarpath_policy::{
-    Ask, Circuit, ContentKey, HostKey, OrganisationKey, PermitRequestId, UpstreamKey,
+    Circuit, ContentKey, EnginePermitRequest, HostKey, OrganisationKey, PermitRequestId,
+    UpstreamKey,
 };
 use fulmarpath_wire::{
     ClaimAnswer, ClaimRequest, Document, FetchAnswer, LimitAnswer, Peer, PeerClient, PermitAnswer,
@@ -82,7 +83,7 @@
             .unwrap_or_default()
     }
 
-    async fn ask(self, _: Context, upstream: UpstreamKey, ask: Ask) -> PermitReply {
+    async fn ask(self, _: Context, upstream: UpstreamKey, ask: EnginePermitRequest) -> PermitReply {
         let reply = self.node.handle_permit_request(upstream, ask).await;
         reply.unwrap_or(PermitReply {
             answer: PermitAnswer::NotHome,
@@ -102,7 +103,12 @@
         reply
     }
 
-    async fn restore(self, _: Context, upstream: UpstreamKey, ask: Ask) -> Option<PermitId> {
+    async fn restore(
+        self,
+        _: Context,
+        upstream: UpstreamKey,
+        ask: EnginePermitRequest,
+    ) -> Option<PermitId> {
         let settings = self.node.home_settings_of(upstream)?;
         let now_ms = self.node.clock.now_ms();
         let homes = &self.node.homes;
--- a/crates/policy/src/cell/mod.rs
+++ b/crates/policy/src/cell/mod.rs
@@ -24,8 +24,8 @@
 pub use placement::{EngineSnapshot, Placement, PlacementRequest};
 pub use run::{RunEnd, RunKey, RunStatement};
 
-use crate::gauge::Verdict;
 use crate::key::{HostKey, Millis, UpstreamKey};
+use crate::upstream_stats::Verdict;
 use answer_lengths::AnswerLengths;
 use engine::Engine;
 use prefill_rate::PrefillRate;
