--- a/crates/policy/tests/cell/standing.rs
+++ b/crates/policy/tests/cell/evacuated_and_cold.rs
@@ -1,4 +1,4 @@
-//! Engines whose data centre is evacuated, and cold ones, before a crowd of short prompts.
+//! Evacuated and cold engines under many short prompts.
 
 use fulmarpath_policy::{Cold, MigrationOutcome, Placement, RunEnd, RunKey, UpstreamKey};
 
@@ -9,13 +9,13 @@
     starts: 3,
 };
 
-/// Guards against work that is sent on to an evacuated data centre, and against runs that are cut there.
+/// Guards against new work in an evacuated data centre, and against generations that are cut there.
 #[test]
-fn an_evacuated_engine_gets_nothing_and_keeps_what_it_has() {
+fn evacuated_engine_keeps_its_generations_only() {
     let mut evacuated = engine(1, NEAR, false);
     let mut cell = cell(&[evacuated, engine(2, FAR, false)]);
     let first = engine_of(cell.place(0, &request(1, 2_000, 400, 200)));
-    assert_eq!(first, Some(1), "near, and as empty");
+    assert_eq!(first, Some(1), "local and equally empty");
     evacuated.is_evacuated = true;
     cell.set_engines(10, &[evacuated, engine(2, FAR, false)]);
     for run in 2..8 {
@@ -24,35 +24,36 @@
     }
     assert!(
         cell.leaving_engines().is_empty(),
-        "what runs there ends there"
+        "its generations stay there"
     );
 }
 
-/// Guards against a leaving engine's generations that are carried to an evacuated data centre.
+/// Guards against migrations of a leaving engine's generations into an evacuated data centre.
 #[test]
-fn nothing_is_carried_to_an_evacuated_engine() {
+fn nothing_migrates_to_an_evacuated_engine() {
     let mut evacuated = engine(2, NEAR, false);
     evacuated.is_evacuated = true;
     let mut cell = cell(&[engine(1, NEAR, true), evacuated, engine(3, FAR, false)]);
     cell.restate(0, ME, &[statement(1, 1, 40, 900)]);
-    let carry = cell
+    let migration = cell
         .next_migration(10, UpstreamKey(1))
-        .expect("one to carry");
-    assert_eq!(carry.to, UpstreamKey(3));
+        .expect("a migration");
+    assert_eq!(migration.to, UpstreamKey(3));
 }
 
-/// Guards against callers that wait for room where all data centres are evacuated.
+/// Guards against callers that wait for room when all data centres are evacuated.
 #[test]
-fn where_all_is_evacuated_nobody_waits() {
+fn no_engine_if_all_are_evacuated() {
     let mut evacuated = engine(1, NEAR, false);
     evacuated.is_evacuated = true;
     let placed = cell(&[evacuated]).place(0, &request(1, 2_000, 400, 200));
     assert_eq!(placed, Placement::NoEngine);
 }
 
-/// Guards against a crowd that a cold engine, which is the emptiest, draws and crashes under.
+/// Guards against a cold engine that attracts many requests because it is the emptiest, and crashes
+/// under them.
 #[test]
-fn a_cold_engine_gets_its_starts_only() {
+fn cold_engine_keeps_its_start_rate() {
     let mut cold = engine(1, NEAR, false);
     cold.cold = Some(COLD);
     let mut cell = cell(&[cold]);
@@ -75,12 +76,12 @@
     }
     assert!(started_ms.len() >= 8);
     let warm = cell.place(3_000, &request(9_000, 100, 8, 4));
-    assert_eq!(engine_of(warm), Some(1), "no longer cold");
+    assert_eq!(engine_of(warm), Some(1), "warm again");
 }
 
-/// Guards against carries that come on top of the starts of a cold engine.
+/// Guards against migrations that exceed the start rate of a cold engine.
 #[test]
-fn carries_count_as_starts() {
+fn migrations_count_as_starts() {
     let mut cold = engine(2, NEAR, false);
     cold.cold = Some(Cold { starts: 1, ..COLD });
     let mut cell = cell(&[engine(1, NEAR, true), cold]);
@@ -88,7 +89,7 @@
     cell.restate(0, ME, &runs);
     let first = cell
         .next_migration(10, UpstreamKey(1))
-        .expect("one to carry");
+        .expect("a migration");
     cell.finish_migration(60, first, MigrationOutcome::Moved);
     assert_eq!(cell.next_migration(70, UpstreamKey(1)), None);
     assert!(cell.next_migration(1_010, UpstreamKey(1)).is_some());
--- a/crates/policy/tests/cell/sick.rs
+++ b/crates/policy/tests/cell/failing_engines.rs
@@ -1,5 +1,5 @@
-//! Engines that fail a part of what they get while they say that they are well, in a steady stream of
-//! generations.
+//! Engines that fail some of their generations while they report themselves healthy, under a steady
+//! load.
 
 use fulmarpath_policy::{RunEnd, RunKey, UpstreamKey, Verdict};
 use rstest::rstest;
@@ -7,26 +7,27 @@
 use crate::fixtures::{NEAR, cell, engine, engine_of, request};
 
 const ENGINES: u64 = 6;
-const SICK: u64 = 1;
+const FAILING: u64 = 1;
 
-struct Sickness {
+struct Failures {
     verdict: Verdict,
-    /// One in so many of what it gets fails, as soon as it comes.
+    /// One in this many of its generations fails immediately.
     fails_one_in: u64,
-    /// The share of all generations that goes there at most; a sixth would be its even part.
-    at_most: f32,
+    /// Maximum share of all generations that are placed there; an even share would be a sixth.
+    max_share: f32,
 }
 
-/// Guards against an engine that draws what comes because all it gets fails at once, and so looks empty.
+/// Guards against an engine that attracts all new work because its generations fail immediately and
+/// it looks empty.
 #[rstest]
-#[case::fails_all(Sickness { verdict: Verdict::Failed, fails_one_in: 1, at_most: 0.03 })]
-#[case::fails_half(Sickness { verdict: Verdict::Failed, fails_one_in: 2, at_most: 0.05 })]
-#[case::refuses_all(Sickness { verdict: Verdict::Shed, fails_one_in: 1, at_most: 0.04 })]
-fn a_sick_engine_is_spared(#[case] case: Sickness) {
+#[case::fails_all(Failures { verdict: Verdict::Failed, fails_one_in: 1, max_share: 0.03 })]
+#[case::fails_half(Failures { verdict: Verdict::Failed, fails_one_in: 2, max_share: 0.05 })]
+#[case::refuses_all(Failures { verdict: Verdict::Shed, fails_one_in: 1, max_share: 0.04 })]
+fn failing_engine_gets_less_work(#[case] case: Failures) {
     let engines: Vec<_> = (1..=ENGINES).map(|key| engine(key, NEAR, false)).collect();
     let mut cell = cell(&engines);
     let mut running: Vec<(u64, RunKey)> = Vec::new();
-    let (mut at_sick, mut all) = (0_u64, 0_u64);
+    let (mut at_failing, mut all) = (0_u64, 0_u64);
     for (run, now_ms) in (0..60_000_u64).step_by(50).enumerate() {
         running.retain(|(until_ms, key)| {
             let is_over = *until_ms <= now_ms;
@@ -49,22 +50,26 @@
             continue;
         };
         all += 1;
-        at_sick += u64::from(placed == SICK);
-        if placed == SICK && at_sick.is_multiple_of(case.fails_one_in) {
-            cell.record_failure(now_ms, UpstreamKey(SICK), case.verdict);
+        at_failing += u64::from(placed == FAILING);
+        if placed == FAILING && at_failing.is_multiple_of(case.fails_one_in) {
+            cell.record_failure(now_ms, UpstreamKey(FAILING), case.verdict);
             cell.end(now_ms, key, RunEnd::default());
         } else {
             running.push((now_ms + 1_000, key));
         }
     }
-    let share = at_sick as f32 / all as f32;
-    assert!(share <= case.at_most, "{at_sick} of {all} went there");
-    assert!(at_sick > 0, "it is tried again");
+    let share = at_failing as f32 / all as f32;
+    assert!(
+        share <= case.max_share,
+        "{at_failing} of {all} were placed on the failing engine"
+    );
+    assert!(at_failing > 0, "the failing engine is never retried");
 }
 
-/// Guards against callers that are refused where every engine fails a part: what room there is is used.
+/// Guards against refused callers when every engine fails some generations: the available room is
+/// used.
 #[test]
-fn where_all_are_sick_the_last_call_is_served() {
+fn final_attempt_is_placed_if_all_engines_fail() {
     let mut cell = cell(&[engine(1, NEAR, false)]);
     for _ in 0..8 {
         cell.record_failure(0, UpstreamKey(1), Verdict::Failed);
--- a/crates/policy/tests/cell/fixtures.rs
+++ b/crates/policy/tests/cell/fixtures.rs
@@ -1,4 +1,4 @@
-//! Engines of the users' figures, and generations before them.
+//! Engines with usual capacities, and requests and generations for them.
 
 use fulmarpath_policy::{
     Cell, CellEngine, EngineCapacity, HostKey, OrganisationKey, Placement, PlacementRequest,
--- a/crates/policy/tests/cell/main.rs
+++ b/crates/policy/tests/cell/main.rs
@@ -1,12 +1,12 @@
-//! Placement of generations on a cell's engines, who waits for it, and the way off a leaving one.
+//! Placement of generations on a cell's engines, queueing, and migration off leaving engines.
 
-mod carrying;
-mod crowded;
+mod answer_lengths;
 mod engines;
+mod evacuated_and_cold;
+mod failing_engines;
+mod fair_shares;
 mod fixtures;
-mod floods;
-mod lengths;
-mod placing;
-mod reading;
-mod sick;
-mod standing;
+mod migration;
+mod placement;
+mod prefill_rate;
+mod queueing;
--- a/crates/policy/tests/cell/placing.rs
+++ b/crates/policy/tests/cell/placement.rs
@@ -1,4 +1,4 @@
-//! Which engine a generation starts on.
+//! Selection of the engine on which a generation starts.
 
 use fulmarpath_policy::{CellEngine, Placement, PlacementRequest, RunStatement, UpstreamKey};
 use rstest::rstest;
@@ -12,27 +12,27 @@
     expected: Option<u64>,
 }
 
-/// One generation asks for an engine of a cell in a given state.
+/// Places one generation in a cell of a given state.
 #[rstest]
-#[case::near_goes_before_far(Choice {
+#[case::local_before_remote(Choice {
     engines: vec![engine(1, FAR, false), engine(2, NEAR, false)],
     held: vec![],
     request: request(9, 3_000, 900, 800),
     expected: Some(2),
 })]
-#[case::a_leaving_engine_gets_nothing(Choice {
+#[case::leaving_engine_gets_nothing(Choice {
     engines: vec![engine(1, FAR, false), engine(2, NEAR, true)],
     held: vec![],
     request: request(9, 3_000, 900, 800),
     expected: Some(1),
 })]
-#[case::the_emptier_one_is_chosen(Choice {
+#[case::emptier_engine_is_chosen(Choice {
     engines: vec![engine(1, NEAR, false), engine(2, NEAR, false)],
     held: vec![statement(1, 1, 100, 900), statement(2, 1, 100, 900)],
     request: request(9, 3_000, 900, 800),
     expected: Some(2),
 })]
-#[case::one_that_refused_is_left_out(Choice {
+#[case::excluded_engine_is_skipped(Choice {
     engines: vec![engine(1, NEAR, false), engine(2, NEAR, false)],
     held: vec![],
     request: PlacementRequest { excluded: vec![UpstreamKey(1)], ..request(9, 3_000, 900, 800) },
@@ -56,16 +56,16 @@
     request: request(9, 3_000, 900, 800),
     expected: None,
 })]
-fn places_by_room_and_nearness(#[case] case: Choice) {
+fn places_by_room_and_distance(#[case] case: Choice) {
     let mut cell = cell(&case.engines);
     cell.restate(0, ME, &case.held);
     assert_eq!(engine_of(cell.place(10, &case.request)), case.expected);
 }
 
-/// A prompt that fits into no engine, however empty, is said to be too large at once; one that only
-/// lacks room now is told to come back.
+/// A prompt that fits into no engine, however empty, is refused as too large at once; one that only
+/// lacks room now gets a retry delay.
 #[test]
-fn what_never_fits_is_told_so() {
+fn oversized_prompt_is_refused_at_once() {
     let mut cell = cell(&[engine(1, NEAR, false)]);
     let huge = request(1, 30_000, 900, 800);
     assert_eq!(cell.place(10, &huge), Placement::TooLarge);
@@ -75,7 +75,8 @@
     assert!(matches!(cell.place(20, &usual), Placement::Full { .. }));
 }
 
-/// Prompts that come together go to different engines: each delays the tokens of all others there.
+/// Guards against prompts that arrive together on one engine: each delays the tokens of all others
+/// there.
 #[test]
 fn prompts_are_spread() {
     let engines: Vec<CellEngine> = (1..=5).map(|key| engine(key, NEAR, false)).collect();
@@ -87,11 +88,11 @@
     assert_eq!(used, [1, 1, 2, 2, 3, 3, 4, 4, 5, 5]);
 }
 
-/// Running copies are kept while engines have room, and never hold a generation back.
+/// Backup copies are kept while engines have room, and never delay a generation.
 #[rstest]
 #[case::room(0, true)]
 #[case::crowded(1, false)]
-fn keeps_copies_while_there_is_room(#[case] held_each: u64, #[case] expected: bool) {
+fn keeps_backups_while_there_is_room(#[case] held_each: u64, #[case] expected: bool) {
     let mut cell = cell(&[engine(1, NEAR, false), engine(2, NEAR, false)]);
     let held: Vec<RunStatement> = (0..held_each)
         .flat_map(|run| {
@@ -107,7 +108,7 @@
         ..request(999, 3_000, 900, 800)
     };
     let Placement::On { engine, backup, .. } = cell.place(10, &asked) else {
-        panic!("there is room for the generation itself");
+        panic!("no engine for the generation itself");
     };
     assert_eq!(backup.is_some(), expected);
     assert_ne!(backup, Some(engine));
--- a/crates/policy/tests/circuit.rs
+++ b/crates/policy/tests/circuit.rs
@@ -1,4 +1,4 @@
-//! Poison requests: who is suspected, who is let run, and for how long.
+//! Poison requests: which contents are suspected, which may run, and for how long they are blocked.
 
 use fulmarpath_policy::{
     Admission, Circuit, CircuitState, Circuits, ContentKey, CrashRecord, Millis, RecentSuccesses,
@@ -6,7 +6,7 @@
 };
 use rstest::rstest;
 
-/// After this the reports of a crash are in.
+/// Time until the reports of a crash have settled.
 const SETTLED_MS: Millis = 300;
 const FIRST_OPEN_MS: Millis = 300_000;
 const P: ContentKey = ContentKey(1);
@@ -21,7 +21,7 @@
 }
 
 impl Home {
-    /// An upstream ends; these contents had just begun there.
+    /// Reports the crash of an upstream on which these contents had just started.
     fn crash(&mut self, upstream: u64, contents: &[ContentKey]) {
         for content in contents {
             let upstream = UpstreamKey(upstream);
@@ -48,40 +48,41 @@
     }
 }
 
-/// Who had begun on each of the upstreams that ended, and how the two contents stand then.
+/// The contents that had just started on each crashed upstream, and the resulting circuits.
 struct Case {
     crashes: &'static [&'static [ContentKey]],
     p: CircuitState,
     x: CircuitState,
 }
 
-/// One request ends one upstream after another. Others begin beside it, some more than once; each
-/// crash makes all of them suspects alike. The home has to find the one and let the others run.
+/// Guards against blocking harmless contents together with a poison request. It crashes one
+/// upstream after another while other requests start on the same ones, some more than once, and
+/// each crash makes all of them suspects. The home must find the cause and let the others run.
 #[rstest]
 #[case::one_crash(Case { crashes: &[&[P, X]], p: CircuitState::Closed, x: CircuitState::Closed })]
 #[case::two_crashes(Case { crashes: &[&[P], &[P, X]], p: CircuitState::HalfOpen, x: CircuitState::Closed })]
 #[case::three(Case { crashes: &[&[P], &[P], &[P]], p: CircuitState::Open, x: CircuitState::Closed })]
-#[case::beside_two_of_three(
+#[case::together_in_two_of_three(
     Case { crashes: &[&[P, X], &[P, X], &[P]], p: CircuitState::Open, x: CircuitState::Closed }
 )]
-#[case::in_step(
+#[case::together(
     Case { crashes: &[&[P, X], &[P, X], &[P, X]], p: CircuitState::HalfOpen, x: CircuitState::HalfOpen }
 )]
-#[case::in_step_until_the_fourth(
+#[case::together_until_the_fourth(
     Case {
         crashes: &[&[P, X], &[P, X], &[P, X], &[P]],
         p: CircuitState::Open,
         x: CircuitState::Closed,
     }
 )]
-#[case::two_that_end_upstreams(
+#[case::two_poison_contents(
     Case {
         crashes: &[&[P, X], &[P], &[X], &[P], &[X], &[X]],
         p: CircuitState::Open,
         x: CircuitState::Open,
     }
 )]
-fn finds_what_ends_upstreams(#[case] case: Case) {
+fn finds_the_content_that_crashes_upstreams(#[case] case: Case) {
     for all_at_once in [false, true] {
         let mut home = Home::default();
         for (upstream, contents) in case.crashes.iter().enumerate() {
@@ -96,10 +97,10 @@
     }
 }
 
-/// Two requests were sent on in step and are suspected alike. One is let run and ends well: its circuit
-/// closes at once, and the other one's opens without another crash.
+/// Two requests were retried together and are equally suspected. One of them runs as a probe and
+/// completes: its circuit closes at once, and the other one's opens without another crash.
 #[test]
-fn an_answer_tells_two_in_step_apart() {
+fn completed_probe_separates_two_suspects() {
     let mut home = Home::default();
     for upstream in 0..3 {
         home.crash(upstream, &[P, X]);
@@ -107,16 +108,16 @@
     home.settle();
     assert_eq!(home.admit(X), Admission::NeedsProbe);
     assert!(home.record.grant_probe(home.now_ms, X));
-    let freed = home.clear(X).expect("it had a circuit");
-    assert_eq!(freed.state, CircuitState::Closed);
+    let closed = home.clear(X).expect("it had a circuit");
+    assert_eq!(closed.state, CircuitState::Closed);
     assert!(home.record.has_unevaluated());
     home.settle();
     assert_eq!(home.state(P), CircuitState::Open);
 }
 
-/// A caller comes again four times a second, so that the next crash is reported before the one before has
-/// settled. Ruled on only once reports stop, its content ended whatever there was; each crash settles
-/// by itself.
+/// Guards against a decision that is postponed as long as reports arrive. A caller retries four
+/// times a second, so the next crash is reported before the previous one has settled. Each crash
+/// settles independently; otherwise the content would keep crashing upstreams.
 #[test]
 fn crashes_in_quick_succession_are_decided_on() {
     let mut home = Home::default();
@@ -128,7 +129,10 @@
         }
         home.now_ms += 50;
         home.record.evaluate(home.now_ms, &mut home.circuits);
-        assert!(home.now_ms < 3_000, "{crashes} crashes, and it is not open");
+        assert!(
+            home.now_ms < 3_000,
+            "{crashes} crashes and the circuit is not open"
+        );
         if home.admit(P) == Admission::NeedsProbe && home.record.grant_probe(home.now_ms, P) {
             home.crash(crashes, &[P]);
             crashes += 1;
@@ -137,9 +141,9 @@
     assert!(crashes <= 4, "{crashes}");
 }
 
-/// One at a time: a second try waits until the first has ended well, or may be taken for lost.
+/// A second request waits until the probe has completed or its timeout has passed.
 #[test]
-fn one_runs_at_a_time() {
+fn only_one_probe_runs_at_a_time() {
     let mut home = Home::default();
     home.crash(0, &[P]);
     home.crash(1, &[P]);
@@ -152,7 +156,7 @@
     assert_eq!(home.admit(P), Admission::Allowed);
 }
 
-/// Reports of one crash come from several hosts, and for several tries of one caller.
+/// Reports of one crash come from several hosts, and for several retries of one caller.
 #[test]
 fn one_crash_counts_once() {
     let mut home = Home::default();
@@ -163,9 +167,9 @@
     assert_eq!(home.state(P), CircuitState::Closed);
 }
 
-/// A report that comes late, of a crash whose cause is known, makes nobody else a suspect.
+/// A late report of a crash whose cause is known creates no other suspect.
 #[test]
-fn a_known_cause_is_the_only_one() {
+fn late_reports_of_an_explained_crash_are_ignored() {
     let mut home = Home::default();
     for upstream in 0..3 {
         home.crash(upstream, &[P]);
@@ -178,10 +182,10 @@
     assert_eq!(home.state(X), CircuitState::Closed);
 }
 
-/// Requests that were on their way as their circuit opened end upstreams still. The time stays
-/// as it is; only a crash after it makes the next one longer.
+/// Requests in flight when their circuit opened still crash upstreams. They do not extend the open
+/// time; only a crash after it makes the next one longer.
 #[test]
-fn open_times_grow_by_crashes_after_them() {
+fn open_time_grows_only_by_later_crashes() {
     let mut home = Home::default();
     for upstream in 0..3 {
         home.crash(upstream, &[P]);
@@ -200,9 +204,10 @@
     assert_eq!(home.admit(P), Admission::Refused { retry_after_ms });
 }
 
-/// A host that becomes home has the circuits alone. The next crash openings, as at the home before.
+/// A host that becomes home has only the circuits. The next crash opens one, as on the previous
+/// home.
 #[test]
-fn a_new_home_goes_on_from_the_circuits() {
+fn new_home_continues_from_the_circuits() {
     let mut before = Home::default();
     before.crash(0, &[P]);
     before.crash(1, &[P]);
@@ -213,15 +218,19 @@
     }
     home.crash(1, &[P]);
     home.settle();
-    assert_eq!(home.state(P), CircuitState::HalfOpen, "a crash told again");
+    assert_eq!(
+        home.state(P),
+        CircuitState::HalfOpen,
+        "a crash reported again"
+    );
     home.crash(2, &[P]);
     home.settle();
     assert_eq!(home.state(P), CircuitState::Open);
 }
 
-/// Hosts hear of circuits in any order and more than once, and from two homes at once.
+/// Hosts receive circuits in any order, more than once, and from two homes at once.
 #[test]
-fn all_hosts_come_to_hold_the_same() {
+fn all_hosts_converge() {
     let circuit = |version, state| Circuit {
         content: P,
         version,
@@ -230,7 +239,7 @@
         crashes: Vec::new(),
         age_ms: 0,
     };
-    let told = [
+    let decisions = [
         circuit(1, CircuitState::HalfOpen),
         circuit(2, CircuitState::HalfOpen),
         circuit(2, CircuitState::Open),
@@ -238,28 +247,29 @@
     let mut digests = Vec::new();
     for order in [[0, 1, 2], [2, 1, 0], [1, 2, 0]] {
         let mut circuits = Circuits::default();
-        for place in order {
-            circuits.adopt(0, told[place].clone());
-            assert!(!circuits.adopt(0, told[place].clone()), "told twice");
+        for index in order {
+            circuits.adopt(0, decisions[index].clone());
+            assert!(
+                !circuits.adopt(0, decisions[index].clone()),
+                "duplicate is not new"
+            );
         }
-        assert_eq!(circuits.find(P), Some(&told[2]));
+        assert_eq!(circuits.find(P), Some(&decisions[2]));
         digests.push(circuits.digest(0));
     }
     assert!(digests.windows(2).all(|pair| pair[0] == pair[1]));
-    let mut forgetting = Circuits::default();
-    forgetting.adopt(0, told[2].clone());
-    assert_eq!(forgetting.digest(86_400_000), 0, "forgotten after a day");
+    let mut expiring = Circuits::default();
+    expiring.adopt(0, decisions[2].clone());
+    assert_eq!(expiring.digest(86_400_000), 0, "expired after a day");
     let old = Circuit {
         age_ms: 86_400_000,
-        ..told[2].clone()
+        ..decisions[2].clone()
     };
-    assert!(
-        !forgetting.adopt(0, old),
-        "not taken back from a slower host"
-    );
+    assert!(!expiring.adopt(0, old), "an expired circuit is not adopted");
 }
 
-/// Somebody sends contents without end, each of which ends an upstream. Nothing grows with them.
+/// Guards against unbounded memory when a caller sends ever new contents that each crash an
+/// upstream.
 #[test]
 fn memory_is_bounded() {
     let mut home = Home::default();
@@ -282,12 +292,12 @@
     assert!(text.matches("Suspect {").count() <= 4_096);
 }
 
-/// Another writer has left a circuit in the store that no home would write. It takes no more memory than
-/// others, and an answer frees its content all the same.
+/// Another writer has stored a circuit that no home would write. It takes no more memory than
+/// others, and a completed request still clears its content.
 #[test]
-fn a_strange_circuit_does_no_harm() {
+fn implausible_circuit_is_bounded() {
     let mut home = Home::default();
-    let strange = Circuit {
+    let implausible = Circuit {
         content: P,
         version: 1,
         state: CircuitState::Open,
@@ -295,8 +305,8 @@
         crashes: (0..100_000).map(UpstreamKey).collect(),
         age_ms: 0,
     };
-    assert!(home.circuits.adopt(0, strange));
-    let kept = home.circuits.find(P).expect("it is kept");
+    assert!(home.circuits.adopt(0, implausible));
+    let kept = home.circuits.find(P).expect("the circuit is kept");
     assert!(kept.crashes.len() <= 8);
     assert!(matches!(home.admit(P), Admission::Refused { .. }));
     home.now_ms = 86_399_999;
@@ -306,9 +316,9 @@
     assert_eq!(home.admit(P), Admission::Allowed);
 }
 
-/// A content that ended well lately is no cause. Its word is forgotten after a while.
+/// A content that completed recently is not a suspect. The success expires after a while.
 #[test]
-fn a_success_counts_for_a_while() {
+fn success_counts_for_a_while() {
     let mut successes = RecentSuccesses::default();
     successes.record(0, P);
     assert!(successes.contains(29_999, P));
@@ -317,10 +327,10 @@
     assert!(!successes.contains(75_000, X));
 }
 
-/// Guards against a circuit that opens once more for crashes it was opened for already, as another
-/// one that was on the same upstream ends well.
+/// Guards against a circuit that opens again for crashes it was already opened for, when another
+/// content that was on the same upstream completes.
 #[test]
-fn anothers_answer_opens_nothing_once_more() {
+fn completion_of_another_content_opens_nothing_again() {
     let mut home = Home::default();
     let crashes: [&[ContentKey]; 6] = [&[P, X], &[P], &[X], &[P], &[X], &[X]];
     for (upstream, contents) in crashes.into_iter().enumerate() {
@@ -331,7 +341,7 @@
         (home.state(P), home.state(X)),
         (CircuitState::Open, CircuitState::Open)
     );
-    // Requests of both were on their way to one upstream.
+    // Requests with both contents were in flight to one upstream.
     home.crash(6, &[P, X]);
     home.settle();
     home.now_ms += FIRST_OPEN_MS;
@@ -342,26 +352,26 @@
     assert_eq!(home.admit(P), Admission::NeedsProbe);
 }
 
-struct Mending {
+struct Repair {
     state: CircuitState,
     openings: u32,
-    /// How often the stored circuit was opened; `None` where the store has none.
+    /// Number of openings of the stored circuit; `None` if it is not stored.
     stored: Option<u32>,
     writes: bool,
     removes: bool,
 }
 
-/// Guards against what homes have decided being lost, or there again, with a store that comes back from a
+/// Guards against decisions of homes that are lost, or that return, when a store is restored from a
 /// copy.
 #[rstest]
-#[case::lost(Mending { state: CircuitState::Open, openings: 1, stored: None, writes: true, removes: false })]
-#[case::there(Mending { state: CircuitState::Open, openings: 1, stored: Some(1), writes: false, removes: false })]
-#[case::opened_again(Mending { state: CircuitState::Open, openings: 2, stored: Some(1), writes: true, removes: false })]
-#[case::lost_half_open(Mending { state: CircuitState::HalfOpen, openings: 1, stored: None, writes: true, removes: false })]
-#[case::never_opened(Mending { state: CircuitState::HalfOpen, openings: 0, stored: None, writes: false, removes: false })]
-#[case::closed_since(Mending { state: CircuitState::Closed, openings: 1, stored: Some(1), writes: false, removes: true })]
-#[case::closed(Mending { state: CircuitState::Closed, openings: 1, stored: None, writes: false, removes: false })]
-fn a_store_is_brought_to_what_is_known(#[case] case: Mending) {
+#[case::lost(Repair { state: CircuitState::Open, openings: 1, stored: None, writes: true, removes: false })]
+#[case::stored(Repair { state: CircuitState::Open, openings: 1, stored: Some(1), writes: false, removes: false })]
+#[case::opened_again(Repair { state: CircuitState::Open, openings: 2, stored: Some(1), writes: true, removes: false })]
+#[case::lost_half_open(Repair { state: CircuitState::HalfOpen, openings: 1, stored: None, writes: true, removes: false })]
+#[case::never_opened(Repair { state: CircuitState::HalfOpen, openings: 0, stored: None, writes: false, removes: false })]
+#[case::closed_since(Repair { state: CircuitState::Closed, openings: 1, stored: Some(1), writes: false, removes: true })]
+#[case::closed(Repair { state: CircuitState::Closed, openings: 1, stored: None, writes: false, removes: false })]
+fn restored_store_is_repaired(#[case] case: Repair) {
     let content = ContentKey(7);
     let known = Circuit {
         content,
--- a/crates/policy/tests/handover.rs
+++ b/crates/policy/tests/handover.rs
@@ -1,5 +1,5 @@
-//! Whatever comes first of a stream's end and its generation's carry, the stream is read, waited for
-//! or over.
+//! In any order of a stream's end and its generation's migration, the stream is read, waited for or
+//! finished.
 
 use fulmarpath_policy::{Handover, MigrationStep, NextStep, StreamEnd};
 use rstest::rstest;
@@ -15,41 +15,41 @@
 use MigrationStep::{Copied, NotStopped, Stopped};
 use StreamEnd::{Broken, Complete};
 
-struct Course {
+struct Sequence {
     events: &'static [Event],
-    /// What the last of them calls for.
+    /// The step after the last event.
     next: NextStep,
 }
 
-/// An engine's stream ends or breaks before a carry, during its long copy, or while the engine is
-/// told to stop; and the carry then stops the generation or does not. The caller gets the end of a
-/// whole answer, or the generation goes on; it never waits for what can't come.
+/// Guards against a caller that waits forever. The engine's stream ends or breaks before a
+/// migration, during its long copy, or during the stop; and the migration then stops the generation
+/// or does not. The caller gets the end of a complete answer, or the generation continues.
 #[rstest]
-#[case::ends(Course { events: &[End(Complete)], next: NextStep::Finish })]
-#[case::breaks(Course { events: &[End(Broken)], next: NextStep::Recover })]
-#[case::ends_while_copied(Course { events: &[Begin, End(Complete)], next: NextStep::Finish })]
-#[case::breaks_while_copied(Course { events: &[Begin, End(Broken)], next: NextStep::Recover })]
-#[case::not_stopped(Course { events: &[Begin, Step(NotStopped)], next: NextStep::Read })]
-#[case::copied(Course { events: &[Begin, Step(Copied)], next: NextStep::Read })]
-#[case::stopped(Course { events: &[Begin, Step(Copied), Step(Stopped)], next: NextStep::Resume })]
-#[case::refused_a_stop(Course { events: &[Begin, Step(Copied), Step(NotStopped)], next: NextStep::Read })]
-#[case::ends_at_the_stop(Course { events: &[Begin, Step(Copied), End(Complete)], next: NextStep::AwaitMigration })]
-#[case::breaks_at_the_stop(Course { events: &[Begin, Step(Copied), End(Broken)], next: NextStep::AwaitMigration })]
-#[case::ended_by_the_stop(Course { events: &[Begin, Step(Copied), End(Complete), Step(Stopped)], next: NextStep::Resume })]
-#[case::broken_by_the_stop(Course { events: &[Begin, Step(Copied), End(Broken), Step(Stopped)], next: NextStep::Resume })]
-#[case::ended_by_itself(Course { events: &[Begin, Step(Copied), End(Complete), Step(NotStopped)], next: NextStep::Finish })]
-#[case::broken_by_itself(Course { events: &[Begin, Step(Copied), End(Broken), Step(NotStopped)], next: NextStep::Recover })]
-#[case::ends_after_a_carry(Course { events: &[Begin, Step(NotStopped), End(Complete)], next: NextStep::Finish })]
-fn a_stream_has_a_next_step(#[case] course: Course) {
+#[case::ends(Sequence { events: &[End(Complete)], next: NextStep::Finish })]
+#[case::breaks(Sequence { events: &[End(Broken)], next: NextStep::Recover })]
+#[case::ends_during_the_copy(Sequence { events: &[Begin, End(Complete)], next: NextStep::Finish })]
+#[case::breaks_during_the_copy(Sequence { events: &[Begin, End(Broken)], next: NextStep::Recover })]
+#[case::not_stopped(Sequence { events: &[Begin, Step(NotStopped)], next: NextStep::Read })]
+#[case::copied(Sequence { events: &[Begin, Step(Copied)], next: NextStep::Read })]
+#[case::stopped(Sequence { events: &[Begin, Step(Copied), Step(Stopped)], next: NextStep::Resume })]
+#[case::stop_refused(Sequence { events: &[Begin, Step(Copied), Step(NotStopped)], next: NextStep::Read })]
+#[case::ends_at_the_stop(Sequence { events: &[Begin, Step(Copied), End(Complete)], next: NextStep::AwaitMigration })]
+#[case::breaks_at_the_stop(Sequence { events: &[Begin, Step(Copied), End(Broken)], next: NextStep::AwaitMigration })]
+#[case::ended_by_the_stop(Sequence { events: &[Begin, Step(Copied), End(Complete), Step(Stopped)], next: NextStep::Resume })]
+#[case::broken_by_the_stop(Sequence { events: &[Begin, Step(Copied), End(Broken), Step(Stopped)], next: NextStep::Resume })]
+#[case::ended_by_itself(Sequence { events: &[Begin, Step(Copied), End(Complete), Step(NotStopped)], next: NextStep::Finish })]
+#[case::broken_by_itself(Sequence { events: &[Begin, Step(Copied), End(Broken), Step(NotStopped)], next: NextStep::Recover })]
+#[case::ends_after_a_migration(Sequence { events: &[Begin, Step(NotStopped), End(Complete)], next: NextStep::Finish })]
+fn selects_the_next_step(#[case] sequence: Sequence) {
     let mut handover = Handover::default();
     let mut next = NextStep::Read;
-    for event in course.events {
-        next = play(&mut handover, *event);
+    for event in sequence.events {
+        next = apply(&mut handover, *event);
     }
-    assert_eq!(next, course.next);
+    assert_eq!(next, sequence.next);
 }
 
-fn play(handover: &mut Handover, event: Event) -> NextStep {
+fn apply(handover: &mut Handover, event: Event) -> NextStep {
     match event {
         Begin => {
             handover.begin_migration();
@@ -60,37 +60,37 @@
     }
 }
 
-/// Every order of what can come, up to six events: where the next step is to read, the stream is
-/// open; where it is to wait, a carry is under way that will come to something.
+/// Checks every order of events up to six: if the next step is to read, the stream is open; if it
+/// is to wait, a migration is in progress that will report an outcome.
 #[test]
-fn no_course_waits_for_nothing() {
-    let mut courses = vec![(Handover::default(), NextStep::Read, false)];
-    let mut looked_at = 0;
+fn no_sequence_waits_without_cause() {
+    let mut sequences = vec![(Handover::default(), NextStep::Read, false)];
+    let mut checked = 0;
     for _ in 0..6 {
-        courses = courses.into_iter().flat_map(follow).collect();
-        for (handover, next, carries) in &courses {
-            looked_at += 1;
+        sequences = sequences.into_iter().flat_map(successors).collect();
+        for (handover, next, is_migrating) in &sequences {
+            checked += 1;
             match next {
                 NextStep::Read => assert!(handover.is_stream_open(), "{handover:?}"),
                 NextStep::AwaitMigration => {
-                    assert!(*carries && !handover.is_stream_open(), "{handover:?}")
+                    assert!(*is_migrating && !handover.is_stream_open(), "{handover:?}")
                 }
                 NextStep::Finish | NextStep::Recover | NextStep::Resume => {}
             }
         }
     }
-    assert!(looked_at > 50, "{looked_at} courses were looked at");
+    assert!(checked > 50, "{checked} sequences were checked");
 }
 
-/// What may follow, with whether a carry is under way then.
-fn follow(
-    (handover, next, carries): (Handover, NextStep, bool),
+/// The states that may follow, with whether a migration is in progress in each.
+fn successors(
+    (handover, next, is_migrating): (Handover, NextStep, bool),
 ) -> Vec<(Handover, NextStep, bool)> {
     let mut after = Vec::new();
-    let mut add = |event: Event, carries: bool| {
+    let mut add = |event: Event, is_migrating: bool| {
         let mut later = handover;
-        let next = play(&mut later, event);
-        after.push((later, next, carries));
+        let next = apply(&mut later, event);
+        after.push((later, next, is_migrating));
     };
     if matches!(next, NextStep::Finish | NextStep::Recover) {
         return after;
@@ -101,13 +101,13 @@
         return vec![(later, NextStep::Read, false)];
     }
     if handover.is_stream_open() {
-        add(End(Complete), carries);
-        add(End(Broken), carries);
+        add(End(Complete), is_migrating);
+        add(End(Broken), is_migrating);
     }
     if handover.can_begin_migration() {
         add(Begin, true);
     }
-    if carries {
+    if is_migrating {
         add(Step(Copied), true);
         add(Step(NotStopped), false);
         add(Step(Stopped), false);
