--- a/crates/gateway/src/attempt.rs
+++ b/crates/gateway/src/attempt.rs
@@ -22,12 +22,12 @@
 
 /// Connect timeout: several round trips between data centres, and an upstream's handshake. A lost
 /// SYN is retransmitted only after 1 s, by which time another upstream has answered.
-const CONNECT_MS: Millis = 250;
+const CONNECT_TIMEOUT_MS: Millis = 250;
 /// How long an upstream that reports itself full is deprioritised.
-const FULL_MS: Millis = 200;
+const FULL_PENALTY_MS: Millis = 200;
 /// How long an upstream that closes its connection, possibly because it is leaving, is
 /// deprioritised.
-const CLOSING_MS: Millis = 400;
+const CLOSING_PENALTY_MS: Millis = 400;
 
 /// An upstream's response, of which only the head has been read.
 pub(crate) struct Answer {
@@ -126,7 +126,10 @@
         let (address, key) = (chosen.address, chosen.key);
         let mut in_flight = InFlightRequest::new(self.clone(), chosen);
         let started_ms = self.clock.now_ms();
-        let connect_ms = options.until_ms.saturating_sub(started_ms).min(CONNECT_MS);
+        let connect_ms = options
+            .until_ms
+            .saturating_sub(started_ms)
+            .min(CONNECT_TIMEOUT_MS);
         let opened = Connection::open(address, Duration::from_millis(connect_ms)).await;
         let Ok(mut connection) = opened else {
             self.instances.unreachable(self.clock.now_ms(), key);
@@ -139,7 +142,7 @@
         let exchanged = tokio::select! {
             exchanged = exchange => exchanged,
             () = lost.cancelled() => {
-                in_flight.note(Verdict::Unheard);
+                in_flight.set_verdict(Verdict::Unheard);
                 self.check_for_crash(InterruptedRun::new(&in_flight.chosen, inbound, id, None));
                 return Err(Failure::Unknown);
             }
@@ -147,16 +150,16 @@
         let response = match exchanged {
             Ok(Ok(response)) => response,
             Ok(Err(HttpError::Unreachable { .. })) => {
-                in_flight.note(Verdict::Failed);
+                in_flight.set_verdict(Verdict::Failed);
                 return Err(Failure::Unsent);
             }
             Ok(Err(_)) => {
-                in_flight.note(Verdict::Failed);
+                in_flight.set_verdict(Verdict::Failed);
                 self.check_for_crash(InterruptedRun::new(&in_flight.chosen, inbound, id, None));
                 return Err(Failure::Unknown);
             }
             Err(_) => {
-                in_flight.note(Verdict::Failed);
+                in_flight.set_verdict(Verdict::Failed);
                 return Err(Failure::Overdue);
             }
         };
@@ -164,27 +167,28 @@
             .dialect
             .read_response(response.status(), response.headers());
         let now_ms = self.clock.now_ms();
-        let is_stray = !head.is_not_run && head.id.as_deref() != Some(id);
-        let is_other = response.status() == StatusCode::MISDIRECTED_REQUEST;
-        if !is_stray && !is_other {
+        let is_mismatched = !head.is_not_run && head.id.as_deref() != Some(id);
+        let is_misdirected = response.status() == StatusCode::MISDIRECTED_REQUEST;
+        if !is_mismatched && !is_misdirected {
             self.apply_signals(&in_flight.chosen, head.signals);
         }
         if head.is_not_run {
-            in_flight.note(Verdict::Shed);
-            self.instances.penalise_until(now_ms + FULL_MS, key);
-            if is_other {
+            in_flight.set_verdict(Verdict::Shed);
+            self.instances.penalise_until(now_ms + FULL_PENALTY_MS, key);
+            if is_misdirected {
                 self.instances.mark_leaving(key);
             }
             return Err(Failure::Shed);
         }
         // An upstream may send a surplus response; the id tells which request a response belongs
         // to.
-        if is_stray {
-            in_flight.note(Verdict::Failed);
+        if is_mismatched {
+            in_flight.set_verdict(Verdict::Failed);
             return Err(Failure::Unknown);
         }
         if head.is_closing {
-            self.instances.penalise_until(now_ms + CLOSING_MS, key);
+            self.instances
+                .penalise_until(now_ms + CLOSING_PENALTY_MS, key);
         }
         let latency_ms = now_ms.saturating_sub(started_ms);
         self.instances.answered(now_ms, key, latency_ms, head.load);
--- a/crates/gateway/src/availability.rs
+++ b/crates/gateway/src/availability.rs
@@ -23,11 +23,11 @@
 
 impl ColdLimits {
     /// Builds the limits from the operator's bound and each service's own figures.
-    pub(crate) fn of(bound: Option<ColdBound>, in_force: Option<&ActiveConfiguration>) -> Self {
-        let Some((bound, in_force)) = bound.zip(in_force) else {
+    pub(crate) fn of(bound: Option<ColdBound>, active: Option<&ActiveConfiguration>) -> Self {
+        let Some((bound, active)) = bound.zip(active) else {
             return Self::default();
         };
-        let services = in_force.configuration.services.iter();
+        let services = active.configuration.services.iter();
         let cold = services.filter(|one| one.cold_ms > 0);
         let by_service = cold.map(|one| {
             let cold_limit = ColdLimit {
--- a/crates/gateway/src/configuration.rs
+++ b/crates/gateway/src/configuration.rs
@@ -145,19 +145,19 @@
     /// Builds the indexes of a configuration.
     pub fn new(configuration: Configuration) -> Self {
         let mut by_host: HashMap<String, HashMap<String, usize>> = HashMap::new();
-        for (place, route) in configuration.routes.iter().enumerate() {
+        for (index, route) in configuration.routes.iter().enumerate() {
             let prefixes = by_host.entry(route.host.clone()).or_default();
-            prefixes.insert(route.path_prefix.clone(), place);
+            prefixes.insert(route.path_prefix.clone(), index);
         }
         let mut by_key = HashMap::new();
-        for (place, organisation) in configuration.organisations.iter().enumerate() {
+        for (index, organisation) in configuration.organisations.iter().enumerate() {
             for key in &organisation.api_keys {
-                by_key.insert(key.clone(), place);
+                by_key.insert(key.clone(), index);
             }
         }
         let services = configuration.services.iter().enumerate();
         let by_service = services
-            .map(|(place, service)| (service.name.clone(), place))
+            .map(|(index, service)| (service.name.clone(), index))
             .collect();
         Self {
             configuration,
@@ -173,8 +173,8 @@
         let prefixes = self.by_host.get(name)?;
         let mut end = path.len();
         while let Some(slash) = path[..end].rfind('/') {
-            if let Some(place) = prefixes.get(&path[..=slash]) {
-                return Some(&self.configuration.routes[*place]);
+            if let Some(index) = prefixes.get(&path[..=slash]) {
+                return Some(&self.configuration.routes[*index]);
             }
             end = slash;
         }
@@ -183,14 +183,14 @@
 
     /// The organisation to which an API key belongs.
     pub fn organisation(&self, api_key: &str) -> Option<&Organisation> {
-        let place = self.by_key.get(api_key)?;
-        Some(&self.configuration.organisations[*place])
+        let index = self.by_key.get(api_key)?;
+        Some(&self.configuration.organisations[*index])
     }
 
     /// The service with the given name.
     pub fn service(&self, name: &str) -> Option<&Service> {
-        let place = self.by_service.get(name)?;
-        Some(&self.configuration.services[*place])
+        let index = self.by_service.get(name)?;
+        Some(&self.configuration.services[*index])
     }
 
     /// Whether requests of `route` must carry an API key.
--- a/crates/gateway/src/control.rs
+++ b/crates/gateway/src/control.rs
@@ -15,17 +15,17 @@
     #[error("could not reach the engine that runs the generation")]
     SourceUnreachable,
     /// Another copy of the generation is in progress.
-    #[error("could not copy while another copy is under way")]
+    #[error("could not start a copy while another copy is in progress")]
     Busy,
     /// The destination has no capacity or is unreachable. A generation that was stopped for the
     /// copy keeps its KV cache at the source under this id.
-    #[error("could not copy to the destination")]
+    #[error("could not copy to the destination engine")]
     NoRoom {
         /// Identifies the KV cache at the source, if the generation was stopped.
         copy_id: Option<String>,
     },
     /// No response: the generation may have been stopped.
-    #[error("could not learn what became of the copy")]
+    #[error("could not determine the outcome of the copy")]
     Unknown,
 }
 
--- a/crates/gateway/src/events.rs
+++ b/crates/gateway/src/events.rs
@@ -53,10 +53,10 @@
 }
 
 fn end_of_first(bytes: &[u8]) -> Option<usize> {
-    let places = bytes.iter().enumerate();
-    let mut newlines = places.filter(|(_, byte)| **byte == b'\n');
-    newlines.find_map(|(place, _)| {
-        let before = &bytes[..place];
-        (before.ends_with(b"\n") || before.ends_with(b"\n\r")).then_some(place + 1)
+    let indexed = bytes.iter().enumerate();
+    let mut newlines = indexed.filter(|(_, byte)| **byte == b'\n');
+    newlines.find_map(|(index, _)| {
+        let before = &bytes[..index];
+        (before.ends_with(b"\n") || before.ends_with(b"\n\r")).then_some(index + 1)
     })
 }
--- a/crates/gateway/src/forward.rs
+++ b/crates/gateway/src/forward.rs
@@ -24,13 +24,13 @@
 
 /// Maximum number of dispatches of one request that ran nowhere, in addition to the attempts that
 /// the route allows. Each costs a round trip; after three the service is full or gone.
-const UNRUN_DISPATCHES: u32 = 3;
+const MAX_UNRUN_DISPATCHES: u32 = 3;
 /// Fraction of the route's target after which an idempotent request is retried on another upstream:
 /// an upstream that hangs returns no error, and the remaining time suffices for another one.
-const PATIENCE_SHARE: f32 = 0.6;
+const ATTEMPT_FRACTION: f32 = 0.6;
 /// Fraction of the route's target for which a request waits for a start at a cold upstream; the
 /// rest is for its response.
-const WAIT_SHARE: f32 = 0.5;
+const START_WAIT_FRACTION: f32 = 0.5;
 
 /// A complete response of an upstream.
 pub(crate) struct CompleteAnswer {
@@ -88,12 +88,12 @@
     ) -> Reply {
         let answer = self.try_upstreams(&inbound, &mut tracker).await;
         match answer {
-            Ok(whole) => {
-                if whole.status.is_success() {
+            Ok(complete) => {
+                if complete.status.is_success() {
                     self.note_success(&inbound);
                 }
-                tracker.end("answered", whole.status.as_u16());
-                into_reply(whole)
+                tracker.end("answered", complete.status.as_u16());
+                into_reply(complete)
             }
             Err(problem) => self.reject(tracker, problem),
         }
@@ -130,7 +130,7 @@
                 problem = refused;
                 break;
             }
-            let wait_ms = (inbound.route.target_ms as f32 * WAIT_SHARE) as Millis;
+            let wait_ms = (inbound.route.target_ms as f32 * START_WAIT_FRACTION) as Millis;
             let until_ms = inbound.deadline_ms.min(tracker.arrived_ms + wait_ms);
             let found = self.find_upstream(&inbound.service, &tried, until_ms);
             let chosen = match found.await {
@@ -144,22 +144,22 @@
             let now_ms = self.clock.now_ms();
             tried.push(chosen.key);
             let may_run_again = inbound.may_run_again(runs + 1);
-            let until_ms = self.until_ms(inbound, now_ms, may_run_again);
+            let until_ms = self.attempt_deadline_ms(inbound, now_ms, may_run_again);
             let outcome = self.try_once(inbound, tracker, chosen, until_ms).await;
             let failure = match outcome {
-                Ok(whole) if whole.status.is_server_error() && may_run_again => {
-                    failed_answer = Some(whole);
+                Ok(complete) if complete.status.is_server_error() && may_run_again => {
+                    failed_answer = Some(complete);
                     runs += 1;
                     is_admitted = false;
                     continue;
                 }
-                Ok(whole) => return Ok(whole),
+                Ok(complete) => return Ok(complete),
                 Err(failure) => failure,
             };
             if failure.is_not_run() {
                 unrun += 1;
                 problem = failure.problem();
-                if unrun >= UNRUN_DISPATCHES {
+                if unrun >= MAX_UNRUN_DISPATCHES {
                     break;
                 }
                 continue;
@@ -172,7 +172,7 @@
             }
         }
         match failed_answer {
-            Some(whole) => Ok(whole),
+            Some(complete) => Ok(complete),
             // The response must never claim that a request has not run if it may have run.
             None if runs > 0 && problem.guarantees_not_run() => Err(Problem::Broken),
             None => Err(self.refine_refusal(problem, &inbound.service)),
@@ -180,12 +180,17 @@
     }
 
     /// The deadline for the response head of one upstream.
-    fn until_ms(&self, inbound: &InboundRequest, now_ms: Millis, may_run_again: bool) -> Millis {
+    fn attempt_deadline_ms(
+        &self,
+        inbound: &InboundRequest,
+        now_ms: Millis,
+        may_run_again: bool,
+    ) -> Millis {
         if !may_run_again {
             return inbound.deadline_ms;
         }
-        let patience_ms = (inbound.route.target_ms as f32 * PATIENCE_SHARE) as Millis;
-        inbound.deadline_ms.min(now_ms + patience_ms)
+        let attempt_ms = (inbound.route.target_ms as f32 * ATTEMPT_FRACTION) as Millis;
+        inbound.deadline_ms.min(now_ms + attempt_ms)
     }
 
     async fn try_once(
@@ -236,21 +241,21 @@
         let body = match collected {
             Ok(Ok(body)) => body.to_bytes(),
             Ok(Err(_)) => {
-                in_flight.note(Verdict::Failed);
+                in_flight.set_verdict(Verdict::Failed);
                 return Err(Failure::Unknown);
             }
             Err(_) => {
-                in_flight.note(Verdict::Failed);
+                in_flight.set_verdict(Verdict::Failed);
                 return Err(Failure::Overdue);
             }
         };
         // A successful response without a signature does not come from the upstream itself.
         if parts.status.is_success() && !head.is_signed {
-            in_flight.note(Verdict::Failed);
+            in_flight.set_verdict(Verdict::Failed);
             return Err(Failure::Unknown);
         }
         let is_failure = parts.status.is_server_error();
-        in_flight.note(if is_failure {
+        in_flight.set_verdict(if is_failure {
             Verdict::Failed
         } else {
             Verdict::Good
--- a/crates/gateway/src/inbound.rs
+++ b/crates/gateway/src/inbound.rs
@@ -22,7 +22,7 @@
 use crate::tracker::RequestTracker;
 
 /// Time for reading the body of a request that states no deadline.
-const BODY_MS: Millis = 30_000;
+const BODY_TIMEOUT_MS: Millis = 30_000;
 
 /// A request that may be sent to an upstream.
 pub(crate) struct InboundRequest {
@@ -61,7 +61,7 @@
     }
 
     /// Hash that is equal for retries of the same prompt by the same caller.
-    pub(crate) fn likeness(&self) -> u64 {
+    pub(crate) fn retry_key(&self) -> u64 {
         let mut hasher = Xxh3::new();
         self.content.hash(&mut hasher);
         self.route.name.hash(&mut hasher);
@@ -85,36 +85,36 @@
         if let Ok(head) = &head {
             tracker.id.clone_from(&head.id);
         }
-        let in_force = self.in_force().ok_or(Problem::NoConfiguration);
-        let limit = in_force
+        let active = self.in_force().ok_or(Problem::NoConfiguration);
+        let limit = active
             .as_ref()
-            .map_or(usize::MAX, |held| held.configuration.limits.body_bytes);
+            .map_or(usize::MAX, |active| active.configuration.limits.body_bytes);
         let left_ms = head.as_ref().ok().and_then(|head| head.time_left_ms);
-        let bound = Duration::from_millis(left_ms.unwrap_or(BODY_MS));
+        let read_timeout = Duration::from_millis(left_ms.unwrap_or(BODY_TIMEOUT_MS));
         // The body is read before any refusal: closing a connection with unread bytes resets it,
         // and the caller may lose the response that states the reason.
-        let body = read(body, limit, bound).await?;
-        let in_force = in_force?;
+        let body = read(body, limit, read_timeout).await?;
+        let active = active?;
         let head = head.map_err(|error| match error {
             HeadError::NoId | HeadError::Malformed { .. } => Problem::BadHead,
         })?;
-        let route = find_route(&in_force, &parts).ok_or(Problem::NoRoute)?;
+        let route = find_route(&active, &parts).ok_or(Problem::NoRoute)?;
         tracker.set_route(route);
         if let Some(generation) = &head.generation {
             tracker.set_size(generation);
         }
-        let holder = match in_force.requires_key(route) {
+        let owner = match active.requires_key(route) {
             true => {
                 let key = head.api_key.as_deref().ok_or(Problem::UnknownKey)?;
-                Some(in_force.organisation(key).ok_or(Problem::UnknownKey)?)
+                Some(active.organisation(key).ok_or(Problem::UnknownKey)?)
             }
             false => None,
         };
         let service = route
             .pick_service(rand::random())
             .ok_or(Problem::NoUpstream)?;
-        let patience_ms = left_ms.unwrap_or(Millis::MAX).min(route.timeout_ms);
-        let organisation = holder.map(|holder| holder.name.clone());
+        let max_wait_ms = left_ms.unwrap_or(Millis::MAX).min(route.timeout_ms);
+        let organisation = owner.map(|owner| owner.name.clone());
         let content = content_of(organisation.as_deref(), &parts, &body);
         tracker.set_content(content);
         let mut headers = parts.headers;
@@ -124,8 +124,8 @@
             service: service.to_owned(),
             organisation,
             content,
-            priority: holder
-                .and_then(|holder| holder.priority)
+            priority: owner
+                .and_then(|owner| owner.priority)
                 .unwrap_or(route.priority),
             generation: head.generation,
             last_event: head.last_event.filter(|_| route.can_resume),
@@ -133,14 +133,14 @@
             uri: parts.uri,
             headers,
             body,
-            deadline_ms: tracker.arrived_ms.saturating_add(patience_ms),
+            deadline_ms: tracker.arrived_ms.saturating_add(max_wait_ms),
         })
     }
 }
 
-fn find_route<'a>(in_force: &'a ActiveConfiguration, parts: &Parts) -> Option<&'a Route> {
+fn find_route<'a>(active: &'a ActiveConfiguration, parts: &Parts) -> Option<&'a Route> {
     let host = parts.headers.get(HOST)?.to_str().ok()?;
-    in_force.route(host, parts.uri.path())
+    active.route(host, parts.uri.path())
 }
 
 fn content_of(organisation: Option<&str>, parts: &Parts, body: &Bytes) -> ContentKey {
@@ -153,8 +153,12 @@
     ContentKey(hasher.finish())
 }
 
-async fn read(body: Incoming, limit_bytes: usize, bound: Duration) -> Result<Bytes, Problem> {
-    let collected = timeout(bound, Limited::new(body, limit_bytes).collect()).await;
+async fn read(
+    body: Incoming,
+    limit_bytes: usize,
+    read_timeout: Duration,
+) -> Result<Bytes, Problem> {
+    let collected = timeout(read_timeout, Limited::new(body, limit_bytes).collect()).await;
     match collected {
         Ok(Ok(body)) => Ok(body.to_bytes()),
         Ok(Err(error)) if error.is::<LengthLimitError>() => Err(Problem::BodyTooLong),
--- a/crates/gateway/src/instances.rs
+++ b/crates/gateway/src/instances.rs
@@ -30,7 +30,7 @@
     /// None now: all upstreams that accept work have asked this host to back off.
     Throttled {
         /// When the first of them accepts requests again.
-        opens_ms: Millis,
+        available_ms: Millis,
     },
     /// No upstream accepts work.
     NoneAvailable,
@@ -96,15 +96,15 @@
         &self,
         now_ms: Millis,
         service: &str,
-        without: &[InstanceKey],
+        excluded: &[InstanceKey],
         draw: f32,
     ) -> Selection {
         let mut table = self.table.lock();
         let same = table.by_service.get(service).map_or(&[][..], Vec::as_slice);
-        let same = same.iter().filter(|key| !without.contains(key));
+        let same = same.iter().filter(|key| !excluded.contains(key));
         let open = same.filter(|key| table.takes_work(&table.arena[**key]));
         let opens_ms = |key: &InstanceKey| table.available_at_ms(table.arena[*key].upstream);
-        let first_ms = open.clone().map(opens_ms).min();
+        let first_available_ms = open.clone().map(opens_ms).min();
         let open = open.filter(|key| opens_ms(key) <= now_ms);
         let (cold, warm): (Vec<InstanceKey>, Vec<InstanceKey>) =
             open.partition(|key| table.arena[**key].cold(now_ms).is_some());
@@ -118,9 +118,9 @@
             })
             .collect();
         let warm = choose(&choices, draw);
-        let has_room = warm.is_some_and(|key| !table.arena[key].is_full(now_ms));
+        let has_capacity = warm.is_some_and(|key| !table.arena[key].is_full(now_ms));
         if let Some(key) = warm
-            && (has_room || cold.is_empty())
+            && (has_capacity || cold.is_empty())
         {
             let upstream = table.arena[key].upstream;
             return match table.limit_of(upstream) {
@@ -129,8 +129,8 @@
             };
         }
         if cold.is_empty() {
-            return first_ms.map_or(Selection::NoneAvailable, |opens_ms| Selection::Throttled {
-                opens_ms,
+            return first_available_ms.map_or(Selection::NoneAvailable, |available_ms| {
+                Selection::Throttled { available_ms }
             });
         }
         let upstream = |key: &InstanceKey| table.arena[*key].upstream;
@@ -184,9 +184,9 @@
     /// the upstream accepts no new requests.
     pub(crate) fn reserve(&self, now_ms: Millis, upstream: UpstreamKey) -> Option<Chosen> {
         self.reserve_if(now_ms, upstream, |table, key| {
-            let asked = table.backpressure.get(&upstream);
+            let signals = table.backpressure.get(&upstream);
             table.takes_work(&table.arena[key])
-                && !asked.is_some_and(|asked| asked.is_backing_off(now_ms))
+                && !signals.is_some_and(|signals| signals.is_backing_off(now_ms))
         })
     }
 
@@ -199,8 +199,9 @@
         upstream: UpstreamKey,
     ) -> Option<Chosen> {
         self.reserve_if(now_ms, upstream, |table, key| {
-            let asked = table.backpressure.get_mut(&upstream);
-            !table.arena[key].is_evacuated && asked.is_none_or(|asked| asked.may_continue(now_ms))
+            let signals = table.backpressure.get_mut(&upstream);
+            !table.arena[key].is_evacuated
+                && signals.is_none_or(|signals| signals.may_continue(now_ms))
         })
     }
 
--- a/crates/gateway/src/migration.rs
+++ b/crates/gateway/src/migration.rs
@@ -26,9 +26,9 @@
     /// The engine does not know the generation: it has not begun, or has ended.
     NotFound,
     /// The generation is stopped and its KV cache is at the destination.
-    Stopped { to: Destination, copy: String },
+    Stopped { to: Destination, copy_id: String },
     /// The generation is stopped and its KV cache is still at the source.
-    StoppedAtSource { copy: String },
+    StoppedAtSource { copy_id: String },
 }
 
 /// A migration in progress.
@@ -38,7 +38,7 @@
     request_id: String,
     to: Destination,
     /// Identifies the copy at the destination, once there is one.
-    copy: Option<String>,
+    copy_id: Option<String>,
     answer: oneshot::Sender<MigrationAnswer>,
     call: BoxFuture<'static, Result<CompletedCopy, CopyError>>,
 }
@@ -59,7 +59,7 @@
             source,
             request_id,
             to: order.to,
-            copy: None,
+            copy_id: None,
             answer: order.answer,
             call,
         }
@@ -72,18 +72,20 @@
 
     /// Whether the long copy is complete at the destination.
     pub(crate) fn has_copy(&self) -> bool {
-        self.copy.is_some()
+        self.copy_id.is_some()
     }
 
     /// The copy at the destination, once there is one.
     pub(crate) fn copied(&self) -> Option<(Destination, String)> {
-        self.copy.clone().map(|copy| (self.to.clone(), copy))
+        self.copy_id
+            .clone()
+            .map(|copy_id| (self.to.clone(), copy_id))
     }
 
     /// Reports the outcome to the cell's home. A home that has stopped waiting learns it from the
     /// periodic run statements.
     pub(crate) fn answer(self, answer: MigrationAnswer) {
-        match (answer, &self.copy) {
+        match (answer, &self.copy_id) {
             (MigrationAnswer::Stayed | MigrationAnswer::Over, Some(_)) => self.discard(answer),
             _ => {
                 let _ = self.answer.send(answer);
@@ -100,27 +102,27 @@
         let Self {
             control,
             to,
-            copy,
+            copy_id,
             call,
             ..
         } = self;
         let home = self.answer;
         tokio::spawn(async move {
-            let copy = match copy {
-                Some(copy) => Ok(copy),
+            let copy_id = match copy_id {
+                Some(copy_id) => Ok(copy_id),
                 None => call.await.map(|copied| copied.copy_id),
             };
-            let is_free = match copy {
+            let is_freed = match copy_id {
                 // A restarted engine holds none of the earlier copies; a copy with this id belongs
                 // to another generation.
                 _ if to.is_lost() => true,
-                Ok(copy) => control.discard_copy(to.address, &copy).await,
+                Ok(copy_id) => control.discard_copy(to.address, &copy_id).await,
                 Err(CopyError::NoRoom { .. } | CopyError::Busy | CopyError::SourceUnreachable) => {
                     true
                 }
                 Err(CopyError::NotFound | CopyError::Unknown) => false,
             };
-            let _ = home.send(if is_free {
+            let _ = home.send(if is_freed {
                 answer
             } else {
                 MigrationAnswer::LeftBehind
@@ -134,9 +136,9 @@
             return std::future::pending().await;
         };
         let answer = (&mut migration.call).await;
-        match migration.copy.clone() {
+        match migration.copy_id.clone() {
             None => migration.after_first_copy(answer),
-            Some(copy) => migration.after_final_copy(answer, copy),
+            Some(copy_id) => migration.after_final_copy(answer, copy_id),
         }
     }
 
@@ -148,7 +150,7 @@
             Err(CopyError::Busy | CopyError::SourceUnreachable) => return Step::Stayed,
             Err(CopyError::Unknown) => return Step::Orphaned,
         };
-        self.copy = Some(copied.copy_id);
+        self.copy_id = Some(copied.copy_id);
         let (control, source) = (self.control.clone(), self.source);
         let (id, to) = (self.request_id.clone(), self.to.address);
         self.call = Box::pin(async move { control.stop_and_copy(source, &id, to).await });
@@ -158,17 +160,17 @@
     fn after_final_copy(
         &mut self,
         answer: Result<CompletedCopy, CopyError>,
-        first: String,
+        first_copy_id: String,
     ) -> Step {
         match answer {
             Ok(copied) => Step::Stopped {
                 to: self.to.clone(),
-                copy: copied.copy_id,
+                copy_id: copied.copy_id,
             },
             Err(CopyError::NotFound) => Step::NotFound,
             Err(CopyError::NoRoom {
-                copy_id: Some(copy),
-            }) => Step::StoppedAtSource { copy },
+                copy_id: Some(copy_id),
+            }) => Step::StoppedAtSource { copy_id },
             Err(
                 CopyError::Busy
                 | CopyError::SourceUnreachable
@@ -178,7 +180,7 @@
             // are tried.
             Err(CopyError::Unknown) => Step::Stopped {
                 to: self.to.clone(),
-                copy: first,
+                copy_id: first_copy_id,
             },
         }
     }
--- a/crates/gateway/src/recovery.rs
+++ b/crates/gateway/src/recovery.rs
@@ -11,27 +11,27 @@
 use crate::engine_stream::{EngineStream, StreamRead};
 use crate::head::Continuation;
 use crate::instance::Destination;
-use crate::relay::{Relay, Stopped};
+use crate::relay::{Relay, StoppedGeneration};
 use crate::start::StartedGeneration;
 
 /// A stopped engine closes its stream just before it responds; data in transit arrives within the
 /// latency between data centres.
-const DRAIN_MS: Millis = 12;
+const DRAIN_TIMEOUT_MS: Millis = 12;
 /// A running copy that does not resume within this time is no better than a silent engine.
-const GO_ON_MS: Millis = 300;
+const RESUME_TIMEOUT_MS: Millis = 300;
 /// Maximum number of recoveries of one generation: each one costs its caller a pause.
-const RECOVERIES: u32 = 3;
+const MAX_RECOVERIES: u32 = 3;
 
 impl Relay {
     /// Resumes after an engine was lost: from the running copy of the KV cache, or from the copy
     /// that a migration has made so far.
     pub(crate) async fn recover(&mut self) -> bool {
-        self.stream.in_flight.note(Verdict::Failed);
-        let broken = self.broken_run();
-        let is_suspect = broken.is_suspect();
-        self.gateway.check_for_crash(broken);
+        self.stream.in_flight.set_verdict(Verdict::Failed);
+        let interrupted = self.interrupted_run();
+        let is_suspect = interrupted.is_suspect();
+        self.gateway.check_for_crash(interrupted);
         self.recoveries += 1;
-        if self.recoveries > RECOVERIES {
+        if self.recoveries > MAX_RECOVERIES {
             return false;
         }
         // A generation that has run for a while did not crash its engine, and resumes regardless of
@@ -43,11 +43,11 @@
         self.gateway
             .report_engine_failure(self.run_guard.cell, lost.upstream, Verdict::Failed);
         if let Some(migration) = self.migration.take() {
-            let has_continued = match migration.copied() {
-                Some((to, copy)) => self.continue_at(&to, lost.address, &copy).await,
+            let has_resumed = match migration.copied() {
+                Some((to, copy_id)) => self.resume_at(&to, lost.address, &copy_id).await,
                 None => false,
             };
-            if has_continued {
+            if has_resumed {
                 migration.answer(MigrationAnswer::Moved);
                 return true;
             }
@@ -55,7 +55,7 @@
         }
         if let Some(backup) = self.backup.take() {
             let id = self.tracker.id.clone();
-            if self.continue_at(&backup, backup.address, &id).await {
+            if self.resume_at(&backup, backup.address, &id).await {
                 return true;
             }
         }
@@ -63,7 +63,7 @@
     }
 
     /// Describes the run that the engine broke off.
-    fn broken_run(&self) -> InterruptedRun {
+    fn interrupted_run(&self) -> InterruptedRun {
         let now_ms = self.gateway.clock.now_ms();
         let begun_ms = self.stream.begun_ms;
         let ran_ms = begun_ms.map(|begun_ms| now_ms.saturating_sub(begun_ms));
@@ -78,16 +78,16 @@
     /// generation does not report it: the caller sees a stalled stream and disconnects after
     /// seconds although the copy exists. The connection to the silent engine is closed as soon as
     /// the other engine resumes, so both work on the generation for a few ms at most.
-    pub(crate) async fn leave_silent_engine(&mut self) {
+    pub(crate) async fn fail_over_from_silent_engine(&mut self) {
         let Some(backup) = self.backup.take() else {
             return;
         };
         let silent = self.stream.engine();
         let id = self.tracker.id.clone();
-        let until_ms = self.gateway.clock.now_ms() + GO_ON_MS;
+        let until_ms = self.gateway.clock.now_ms() + RESUME_TIMEOUT_MS;
         let until_ms = until_ms.min(self.inbound.deadline_ms);
         if self
-            .continue_until(until_ms, &backup, backup.address, &id)
+            .resume_before(until_ms, &backup, backup.address, &id)
             .await
         {
             self.gateway.metrics.continuation("left_silent");
@@ -124,7 +124,7 @@
 
     /// Replaces the current stream by that of another engine.
     fn switch_to(&mut self, answer: Answer, backup: Option<Destination>) {
-        self.has_just_moved = true;
+        self.has_just_switched = true;
         // An incomplete event is discarded: the next engine sends it in full.
         self.events.take_remainder();
         self.stream = EngineStream::new(self.gateway.clock.now_ms(), answer);
@@ -140,7 +140,7 @@
 
     /// Reads the data that a stopped engine still has in transit.
     async fn drain(&mut self) {
-        let until_ms = self.gateway.clock.now_ms() + DRAIN_MS;
+        let until_ms = self.gateway.clock.now_ms() + DRAIN_TIMEOUT_MS;
         while self.handover.is_stream_open() {
             let read = self.stream.read(&mut self.events, until_ms, &self.gateway);
             if !matches!(read.await, StreamRead::Bytes) {
@@ -151,17 +151,17 @@
 
     /// Resumes a generation that was stopped: at the destination, or at the source, which still has
     /// its KV cache.
-    pub(crate) async fn continue_after_stop(&mut self) -> bool {
-        let Some(Stopped { to, copy }) = self.stopped.take() else {
+    pub(crate) async fn resume_after_stop(&mut self) -> bool {
+        let Some(StoppedGeneration { to, copy_id }) = self.stopped.take() else {
             return false;
         };
         self.drain().await;
-        let here = self.stream.engine();
+        let source = self.stream.engine();
         let has_migrated = match to {
-            Some(to) => self.continue_at(&to, here.address, &copy).await,
+            Some(to) => self.resume_at(&to, source.address, &copy_id).await,
             None => false,
         };
-        let continues = has_migrated || self.continue_at(&here, here.address, &copy).await;
+        let continues = has_migrated || self.resume_at(&source, source.address, &copy_id).await;
         self.end_migration(match has_migrated {
             true => MigrationAnswer::Moved,
             false => MigrationAnswer::Stayed,
@@ -170,32 +170,41 @@
     }
 
     /// Asks an engine to resume from a copy; returns whether it does.
-    async fn continue_at(&mut self, at: &Destination, source: SocketAddr, copy: &str) -> bool {
+    async fn resume_at(
+        &mut self,
+        destination: &Destination,
+        source: SocketAddr,
+        copy_id: &str,
+    ) -> bool {
         let until_ms = self.inbound.deadline_ms;
-        self.continue_until(until_ms, at, source, copy).await
+        self.resume_before(until_ms, destination, source, copy_id)
+            .await
     }
 
-    async fn continue_until(
+    async fn resume_before(
         &mut self,
         until_ms: Millis,
-        at: &Destination,
+        destination: &Destination,
         source: SocketAddr,
-        copy: &str,
+        copy_id: &str,
     ) -> bool {
         let now_ms = self.gateway.clock.now_ms();
-        let taken = self.gateway.reserve_continuation(at.upstream, until_ms);
-        let chosen = taken.await;
+        let reserved = self
+            .gateway
+            .reserve_continuation(destination.upstream, until_ms);
+        let chosen = reserved.await;
         let Some(chosen) = chosen else { return false };
         let service = &self.inbound.service;
         self.gateway.count_continuation(now_ms, service);
         let backup = self.backup.clone();
-        let backup = backup.filter(|backup| backup.upstream != at.upstream && !backup.is_lost());
+        let backup =
+            backup.filter(|backup| backup.upstream != destination.upstream && !backup.is_lost());
         let options = DispatchOptions {
             until_ms,
             backup: backup.as_ref().map(|backup| backup.address),
             continuation: Some(Continuation {
                 source,
-                copy_id: copy.to_owned(),
+                copy_id: copy_id.to_owned(),
             }),
             last_event: self.last_event,
         };
--- a/crates/gateway/src/relay.rs
+++ b/crates/gateway/src/relay.rs
@@ -27,10 +27,10 @@
 /// on another engine. The remainder is for the other engine to resume. An engine that loses power
 /// or its network resets no connection, so without this its streams would be lost although copies
 /// of them exist.
-const SILENCE_SHARE: f32 = 0.6;
+const SILENCE_FRACTION: f32 = 0.6;
 
 /// Time to read the bytes that arrived while this host itself was suspended.
-const LISTEN_MS: Millis = 4;
+const RESUME_READ_MS: Millis = 4;
 
 /// Counts a generation at its cell's home until dropped.
 pub(crate) struct RunGuard {
@@ -38,7 +38,7 @@
     pub(crate) cell: CellKey,
     pub(crate) run: RunKey,
     /// The complete response has reached the caller.
-    pub(crate) is_whole: bool,
+    pub(crate) is_complete: bool,
     /// Time from the placement to the first event.
     pub(crate) first_ms: Option<Millis>,
 }
@@ -48,7 +48,7 @@
         let out_tokens = self.gateway.runs.remove(self.run);
         let end = RunEnd {
             out_tokens: out_tokens.unwrap_or_default(),
-            is_complete: self.is_whole,
+            is_complete: self.is_complete,
             first_ms: self.first_ms,
         };
         self.gateway.report_end(self.cell, self.run, end);
@@ -56,11 +56,11 @@
 }
 
 /// A generation that its engine has stopped for a migration.
-pub(crate) struct Stopped {
+pub(crate) struct StoppedGeneration {
     /// The engine that holds its KV cache; `None` if that is still the source.
     pub(crate) to: Option<Destination>,
     /// Identifies the copy of the KV cache.
-    pub(crate) copy: String,
+    pub(crate) copy_id: String,
 }
 
 /// One generation that is relayed to its caller.
@@ -79,13 +79,13 @@
     pub(crate) handover: Handover,
     pub(crate) migration: Option<Migration>,
     /// Set between a stop and the resumption after it.
-    pub(crate) stopped: Option<Stopped>,
+    pub(crate) stopped: Option<StoppedGeneration>,
     pub(crate) backup: Option<Destination>,
     pub(crate) recoveries: u32,
     /// The next event is the first from a different engine.
-    pub(crate) has_just_moved: bool,
+    pub(crate) has_just_switched: bool,
     /// The engine has ended its response normally.
-    is_whole: bool,
+    is_complete: bool,
     status: u16,
 }
 
@@ -111,8 +111,8 @@
             migration: None,
             stopped: None,
             recoveries: 0,
-            has_just_moved: false,
-            is_whole: false,
+            has_just_switched: false,
+            is_complete: false,
             gateway,
             inbound,
             tracker,
@@ -127,7 +127,7 @@
         loop {
             match self.take_events() {
                 Ok(Some(events)) => return Some(Ok(events)),
-                Ok(None) if self.is_whole => return self.finish(),
+                Ok(None) if self.is_complete => return self.finish(),
                 Ok(None) => {}
                 Err(broken) => return Some(Err(self.fail("stream_gap", broken))),
             }
@@ -137,10 +137,10 @@
             let continues = match next {
                 NextStep::Read | NextStep::AwaitMigration => true,
                 NextStep::Finish => {
-                    self.is_whole = true;
+                    self.is_complete = true;
                     true
                 }
-                NextStep::Resume => self.continue_after_stop().await || self.recover().await,
+                NextStep::Resume => self.resume_after_stop().await || self.recover().await,
                 NextStep::Recover => self.recover().await,
             };
             if !continues {
@@ -163,7 +163,7 @@
             () = lost.cancelled(), if reads => StreamRead::Broken,
             () = sleep(silence.unwrap_or_default()), if silence.is_some() => self.confirm_silence().await,
             Some(order) = self.orders.recv(), if self.handover.can_begin_migration() => {
-                self.begin(order);
+                self.begin_migration(order);
                 StreamRead::Bytes
             }
             step = Migration::step(&mut self.migration), if self.migration.is_some() => {
@@ -180,24 +180,24 @@
 
     /// How long the engine may stay silent before the generation resumes from the running copy.
     fn silence_left(&self) -> Option<Duration> {
-        let may_leave = self.backup.is_some() && self.handover.can_begin_migration();
+        let can_fail_over = self.backup.is_some() && self.handover.can_begin_migration();
         let target_ms = self.inbound.route.gap_target_ms?;
         // Time spent by the previous engine, for a final copy or in silence, does not count as this
         // engine's silence.
         let since_ms = self.tracker.last_event_ms()?.max(self.stream.since_ms);
-        let until_ms = since_ms + (target_ms as f32 * SILENCE_SHARE) as Millis;
+        let until_ms = since_ms + (target_ms as f32 * SILENCE_FRACTION) as Millis;
         let left_ms = until_ms.saturating_sub(self.gateway.clock.now_ms());
-        may_leave.then(|| Duration::from_millis(left_ms))
+        can_fail_over.then(|| Duration::from_millis(left_ms))
     }
 
     /// Abandons a silent engine, unless this host itself was suspended: bytes that arrived
     /// meanwhile are read first, for which the connection's reader needs a moment.
     async fn confirm_silence(&mut self) -> StreamRead {
-        let until_ms = self.gateway.clock.now_ms() + LISTEN_MS;
+        let until_ms = self.gateway.clock.now_ms() + RESUME_READ_MS;
         let read = self.stream.read(&mut self.events, until_ms, &self.gateway);
         match read.await {
             StreamRead::Overdue => {
-                self.leave_silent_engine().await;
+                self.fail_over_from_silent_engine().await;
                 StreamRead::Bytes
             }
             read => read,
@@ -205,7 +205,7 @@
     }
 
     fn fail(&mut self, outcome: &'static str, broken: BodyBroken) -> BodyBroken {
-        self.stream.in_flight.note(Verdict::Failed);
+        self.stream.in_flight.set_verdict(Verdict::Failed);
         self.tracker.end(outcome, self.status);
         broken
     }
@@ -214,11 +214,11 @@
         if let Some(rest) = self.events.take_remainder() {
             return Some(Ok(rest));
         }
-        self.stream.in_flight.note(Verdict::Good);
+        self.stream.in_flight.set_verdict(Verdict::Good);
         if self.tracker.events > 0 {
             self.gateway.note_success(&self.inbound);
         }
-        self.run_guard.is_whole = self.tracker.events > 0 && self.inbound.last_event.is_none();
+        self.run_guard.is_complete = self.tracker.events > 0 && self.inbound.last_event.is_none();
         self.run_guard.first_ms = self.tracker.first_after_placed_ms();
         self.tracker.end("answered", self.status);
         None
@@ -252,18 +252,18 @@
         if fresh.is_empty() {
             return Ok(None);
         }
-        self.note_progress(count);
+        self.record_progress(count);
         Ok(Some(fresh.freeze()))
     }
 
-    fn note_progress(&mut self, events: u32) {
+    fn record_progress(&mut self, events: u32) {
         let now_ms = self.gateway.clock.now_ms();
         if let Some(pause_ms) = self.tracker.record_events(now_ms, events) {
             let metrics = &self.gateway.metrics;
             metrics.pause_ms.observe(pause_ms as f64);
             let target_ms = self.inbound.route.gap_target_ms;
             let is_stall = target_ms.is_some_and(|target_ms| pause_ms > target_ms);
-            if is_stall && !std::mem::take(&mut self.has_just_moved) {
+            if is_stall && !std::mem::take(&mut self.has_just_switched) {
                 metrics.stalls.inc();
             }
         }
@@ -274,7 +274,7 @@
         });
     }
 
-    fn begin(&mut self, order: MigrationOrder) {
+    fn begin_migration(&mut self, order: MigrationOrder) {
         let control = self.gateway.control.clone();
         let source = self.stream.address();
         let id = self.tracker.id.clone();
@@ -286,12 +286,15 @@
     fn advance(&mut self, step: Step) -> NextStep {
         let answer = match step {
             Step::Copied => return self.handover.advance_migration(MigrationStep::Copied),
-            Step::Stopped { to, copy } => {
-                self.stopped = Some(Stopped { to: Some(to), copy });
+            Step::Stopped { to, copy_id } => {
+                self.stopped = Some(StoppedGeneration {
+                    to: Some(to),
+                    copy_id,
+                });
                 return self.handover.advance_migration(MigrationStep::Stopped);
             }
-            Step::StoppedAtSource { copy } => {
-                self.stopped = Some(Stopped { to: None, copy });
+            Step::StoppedAtSource { copy_id } => {
+                self.stopped = Some(StoppedGeneration { to: None, copy_id });
                 return self.handover.advance_migration(MigrationStep::Stopped);
             }
             Step::Stayed => MigrationAnswer::Stayed,
--- a/crates/gateway/src/serve.rs
+++ b/crates/gateway/src/serve.rs
@@ -71,7 +71,7 @@
 /// a second to arrive.
 const LINGER_MS: Millis = 3_400;
 /// Part of the grace period reserved for closing connections and ending the process.
-const EXIT_MS: Millis = 400;
+const EXIT_RESERVE_MS: Millis = 400;
 
 impl Gateway {
     /// Serves until `stopped`, then finishes running requests within the grace period.
@@ -83,7 +83,7 @@
             peers,
         } = listeners;
         let (stop, stops) = watch::channel(false);
-        let (_keep, never) = watch::channel(false);
+        let (_never_stop, never) = watch::channel(false);
         tokio::spawn(self.clone().answer_readiness(readiness, never.clone()));
         tokio::spawn(self.clone().answer_metrics(metrics, never));
         tokio::spawn(self.clone().serve_peers(peers));
@@ -103,12 +103,15 @@
         info!("host: {} started", self.settings.host.name);
         stopped.await;
         info!("host: {} stops", self.settings.host.name);
-        let left_ms = self.settings.grace_ms.saturating_sub(EXIT_MS);
+        let left_ms = self.settings.grace_ms.saturating_sub(EXIT_RESERVE_MS);
         self.drain(self.clock.now_ms() + left_ms);
         self.leave_fleet().await;
         sleep(Duration::from_millis(LINGER_MS)).await;
         let _ = stop.send(true);
-        let left_ms = self.settings.grace_ms.saturating_sub(LINGER_MS + EXIT_MS);
+        let left_ms = self
+            .settings
+            .grace_ms
+            .saturating_sub(LINGER_MS + EXIT_RESERVE_MS);
         let finished = timeout(Duration::from_millis(left_ms), server).await;
         match finished {
             Ok(_) => info!("host: {} stopped, all is answered", self.settings.host.name),
--- a/crates/gateway/src/start.rs
+++ b/crates/gateway/src/start.rs
@@ -19,18 +19,18 @@
 use crate::tracker::RequestTracker;
 
 /// Maximum number of engines that one generation is sent to.
-const DISPATCHES: usize = 4;
+const MAX_DISPATCHES: usize = 4;
 /// Fraction of the first-event target for which a generation waits for capacity. The remainder must
 /// suffice for the prefill.
-const WAIT_SHARE: f32 = 0.55;
+const CAPACITY_WAIT_FRACTION: f32 = 0.55;
 /// An engine whose response has not begun after this multiple of the first-event target is reported
 /// as failing. After the target alone, a loaded engine would merely be late.
-const SILENCE_TARGETS: Millis = 2;
+const SILENCE_TARGET_MULTIPLE: Millis = 2;
 /// Interval between two placement requests while the cell is full.
-const WAIT_PERIOD: Duration = Duration::from_millis(60);
+const PLACEMENT_RETRY_INTERVAL: Duration = Duration::from_millis(60);
 
 /// An engine selected for a generation, with the request counted there.
-struct Start {
+struct SelectedEngine {
     chosen: Chosen,
     backup: Option<Destination>,
 }
@@ -51,7 +51,7 @@
     /// When the last engine was lost, if its stream had begun.
     lost_ms: Option<Millis>,
     /// The last engine's own error response, returned to the caller if no other engine answers.
-    failed: Option<StartedGeneration>,
+    failed_response: Option<StartedGeneration>,
 }
 
 impl Attempts {
@@ -88,7 +88,7 @@
             Err(problem) => {
                 let problem =
                     self.refine_refusal(attempts.without_false_not_run(problem), &inbound.service);
-                attempts.failed.take().ok_or(problem)
+                attempts.failed_response.take().ok_or(problem)
             }
         }
     }
@@ -122,7 +122,7 @@
     ) -> Result<StartedGeneration, Problem> {
         let mut problem = Problem::NoUpstream;
         let mut is_admitted = false;
-        while attempts.tried.len() < DISPATCHES {
+        while attempts.tried.len() < MAX_DISPATCHES {
             let now_ms = self.clock.now_ms();
             if now_ms >= inbound.deadline_ms {
                 return Err(Problem::TooLateToSend);
@@ -136,11 +136,11 @@
             let found = self
                 .find_engine(inbound, run_guard, tracker, attempts)
                 .await?;
-            let Some(start) = found else { break };
+            let Some(selected) = found else { break };
             // The circuit may have opened while the request waited for capacity.
             self.refuse_if_open(inbound)?;
-            attempts.tried.push(start.chosen.clone());
-            let tried = self.start_on(inbound, run_guard, tracker, start, last_event);
+            attempts.tried.push(selected.chosen.clone());
+            let tried = self.start_on(inbound, run_guard, tracker, selected, last_event);
             let failure = match tried.await {
                 Ok(started) => {
                     attempts.runs += 1;
@@ -149,7 +149,7 @@
                     if !has_failed || !inbound.may_run_again(attempts.runs) {
                         return Ok(started);
                     }
-                    attempts.failed = Some(started);
+                    attempts.failed_response = Some(started);
                     continue;
                 }
                 Err(failure) => failure,
@@ -175,23 +175,23 @@
         inbound: &InboundRequest,
         run_guard: &RunGuard,
         tracker: &mut RequestTracker,
-        start: Start,
+        selected: SelectedEngine,
         last_event: Option<u64>,
     ) -> Result<StartedGeneration, Failure> {
-        if start.backup.is_some() {
+        if selected.backup.is_some() {
             self.metrics.running_copies.inc();
         }
         tracker.mark_placed(self.clock.now_ms());
-        let statement = statement(inbound, run_guard, &start);
+        let statement = run_statement(inbound, run_guard, &selected);
         self.runs.place(run_guard.cell, statement);
         let options = DispatchOptions {
             until_ms: inbound.deadline_ms,
-            backup: start.backup.as_ref().map(|backup| backup.address),
+            backup: selected.backup.as_ref().map(|backup| backup.address),
             last_event,
             ..DispatchOptions::default()
         };
-        let engine = start.chosen.upstream;
-        let dispatch = self.dispatch(inbound, tracker, start.chosen, options);
+        let engine = selected.chosen.upstream;
+        let dispatch = self.dispatch(inbound, tracker, selected.chosen, options);
         let answer = self
             .report_silence(inbound, run_guard, engine, dispatch)
             .await;
@@ -209,7 +209,7 @@
         let answer = answer?;
         Ok(StartedGeneration {
             answer,
-            backup: start.backup,
+            backup: selected.backup,
         })
     }
 
@@ -223,8 +223,9 @@
         dispatch: impl Future<Output = Result<Answer, Failure>>,
     ) -> Result<Answer, Failure> {
         let mut dispatch = pin!(dispatch);
-        let patience = Duration::from_millis(inbound.route.target_ms * SILENCE_TARGETS);
-        if let Ok(answer) = timeout(patience, dispatch.as_mut()).await {
+        let silence_timeout =
+            Duration::from_millis(inbound.route.target_ms * SILENCE_TARGET_MULTIPLE);
+        if let Ok(answer) = timeout(silence_timeout, dispatch.as_mut()).await {
             return answer;
         }
         self.report_engine_failure(run_guard.cell, engine, Verdict::Failed);
@@ -247,22 +248,22 @@
         run_guard: &RunGuard,
         tracker: &mut RequestTracker,
         attempts: &Attempts,
-    ) -> Result<Option<Start>, Problem> {
+    ) -> Result<Option<SelectedEngine>, Problem> {
         let tried = &attempts.tried;
-        let mut refusing: Vec<UpstreamKey> = tried.iter().map(|one| one.upstream).collect();
-        let wait_ms = (inbound.route.target_ms as f32 * WAIT_SHARE) as Millis;
+        let mut refused_by: Vec<UpstreamKey> = tried.iter().map(|one| one.upstream).collect();
+        let wait_ms = (inbound.route.target_ms as f32 * CAPACITY_WAIT_FRACTION) as Millis;
         let since_ms = attempts.lost_ms.unwrap_or(tracker.arrived_ms);
         let until_ms = inbound.deadline_ms.min(since_ms + wait_ms);
         loop {
-            let asked_ms = self.clock.now_ms();
-            let is_last_call = asked_ms >= until_ms;
-            let mut without = refusing.clone();
-            without.extend(self.instances.throttled(asked_ms));
-            let mut request = self.placement_request(inbound, run_guard, without);
+            let requested_ms = self.clock.now_ms();
+            let is_final_attempt = requested_ms >= until_ms;
+            let mut excluded = refused_by.clone();
+            excluded.extend(self.instances.throttled(requested_ms));
+            let mut request = self.placement_request(inbound, run_guard, excluded);
             if let Some(request) = &mut request {
-                let waited_ms = asked_ms.saturating_sub(tracker.arrived_ms);
+                let waited_ms = requested_ms.saturating_sub(tracker.arrived_ms);
                 request.max_wait_ms = inbound.route.target_ms.saturating_sub(waited_ms);
-                request.is_final_attempt = is_last_call;
+                request.is_final_attempt = is_final_attempt;
             }
             let placement = match &request {
                 Some(request) => self.place(run_guard.cell, request.clone()).await,
@@ -278,27 +279,27 @@
                     if self.is_throttled(engine).await {
                         // Other hosts may take every start of this engine, and this request has no
                         // time left to retry.
-                        refusing.extend(is_last_call.then_some(engine));
+                        refused_by.extend(is_final_attempt.then_some(engine));
                         continue;
                     }
                     let now_ms = self.clock.now_ms();
                     if let Some(chosen) = self.instances.reserve(now_ms, engine) {
                         let backup = backup.and_then(|one| self.instances.destination(now_ms, one));
-                        return Ok(Some(Start { chosen, backup }));
+                        return Ok(Some(SelectedEngine { chosen, backup }));
                     }
-                    refusing.push(engine);
+                    refused_by.push(engine);
                 }
-                Placement::Full { retry_after_ms } if is_last_call => {
+                Placement::Full { retry_after_ms } if is_final_attempt => {
                     return Err(Problem::Full { retry_after_ms });
                 }
-                Placement::Full { .. } => sleep(WAIT_PERIOD).await,
+                Placement::Full { .. } => sleep(PLACEMENT_RETRY_INTERVAL).await,
                 Placement::TooLarge => return Err(Problem::TooLarge),
                 Placement::NoEngine => {
                     let tried: Vec<_> = tried.iter().map(|one| one.key).collect();
                     let chosen = self
                         .find_upstream(&inbound.service, &tried, until_ms)
                         .await?;
-                    return Ok(chosen.map(|chosen| Start {
+                    return Ok(chosen.map(|chosen| SelectedEngine {
                         chosen,
                         backup: None,
                     }));
@@ -313,7 +314,7 @@
         &self,
         inbound: &InboundRequest,
         run_guard: &RunGuard,
-        without: Vec<UpstreamKey>,
+        excluded: Vec<UpstreamKey>,
     ) -> Option<PlacementRequest> {
         let generation = inbound.generation.as_ref()?;
         // Engines that do not report their memory are selected by load alone.
@@ -329,20 +330,20 @@
             prompt_tokens: generation.prompt_tokens,
             limit_tokens: generation.output_limit_tokens,
             hint_tokens: generation.length_hint_tokens,
-            retry_key: inbound.likeness(),
+            retry_key: inbound.retry_key(),
             priority: inbound.priority,
             max_wait_ms: inbound.route.target_ms,
             left_ms: inbound.deadline_ms.saturating_sub(self.clock.now_ms()),
             is_final_attempt: false,
-            excluded: without,
+            excluded,
             can_back_up: traits.can_back_up,
         })
     }
 
     /// Capabilities of a service's engines; `None` if its upstreams are not engines.
     pub(crate) fn engine_traits(&self, service: &str) -> Option<EngineTraits> {
-        let in_force = self.in_force()?;
-        in_force.service(service)?.engine.clone()
+        let active = self.in_force()?;
+        active.service(service)?.engine.clone()
     }
 }
 
@@ -361,13 +362,17 @@
     }
 }
 
-fn statement(inbound: &InboundRequest, run_guard: &RunGuard, start: &Start) -> RunStatement {
+fn run_statement(
+    inbound: &InboundRequest,
+    run_guard: &RunGuard,
+    selected: &SelectedEngine,
+) -> RunStatement {
     let generation = inbound.generation.clone().unwrap_or_default();
     RunStatement {
         run: run_guard.run,
         organisation: inbound.organisation_key(),
-        engine: start.chosen.upstream,
-        backup: start.backup.as_ref().map(|backup| backup.upstream),
+        engine: selected.chosen.upstream,
+        backup: selected.backup.as_ref().map(|backup| backup.upstream),
         prompt_tokens: generation.prompt_tokens,
         out_tokens: 0,
         limit_tokens: generation.output_limit_tokens,
--- a/crates/gateway/src/start_limits.rs
+++ b/crates/gateway/src/start_limits.rs
@@ -23,71 +23,71 @@
 use crate::problem::Problem;
 
 /// Timeout of a start request: several round trips between data centres.
-const ASK_BOUND: Duration = Duration::from_millis(80);
+const REQUEST_TIMEOUT: Duration = Duration::from_millis(80);
 /// Retry delay if no home answers: another home is determined within the time of a few pings.
-const NO_HOME_MS: Millis = 300;
+const NO_HOME_RETRY_MS: Millis = 300;
 /// Maximum number of cold upstreams tried in sequence: each request costs a round trip.
-const ASKED: usize = 3;
+const MAX_COLD_REQUESTS: usize = 3;
 /// Timeout for connecting to a home and requesting a start: a host that has lost power does not
 /// answer at all.
-const HOME_BOUND: Duration = Duration::from_millis(100);
-/// Upper bound on the retry delay if this host's share is used up: the next start of a share may be
+const HOME_TIMEOUT: Duration = Duration::from_millis(100);
+/// Upper start_limit on the retry delay if this host's share is used up: the next start of a share may be
 /// minutes away, and a home is available again within seconds.
-const SHARE_WAIT_MS: Millis = 1_000;
+const MAX_SHARE_WAIT_MS: Millis = 1_000;
 /// Fraction of a limit that all hosts together use without a home. The home may still be reachable
 /// for other hosts and grant them the full limit.
-const SHARE_WITHOUT_HOME: f32 = 0.25;
+const FRACTION_WITHOUT_HOME: f32 = 0.25;
 /// How long a generation that resumes on another engine waits for a start there: its caller sees a
 /// pause and disconnects after seconds.
 const CONTINUATION_WAIT_MS: Millis = 400;
 /// Bounds of the `Retry-After` returned during an evacuation, which lasts until an operator ends
 /// it.
-const EVACUATION_MS: std::ops::RangeInclusive<Millis> = 1_000..=30_000;
+const EVACUATION_RETRY_MS: std::ops::RangeInclusive<Millis> = 1_000..=30_000;
 
 /// The starts that this host has granted at one upstream.
 #[derive(Debug, Default)]
-struct Starts {
+struct UpstreamStarts {
     cold: ColdStarts,
-    whole: Pacer,
+    full: Pacer,
     share: Pacer,
 }
 
-impl Starts {
-    fn grant(&mut self, now_ms: Millis, bound: Bound) -> Result<(), Millis> {
-        match bound.paced {
-            Some(Pace::Whole { per_s }) => self.whole.grant(now_ms, per_s)?,
-            Some(Pace::Share { per_s, hosts }) => {
+impl UpstreamStarts {
+    fn grant(&mut self, now_ms: Millis, start_limit: StartLimit) -> Result<(), Millis> {
+        match start_limit.rate {
+            Some(StartRate::Full { per_s }) => self.full.grant(now_ms, per_s)?,
+            Some(StartRate::Share { per_s, hosts }) => {
                 let draw = rand::random();
                 let granted = self.share.grant_share(now_ms, per_s, hosts, draw);
-                granted.map_err(|wait_ms| wait_ms.min(SHARE_WAIT_MS))?;
+                granted.map_err(|wait_ms| wait_ms.min(MAX_SHARE_WAIT_MS))?;
             }
             None => {}
         }
-        match bound.cold {
-            Some(most) => self.cold.grant(now_ms, most),
+        match start_limit.cold {
+            Some(starts) => self.cold.grant(now_ms, starts),
             None => Ok(()),
         }
     }
 
     fn is_idle(&self, now_ms: Millis) -> bool {
-        self.cold.is_idle(now_ms) && self.whole.is_idle(now_ms) && self.share.is_idle(now_ms)
+        self.cold.is_idle(now_ms) && self.full.is_idle(now_ms) && self.share.is_idle(now_ms)
     }
 }
 
 /// Limits on the starts that one host grants at an upstream.
 #[derive(Debug, Clone, Copy, Default)]
-struct Bound {
+struct StartLimit {
     /// Starts within any one second while the upstream is cold.
     cold: Option<u32>,
     /// The rate that follows from the limit that the upstream advertises.
-    paced: Option<Pace>,
+    rate: Option<StartRate>,
 }
 
 /// A rate derived from the limit that an upstream advertises.
 #[derive(Debug, Clone, Copy)]
-enum Pace {
+enum StartRate {
     /// The full rate, granted to all hosts by the home.
-    Whole { per_s: f32 },
+    Full { per_s: f32 },
     /// This host's share, used if no home grants starts.
     Share { per_s: f32, hosts: usize },
 }
@@ -95,14 +95,22 @@
 /// The starts that this host has granted as the home of upstreams.
 #[derive(Debug, Default)]
 pub(crate) struct StartLimiter {
-    starts: Mutex<HashMap<UpstreamKey, Starts>>,
+    starts: Mutex<HashMap<UpstreamKey, UpstreamStarts>>,
 }
 
 impl StartLimiter {
-    fn grant(&self, now_ms: Millis, upstream: UpstreamKey, bound: Bound) -> Result<(), Millis> {
+    fn grant(
+        &self,
+        now_ms: Millis,
+        upstream: UpstreamKey,
+        start_limit: StartLimit,
+    ) -> Result<(), Millis> {
         let mut starts = self.starts.lock();
         starts.retain(|_, starts| !starts.is_idle(now_ms));
-        starts.entry(upstream).or_default().grant(now_ms, bound)
+        starts
+            .entry(upstream)
+            .or_default()
+            .grant(now_ms, start_limit)
     }
 }
 
@@ -112,14 +120,14 @@
     pub(crate) async fn find_upstream(
         &self,
         service: &str,
-        without: &[InstanceKey],
+        excluded: &[InstanceKey],
         until_ms: Millis,
     ) -> Result<Option<Chosen>, Problem> {
         loop {
             let now_ms = self.clock.now_ms();
             let found = self
                 .instances
-                .choose(now_ms, service, without, rand::random());
+                .choose(now_ms, service, excluded, rand::random());
             let (cold, full) = match found {
                 Selection::Warm(chosen) => return Ok(Some(chosen)),
                 Selection::NoneAvailable => return self.explain_no_upstream(now_ms, service),
@@ -130,18 +138,18 @@
                         None => continue,
                     }
                 }
-                Selection::Throttled { opens_ms } if opens_ms > until_ms => {
+                Selection::Throttled { available_ms } if available_ms > until_ms => {
                     return Err(Problem::Throttled {
-                        retry_after_ms: opens_ms - now_ms,
+                        retry_after_ms: available_ms - now_ms,
                     });
                 }
-                Selection::Throttled { opens_ms } => {
-                    sleep(Duration::from_millis(opens_ms.saturating_sub(now_ms))).await;
+                Selection::Throttled { available_ms } => {
+                    sleep(Duration::from_millis(available_ms.saturating_sub(now_ms))).await;
                     continue;
                 }
                 Selection::Cold { cold, full } => (cold, full),
             };
-            let wait_ms = match self.first_start(&cold).await {
+            let wait_ms = match self.start_on_cold(&cold).await {
                 Ok(chosen) => return Ok(Some(chosen)),
                 Err(wait_ms) => wait_ms,
             };
@@ -165,12 +173,12 @@
     ///
     /// # Errors
     /// How long to wait for the next start at any of them, in ms.
-    async fn first_start(&self, cold: &[UpstreamKey]) -> Result<Chosen, Millis> {
-        let mut least_ms = NO_HOME_MS;
+    async fn start_on_cold(&self, cold: &[UpstreamKey]) -> Result<Chosen, Millis> {
+        let mut least_ms = NO_HOME_RETRY_MS;
         // Each host begins at a random upstream, which spreads the requests over the homes.
         let first = rand::random_range(0..cold.len());
         let order = cold.iter().cycle().skip(first).take(cold.len());
-        for upstream in order.take(ASKED) {
+        for upstream in order.take(MAX_COLD_REQUESTS) {
             match self.request_start_if_limited(*upstream).await {
                 Ok(()) => {
                     let chosen = self.instances.reserve(self.clock.now_ms(), *upstream);
@@ -189,8 +197,8 @@
     pub(crate) fn refine_refusal(&self, problem: Problem, service: &str) -> Problem {
         let now_ms = self.clock.now_ms();
         match (problem, self.instances.available_at_ms(now_ms, service)) {
-            (Problem::AllRefused, Some(opens_ms)) => Problem::Throttled {
-                retry_after_ms: opens_ms - now_ms,
+            (Problem::AllRefused, Some(available_ms)) => Problem::Throttled {
+                retry_after_ms: available_ms - now_ms,
             },
             _ => problem,
         }
@@ -210,7 +218,8 @@
         // An evacuation is expected to last as long again as it has lasted so far.
         let lasted_ms = now_ms.saturating_sub(since_ms);
         Err(Problem::Evacuated {
-            retry_after_ms: lasted_ms.clamp(*EVACUATION_MS.start(), *EVACUATION_MS.end()),
+            retry_after_ms: lasted_ms
+                .clamp(*EVACUATION_RETRY_MS.start(), *EVACUATION_RETRY_MS.end()),
         })
     }
 
@@ -218,18 +227,22 @@
     ///
     /// # Errors
     /// How long to wait before the next request, in ms.
-    async fn request_start(&self, upstream: UpstreamKey, ask: StartRequest) -> Result<(), Millis> {
-        if ask == StartRequest::default() {
+    async fn request_start(
+        &self,
+        upstream: UpstreamKey,
+        request: StartRequest,
+    ) -> Result<(), Millis> {
+        if request == StartRequest::default() {
             return Ok(());
         }
         let answer = match self.home_of_starts(upstream) {
-            Some(home) => self.request_start_from_home(&home, upstream, ask).await,
-            None => self.grant_start(upstream, ask),
+            Some(home) => self.request_start_from_home(&home, upstream, request).await,
+            None => self.grant_start(upstream, request),
         };
         let StartAnswer::Later { wait_ms } = answer else {
             return Ok(());
         };
-        match ask.limit {
+        match request.limit {
             Some(_) => self.metrics.limit_waits.inc(),
             None => self.metrics.cold_waits.inc(),
         };
@@ -239,49 +252,55 @@
     /// The host that grants an upstream's starts; `None` if it is this host.
     fn home_of_starts(&self, upstream: UpstreamKey) -> Option<MemberInfo> {
         let members = self.fleet.members.lock();
-        let (key, note) = members.homes_of(upstream.0, 1).pop()?;
-        (key != members.own_key()).then_some(note)
+        let (key, info) = members.homes_of(upstream.0, 1).pop()?;
+        (key != members.own_key()).then_some(info)
     }
 
     async fn request_start_from_home(
         &self,
         home: &MemberInfo,
         upstream: UpstreamKey,
-        ask: StartRequest,
+        request: StartRequest,
     ) -> StartAnswer {
         let call = |client: GatewayPeerClient, context| async move {
-            client.ask_start(context, upstream, ask).await
+            client.ask_start(context, upstream, request).await
         };
         let peers = &self.fleet.peers;
-        let asked = peers.call_with_timeout(home.address, ASK_BOUND, call);
+        let asked = peers.call_with_timeout(home.address, REQUEST_TIMEOUT, call);
         let no_answer = NoAnswer {
             address: home.address,
         };
-        let answer = timeout(HOME_BOUND, asked).await;
+        let answer = timeout(HOME_TIMEOUT, asked).await;
         match answer.unwrap_or(Err(no_answer)) {
             Ok(answer) => answer,
-            Err(error) if ask.is_cold => {
-                warn!("starts: {:016x} got none: {error}", upstream.0);
+            Err(error) if request.is_cold => {
+                warn!(
+                    "starts: upstream {:016x} gets no start, its home did not answer: {error}",
+                    upstream.0
+                );
                 StartAnswer::Later {
-                    wait_ms: NO_HOME_MS,
+                    wait_ms: NO_HOME_RETRY_MS,
                 }
             }
             Err(error) => {
-                warn!("starts: a share alone of {:016x}: {error}", upstream.0);
+                warn!(
+                    "starts: upstream {:016x} gets only this host's share of its limit: {error}",
+                    upstream.0
+                );
                 let now_ms = self.clock.now_ms();
-                let bound = Bound {
+                let start_limit = StartLimit {
                     cold: None,
-                    paced: ask.limit.map(|limit| self.share_of(limit)),
+                    rate: request.limit.map(|limit| self.share_of(limit)),
                 };
-                answer_of(self.start_limiter.grant(now_ms, upstream, bound))
+                start_answer(self.start_limiter.grant(now_ms, upstream, start_limit))
             }
         }
     }
 
     /// The share of a limit that this host may use without a home.
-    fn share_of(&self, limit: AdvertisedLimit) -> Pace {
-        Pace::Share {
-            per_s: limit.per_s * SHARE_WITHOUT_HOME,
+    fn share_of(&self, limit: AdvertisedLimit) -> StartRate {
+        StartRate::Share {
+            per_s: limit.per_s * FRACTION_WITHOUT_HOME,
             hosts: self.fleet.host_count().max(1),
         }
     }
@@ -291,29 +310,30 @@
     /// A partitioned host considers itself the home of every upstream. A host that has not heard
     /// from another host recently therefore grants no start at a cold upstream, and only its own
     /// share of an advertised limit.
-    pub(crate) fn grant_start(&self, upstream: UpstreamKey, ask: StartRequest) -> StartAnswer {
+    pub(crate) fn grant_start(&self, upstream: UpstreamKey, request: StartRequest) -> StartAnswer {
         let now_ms = self.clock.now_ms();
-        if let Some(limit) = ask.limit {
-            let heard_ms = now_ms.saturating_sub(limit.age_ms);
-            self.instances.apply_limit(upstream, limit.per_s, heard_ms);
+        if let Some(limit) = request.limit {
+            let received_ms = now_ms.saturating_sub(limit.age_ms);
+            self.instances
+                .apply_limit(upstream, limit.per_s, received_ms);
         }
         let has_recent_contact = self.fleet.has_recent_contact(now_ms);
         let cold = self.instances.availability(upstream).cold;
-        if ask.is_cold && (cold.is_none() || !has_recent_contact) {
+        if request.is_cold && (cold.is_none() || !has_recent_contact) {
             return StartAnswer::Later {
-                wait_ms: NO_HOME_MS,
+                wait_ms: NO_HOME_RETRY_MS,
             };
         }
         let is_home = has_recent_contact && self.home_of_starts(upstream).is_none();
         let limit = self.instances.named_limit(now_ms, upstream);
-        let bound = Bound {
-            cold: cold.filter(|_| ask.is_cold).map(|cold| cold.starts),
-            paced: limit.map(|limit| match is_home {
-                true => Pace::Whole { per_s: limit.per_s },
+        let start_limit = StartLimit {
+            cold: cold.filter(|_| request.is_cold).map(|cold| cold.starts),
+            rate: limit.map(|limit| match is_home {
+                true => StartRate::Full { per_s: limit.per_s },
                 false => self.share_of(limit),
             }),
         };
-        answer_of(self.start_limiter.grant(now_ms, upstream, bound))
+        start_answer(self.start_limiter.grant(now_ms, upstream, start_limit))
     }
 
     /// Requests a start if the upstream is cold.
@@ -321,20 +341,20 @@
     /// # Errors
     /// How long to wait before the next request, in ms.
     pub(crate) async fn request_start_if_cold(&self, upstream: UpstreamKey) -> Result<(), Millis> {
-        let ask = StartRequest {
+        let request = StartRequest {
             is_cold: self.is_cold(upstream),
             limit: None,
         };
-        self.request_start(upstream, ask).await
+        self.request_start(upstream, request).await
     }
 
     /// Requests a start if the upstream is cold or advertises a limit.
     async fn request_start_if_limited(&self, upstream: UpstreamKey) -> Result<(), Millis> {
-        let ask = StartRequest {
+        let request = StartRequest {
             is_cold: self.is_cold(upstream),
             limit: self.instances.named_limit(self.clock.now_ms(), upstream),
         };
-        self.request_start(upstream, ask).await
+        self.request_start(upstream, request).await
     }
 
     fn is_cold(&self, upstream: UpstreamKey) -> bool {
@@ -346,16 +366,16 @@
     /// the upstream is throttled locally until the time that the home gave, and other requests do
     /// not ask the home before.
     pub(crate) async fn is_throttled(&self, upstream: UpstreamKey) -> bool {
-        let ask = StartRequest {
+        let request = StartRequest {
             is_cold: false,
             limit: self.instances.named_limit(self.clock.now_ms(), upstream),
         };
-        let asked = self.request_start(upstream, ask).await;
-        if let Err(wait_ms) = asked {
+        let requested = self.request_start(upstream, request).await;
+        if let Err(wait_ms) = requested {
             let until_ms = self.clock.now_ms() + wait_ms;
             self.instances.throttle_until(upstream, until_ms);
         }
-        asked.is_err()
+        requested.is_err()
     }
 
     /// Counts a generation that resumes at an upstream, if it may do so before `until_ms`.
@@ -376,7 +396,7 @@
     }
 }
 
-fn answer_of(granted: Result<(), Millis>) -> StartAnswer {
+fn start_answer(granted: Result<(), Millis>) -> StartAnswer {
     match granted {
         Ok(()) => StartAnswer::Now,
         Err(wait_ms) => StartAnswer::Later { wait_ms },
--- a/crates/gateway/src/stream.rs
+++ b/crates/gateway/src/stream.rs
@@ -78,7 +78,7 @@
         Self {
             cell: gateway.cells.cell_for(&inbound.service, data_centre, run),
             run,
-            is_whole: false,
+            is_complete: false,
             first_ms: None,
             gateway,
         }
--- a/crates/gateway/src/tracker.rs
+++ b/crates/gateway/src/tracker.rs
@@ -156,7 +156,9 @@
         self.gateway.metrics.requests.get_or_create(&labels).inc();
         match serde_json::to_string(&self.record(outcome, status)) {
             Ok(line) => info!("{REQUEST_PREFIX}{line}"),
-            Err(error) => spdlog::warn!("log: could not write the line of a request: {error}"),
+            Err(error) => {
+                spdlog::warn!("log: could not serialize the record of a request: {error}")
+            }
         }
     }
 
@@ -207,7 +209,7 @@
     }
 
     /// Sets the verdict on the exchange.
-    pub(crate) fn note(&mut self, verdict: Verdict) {
+    pub(crate) fn set_verdict(&mut self, verdict: Verdict) {
         self.verdict = verdict;
     }
 }
