--- a/crates/policy/src/cell/mod.rs
+++ b/crates/policy/src/cell/mod.rs
@@ -110,8 +110,7 @@
 
     /// Marks an engine as unreachable; true if it stops getting work because of that.
     ///
-    /// At most [`MAX_UNREACHABLE_SHARE`] of the engines are closed, because this host may be the
-    /// one that is partitioned.
+    /// At most half of the engines are closed, because this host may be the one that is partitioned.
     pub fn mark_unreachable(&mut self, engine: UpstreamKey) -> bool {
         let gone = self
             .engines
--- a/crates/policy/tests/cell/answer_lengths.rs
+++ b/crates/policy/tests/cell/answer_lengths.rs
@@ -3,7 +3,7 @@
 use fulmarpath_policy::{Cell, PlacementRequest, RunEnd, RunKey, RunStatement};
 use rstest::rstest;
 
-use crate::fixtures::{ME, NEAR, cell, engine, engine_of, request, statement};
+use crate::fixtures::{HOST, LOCAL, cell, engine, engine_of, request, statement};
 
 const LIMIT_TOKENS: u32 = 1_756;
 const HINT_TOKENS: u32 = 100;
@@ -50,7 +50,7 @@
         let running = running.clone().map(|run| stated(run, out_tokens));
         let ended = ended.clone().map(|run| stated(run, 0));
         let statements: Vec<RunStatement> = running.chain(ended).collect();
-        cell.restate(100, ME, &statements);
+        cell.restate(100, HOST, &statements);
     }
     for run in ended {
         cell.end(200, RunKey(run), observed.ended.unwrap_or_default());
@@ -69,7 +69,7 @@
 #[case::cut(Observed { ended: cut(20), running_tokens: None, admitted: 16..=16 })]
 #[case::short_first(Observed { ended: complete(20), running_tokens: Some(900), admitted: 13..=16 })]
 fn room_follows_observed_lengths(#[case] observed: Observed) {
-    let mut cell = cell(&[engine(1, NEAR, false), engine(2, NEAR, true)]);
+    let mut cell = cell(&[engine(1, LOCAL, false), engine(2, LOCAL, true)]);
     observe(&mut cell, &observed);
     let asked = (1_000..1_024).map(|run| PlacementRequest {
         max_wait_ms: 60_000,
--- a/crates/policy/tests/cell/engines.rs
+++ b/crates/policy/tests/cell/engines.rs
@@ -2,18 +2,18 @@
 
 use fulmarpath_policy::{CellEngine, Placement, RunEnd, RunKey, RunStatement, UpstreamKey};
 
-use crate::fixtures::{ME, NEAR, cell, engine, engine_of, request, statement};
+use crate::fixtures::{HOST, LOCAL, cell, engine, engine_of, request, statement};
 
 /// Guards against losing the generations of an engine whose registration disappears without notice.
 /// They are migrated as after a notice, and the engine is removed with the last of them.
 #[test]
 fn unregistered_engine_is_leaving() {
-    let mut cell = cell(&[engine(1, NEAR, false), engine(2, NEAR, false)]);
-    cell.restate(0, ME, &[statement(1, 1, 100, 900)]);
-    cell.set_engines(10, &[engine(2, NEAR, false)]);
+    let mut cell = cell(&[engine(1, LOCAL, false), engine(2, LOCAL, false)]);
+    cell.restate(0, HOST, &[statement(1, 1, 100, 900)]);
+    cell.set_engines(10, &[engine(2, LOCAL, false)]);
     assert_eq!(cell.leaving_engines(), [UpstreamKey(1)]);
     cell.end(20, RunKey(1), RunEnd::default());
-    cell.set_engines(20, &[engine(2, NEAR, false)]);
+    cell.set_engines(20, &[engine(2, LOCAL, false)]);
     assert_eq!(cell.leaving_engines(), []);
 }
 
@@ -21,17 +21,17 @@
 /// states, except a placement too recent to be stated. Generations of a dead host are removed.
 #[test]
 fn statements_correct_the_table() {
-    let mut cell = cell(&[engine(1, NEAR, false)]);
+    let mut cell = cell(&[engine(1, LOCAL, false)]);
     cell.place(0, &request(1, 3_000, 900, 800));
-    cell.restate(1_000, ME, &[statement(2, 1, 50, 900)]);
+    cell.restate(1_000, HOST, &[statement(2, 1, 50, 900)]);
     assert_eq!(
         cell.run_count(),
         2,
         "a recent placement may be missing from a statement"
     );
-    cell.restate(2_000, ME, &[statement(2, 1, 150, 900)]);
+    cell.restate(2_000, HOST, &[statement(2, 1, 150, 900)]);
     assert_eq!(cell.run_count(), 1);
-    cell.retain_hosts(|host| host != ME);
+    cell.retain_hosts(|host| host != HOST);
     assert_eq!(cell.run_count(), 0);
 }
 
@@ -40,10 +40,10 @@
 /// emptiest, until it is reachable again.
 #[test]
 fn unreachable_engine_gets_nothing() {
-    let engines: Vec<CellEngine> = (1..=4).map(|key| engine(key, NEAR, false)).collect();
+    let engines: Vec<CellEngine> = (1..=4).map(|key| engine(key, LOCAL, false)).collect();
     let mut cell = cell(&engines);
     let held: Vec<RunStatement> = (2..=4).map(|key| statement(key, key, 100, 900)).collect();
-    cell.restate(0, ME, &held);
+    cell.restate(0, HOST, &held);
     assert!(cell.mark_unreachable(UpstreamKey(1)));
     assert!(!cell.mark_unreachable(UpstreamKey(1)), "already marked");
     let placed = engine_of(cell.place(10, &request(9, 3_000, 900, 800)));
@@ -57,7 +57,7 @@
 /// using half of them, since the hosts that send it requests may still reach them.
 #[test]
 fn partitioned_home_closes_at_most_half() {
-    let engines: Vec<CellEngine> = (1..=4).map(|key| engine(key, NEAR, false)).collect();
+    let engines: Vec<CellEngine> = (1..=4).map(|key| engine(key, LOCAL, false)).collect();
     let mut cell = cell(&engines);
     let closed = (1..=4).filter(|key| cell.mark_unreachable(UpstreamKey(*key)));
     assert_eq!(closed.count(), 2);
@@ -68,9 +68,9 @@
 /// registered as ready. Its generations are migrated, even if an older registration arrives again.
 #[test]
 fn engine_statement_precedes_its_registration() {
-    let engines = [engine(1, NEAR, false), engine(2, NEAR, false)];
+    let engines = [engine(1, LOCAL, false), engine(2, LOCAL, false)];
     let mut cell = cell(&engines);
-    cell.restate(0, ME, &[statement(1, 1, 100, 900)]);
+    cell.restate(0, HOST, &[statement(1, 1, 100, 900)]);
     assert_eq!(cell.next_migration(5, UpstreamKey(1)), None);
     assert!(cell.set_time_left(10, UpstreamKey(1), 1_500));
     cell.set_engines(20, &engines);
@@ -84,7 +84,7 @@
 /// nothing.
 #[test]
 fn state_of_an_earlier_start_is_dropped() {
-    let engines = [engine(1, NEAR, false), engine(2, NEAR, false)];
+    let engines = [engine(1, LOCAL, false), engine(2, LOCAL, false)];
     let mut cell = cell(&engines);
     let placed = cell.place(0, &request(1, 3_000, 900, 800));
     let Placement::On { engine: first, .. } = placed else {
@@ -93,9 +93,9 @@
     cell.place(0, &request(2, 3_000, 900, 800));
     let restarted = CellEngine {
         key: UpstreamKey(first.0 + 10),
-        ..engine(first.0, NEAR, false)
+        ..engine(first.0, LOCAL, false)
     };
-    let other = engine(3 - first.0, NEAR, false);
+    let other = engine(3 - first.0, LOCAL, false);
     cell.set_engines(2_000, &[restarted, other]);
     assert_eq!(cell.run_count(), 1);
     assert!(cell.leaving_engines().is_empty());
--- a/crates/policy/tests/cell/evacuated_and_cold.rs
+++ b/crates/policy/tests/cell/evacuated_and_cold.rs
@@ -2,7 +2,7 @@
 
 use fulmarpath_policy::{Cold, MigrationOutcome, Placement, RunEnd, RunKey, UpstreamKey};
 
-use crate::fixtures::{FAR, ME, NEAR, cell, engine, engine_of, request, statement};
+use crate::fixtures::{HOST, LOCAL, REMOTE, cell, engine, engine_of, request, statement};
 
 const COLD: Cold = Cold {
     until_ms: 3_000,
@@ -12,12 +12,12 @@
 /// Guards against new work in an evacuated data centre, and against generations that are cut there.
 #[test]
 fn evacuated_engine_keeps_its_generations_only() {
-    let mut evacuated = engine(1, NEAR, false);
-    let mut cell = cell(&[evacuated, engine(2, FAR, false)]);
+    let mut evacuated = engine(1, LOCAL, false);
+    let mut cell = cell(&[evacuated, engine(2, REMOTE, false)]);
     let first = engine_of(cell.place(0, &request(1, 2_000, 400, 200)));
     assert_eq!(first, Some(1), "local and equally empty");
     evacuated.is_evacuated = true;
-    cell.set_engines(10, &[evacuated, engine(2, FAR, false)]);
+    cell.set_engines(10, &[evacuated, engine(2, REMOTE, false)]);
     for run in 2..8 {
         let placed = engine_of(cell.place(20, &request(run, 500, 16, 8)));
         assert_eq!(placed, Some(2));
@@ -31,10 +31,10 @@
 /// Guards against migrations of a leaving engine's generations into an evacuated data centre.
 #[test]
 fn nothing_migrates_to_an_evacuated_engine() {
-    let mut evacuated = engine(2, NEAR, false);
+    let mut evacuated = engine(2, LOCAL, false);
     evacuated.is_evacuated = true;
-    let mut cell = cell(&[engine(1, NEAR, true), evacuated, engine(3, FAR, false)]);
-    cell.restate(0, ME, &[statement(1, 1, 40, 900)]);
+    let mut cell = cell(&[engine(1, LOCAL, true), evacuated, engine(3, REMOTE, false)]);
+    cell.restate(0, HOST, &[statement(1, 1, 40, 900)]);
     let migration = cell
         .next_migration(10, UpstreamKey(1))
         .expect("a migration");
@@ -44,7 +44,7 @@
 /// Guards against callers that wait for room when all data centres are evacuated.
 #[test]
 fn no_engine_if_all_are_evacuated() {
-    let mut evacuated = engine(1, NEAR, false);
+    let mut evacuated = engine(1, LOCAL, false);
     evacuated.is_evacuated = true;
     let placed = cell(&[evacuated]).place(0, &request(1, 2_000, 400, 200));
     assert_eq!(placed, Placement::NoEngine);
@@ -54,7 +54,7 @@
 /// under them.
 #[test]
 fn cold_engine_keeps_its_start_rate() {
-    let mut cold = engine(1, NEAR, false);
+    let mut cold = engine(1, LOCAL, false);
     cold.cold = Some(COLD);
     let mut cell = cell(&[cold]);
     let mut started_ms = Vec::new();
@@ -82,11 +82,11 @@
 /// Guards against migrations that exceed the start rate of a cold engine.
 #[test]
 fn migrations_count_as_starts() {
-    let mut cold = engine(2, NEAR, false);
+    let mut cold = engine(2, LOCAL, false);
     cold.cold = Some(Cold { starts: 1, ..COLD });
-    let mut cell = cell(&[engine(1, NEAR, true), cold]);
+    let mut cell = cell(&[engine(1, LOCAL, true), cold]);
     let runs = [statement(1, 1, 40, 900), statement(2, 1, 50, 900)];
-    cell.restate(0, ME, &runs);
+    cell.restate(0, HOST, &runs);
     let first = cell
         .next_migration(10, UpstreamKey(1))
         .expect("a migration");
--- a/crates/policy/tests/cell/failing_engines.rs
+++ b/crates/policy/tests/cell/failing_engines.rs
@@ -4,7 +4,7 @@
 use fulmarpath_policy::{RunEnd, RunKey, UpstreamKey, Verdict};
 use rstest::rstest;
 
-use crate::fixtures::{NEAR, cell, engine, engine_of, request};
+use crate::fixtures::{LOCAL, cell, engine, engine_of, request};
 
 const ENGINES: u64 = 6;
 const FAILING: u64 = 1;
@@ -24,7 +24,7 @@
 #[case::fails_half(Failures { verdict: Verdict::Failed, fails_one_in: 2, max_share: 0.05 })]
 #[case::refuses_all(Failures { verdict: Verdict::Shed, fails_one_in: 1, max_share: 0.04 })]
 fn failing_engine_gets_less_work(#[case] case: Failures) {
-    let engines: Vec<_> = (1..=ENGINES).map(|key| engine(key, NEAR, false)).collect();
+    let engines: Vec<_> = (1..=ENGINES).map(|key| engine(key, LOCAL, false)).collect();
     let mut cell = cell(&engines);
     let mut running: Vec<(u64, RunKey)> = Vec::new();
     let (mut at_failing, mut all) = (0_u64, 0_u64);
@@ -70,7 +70,7 @@
 /// used.
 #[test]
 fn final_attempt_is_placed_if_all_engines_fail() {
-    let mut cell = cell(&[engine(1, NEAR, false)]);
+    let mut cell = cell(&[engine(1, LOCAL, false)]);
     for _ in 0..8 {
         cell.record_failure(0, UpstreamKey(1), Verdict::Failed);
     }
--- a/crates/policy/tests/cell/fair_shares.rs
+++ b/crates/policy/tests/cell/fair_shares.rs
@@ -4,7 +4,7 @@
 use fulmarpath_policy::{HostKey, OrganisationKey, Placement, PlacementRequest, RunStatement};
 use rstest::rstest;
 
-use crate::fixtures::{ME, NEAR, cell, engine, engine_of, request, statement};
+use crate::fixtures::{HOST, LOCAL, cell, engine, engine_of, request, statement};
 
 const FLOODING: u64 = 1;
 const OTHER: u64 = 2;
@@ -70,9 +70,9 @@
     expected: FLOODING,
 })]
 fn room_goes_to_organisations_below_their_share(#[case] case: Case) {
-    let mut cell = cell(&[engine(1, NEAR, false)]);
+    let mut cell = cell(&[engine(1, LOCAL, false)]);
     let (of_flooding, of_other) = case.before;
-    cell.restate(0, ME, &running(of_flooding, of_other));
+    cell.restate(0, HOST, &running(of_flooding, of_other));
     let flood = of(FLOODING, case.flood);
     let other = of(OTHER, case.other);
     for now_ms in [2_000, 2_150] {
@@ -81,7 +81,7 @@
     assert!(matches!(cell.place(2_200, &other), Placement::Full { .. }));
     let mut left = running(of_flooding, of_other);
     left.remove(0);
-    cell.restate(2_210, ME, &left);
+    cell.restate(2_210, HOST, &left);
     let (winner, loser) = match case.expected {
         OTHER => (&other, &flood),
         _ => (&flood, &other),
@@ -95,14 +95,14 @@
 /// normally afterwards.
 #[test]
 fn unused_room_goes_to_the_flooding_organisation() {
-    let mut cell = cell(&[engine(1, NEAR, false)]);
+    let mut cell = cell(&[engine(1, LOCAL, false)]);
     let mut placed = 0;
     for run in 0..20 {
         let asked = of(FLOODING, request(run, 3_000, 500, 400));
         placed += u32::from(engine_of(cell.place(1_000 + run * 400, &asked)).is_some());
     }
     assert!(placed >= 7, "{placed}");
-    cell.restate(20_000, ME, &[]);
+    cell.restate(20_000, HOST, &[]);
     let later = of(FLOODING, request(90, 3_000, 900, 100));
     assert_eq!(engine_of(cell.place(20_010, &later)), Some(1));
 }
@@ -112,8 +112,8 @@
 /// organisation, and places the other organisation's request first.
 #[test]
 fn new_home_learns_holdings_from_statements() {
-    let hosts = [ME, HostKey(8)];
-    let mut cell = cell(&[engine(1, NEAR, false)]);
+    let hosts = [HOST, HostKey(8)];
+    let mut cell = cell(&[engine(1, LOCAL, false)]);
     let (near, far): (Vec<RunStatement>, Vec<RunStatement>) = running(8, 0)
         .into_iter()
         .partition(|one| one.run.0 % 2 == 0);
--- a/crates/policy/tests/cell/fixtures.rs
+++ b/crates/policy/tests/cell/fixtures.rs
@@ -5,10 +5,10 @@
     RunKey, RunStatement, UpstreamKey,
 };
 
-pub(crate) const NEAR: u64 = 1;
-pub(crate) const FAR: u64 = 2;
-pub(crate) const ME: HostKey = HostKey(7);
-pub(crate) const FIGURES: EngineCapacity = EngineCapacity {
+pub(crate) const LOCAL: u64 = 1;
+pub(crate) const REMOTE: u64 = 2;
+pub(crate) const HOST: HostKey = HostKey(7);
+pub(crate) const CAPACITY: EngineCapacity = EngineCapacity {
     memory_tokens: 30_000,
     slots: 24,
     token_bytes: 18_432,
@@ -24,7 +24,7 @@
         is_draining,
         is_evacuated: false,
         cold: None,
-        capacity: FIGURES,
+        capacity: CAPACITY,
     }
 }
 
@@ -43,8 +43,8 @@
     PlacementRequest {
         organisation: OrganisationKey(0),
         run: RunKey(run),
-        host: ME,
-        data_centre: NEAR,
+        host: HOST,
+        data_centre: LOCAL,
         prompt_tokens,
         limit_tokens,
         hint_tokens: Some(hint_tokens),
--- a/crates/policy/tests/cell/migration.rs
+++ b/crates/policy/tests/cell/migration.rs
@@ -6,7 +6,7 @@
 };
 use rstest::rstest;
 
-use crate::fixtures::{FAR, ME, NEAR, cell, engine, engine_of, request, statement};
+use crate::fixtures::{HOST, LOCAL, REMOTE, cell, engine, engine_of, request, statement};
 
 fn migrations(cell: &mut Cell, now_ms: u64, from: u64) -> Vec<Migration> {
     let next = || cell.next_migration(now_ms, UpstreamKey(from));
@@ -28,13 +28,13 @@
 /// one that has not started yet cannot be moved.
 #[test]
 fn migrates_what_would_be_lost() {
-    let mut cell = cell(&[engine(1, NEAR, false), engine(2, NEAR, false)]);
+    let mut cell = cell(&[engine(1, LOCAL, false), engine(2, LOCAL, false)]);
     let held = [
         statement(1, 1, 100, 900),
         statement(2, 1, 100, 400),
         statement(3, 1, 10, 14),
     ];
-    cell.restate(0, ME, &held);
+    cell.restate(0, HOST, &held);
     cell.place(
         0,
         &PlacementRequest {
@@ -42,7 +42,7 @@
             ..request(4, 6_000, 900, 800)
         },
     );
-    cell.set_engines(10, &[engine(1, NEAR, true), engine(2, NEAR, false)]);
+    cell.set_engines(10, &[engine(1, LOCAL, true), engine(2, LOCAL, false)]);
     assert_eq!(cell.leaving_engines(), [UpstreamKey(1)]);
     assert_eq!(migrate_one_by_one(&mut cell, 20, 1), [1, 2]);
     let later = migrate_one_by_one(&mut cell, 900, 1);
@@ -52,25 +52,25 @@
 /// Selects destinations for the generations of a leaving engine: local engines first, then the one
 /// with a free link, never one that is leaving or full.
 #[rstest]
-#[case::local(vec![engine(2, FAR, false), engine(3, NEAR, false)], vec![], Some(3))]
-#[case::remote_if_local_leaves(vec![engine(2, FAR, false), engine(3, NEAR, true)], vec![], Some(2))]
+#[case::local(vec![engine(2, REMOTE, false), engine(3, LOCAL, false)], vec![], Some(3))]
+#[case::remote_if_local_leaves(vec![engine(2, REMOTE, false), engine(3, LOCAL, true)], vec![], Some(2))]
 #[case::not_where_it_is_full(
-    vec![engine(2, FAR, false), engine(3, NEAR, false)],
+    vec![engine(2, REMOTE, false), engine(3, LOCAL, false)],
     (50..58).map(|run| statement(run, 3, 100, 900)).collect(),
     Some(2)
 )]
-#[case::nowhere(vec![engine(3, NEAR, true)], vec![], None)]
+#[case::nowhere(vec![engine(3, LOCAL, true)], vec![], None)]
 fn migrates_to_engines_with_room(
     #[case] others: Vec<CellEngine>,
     #[case] held: Vec<RunStatement>,
     #[case] expected: Option<u64>,
 ) {
-    let mut engines = vec![engine(1, NEAR, true)];
+    let mut engines = vec![engine(1, LOCAL, true)];
     engines.extend(others);
     let mut cell = cell(&engines);
     let mut all = vec![statement(1, 1, 100, 900)];
     all.extend(held);
-    cell.restate(0, ME, &all);
+    cell.restate(0, HOST, &all);
     let to = cell
         .next_migration(5, UpstreamKey(1))
         .map(|migration| migration.to.0);
@@ -82,13 +82,13 @@
 #[test]
 fn transfers_use_free_links() {
     let mut cell = cell(&[
-        engine(1, NEAR, true),
-        engine(2, NEAR, false),
-        engine(3, NEAR, false),
+        engine(1, LOCAL, true),
+        engine(2, LOCAL, false),
+        engine(3, LOCAL, false),
     ]);
     cell.restate(
         0,
-        ME,
+        HOST,
         &[statement(1, 1, 100, 900), statement(2, 1, 100, 900)],
     );
     let mut to: Vec<u64> = migrations(&mut cell, 5, 1)
@@ -111,13 +111,13 @@
     #[case] then_ms: u64,
 ) {
     let mut cell = cell(&[
-        engine(1, NEAR, true),
-        engine(2, NEAR, true),
-        engine(3, NEAR, false),
+        engine(1, LOCAL, true),
+        engine(2, LOCAL, true),
+        engine(3, LOCAL, false),
     ]);
     cell.restate(
         0,
-        ME,
+        HOST,
         &[statement(1, 1, 100, 900), statement(2, 2, 100, 900)],
     );
     let first = cell.next_migration(5, UpstreamKey(1)).expect("a migration");
@@ -147,8 +147,8 @@
 #[case::longer_notice(TimeLeft { stated_ms: Some(2_100), at_ms: 1_800, starts: true })]
 #[case::nearly_ended(TimeLeft { stated_ms: Some(2_100), at_ms: 2_000, starts: false })]
 fn starts_no_transfer_that_would_be_cut(#[case] case: TimeLeft) {
-    let mut cell = cell(&[engine(1, NEAR, true), engine(2, NEAR, false)]);
-    cell.restate(0, ME, &[statement(1, 1, 100, 1_700)]);
+    let mut cell = cell(&[engine(1, LOCAL, true), engine(2, LOCAL, false)]);
+    cell.restate(0, HOST, &[statement(1, 1, 100, 1_700)]);
     if let Some(stated_ms) = case.stated_ms {
         assert!(cell.set_time_left(600, UpstreamKey(1), stated_ms));
     }
@@ -161,15 +161,15 @@
 /// prompt that would fit otherwise waits, and is placed afterwards.
 #[test]
 fn orphaned_copy_takes_memory() {
-    let mut cell = cell(&[engine(1, NEAR, true), engine(2, NEAR, false)]);
+    let mut cell = cell(&[engine(1, LOCAL, true), engine(2, LOCAL, false)]);
     let mut held = vec![statement(1, 1, 100, 900)];
     held.extend((50..56).map(|run| statement(run, 2, 400, 900)));
-    cell.restate(0, ME, &held);
+    cell.restate(0, HOST, &held);
     let migration = cell.next_migration(5, UpstreamKey(1)).expect("a migration");
     cell.finish_migration(200, migration, MigrationOutcome::Orphaned);
     let next = request(9, 4_000, 900, 800);
     assert!(matches!(cell.place(300, &next), Placement::Full { .. }));
-    cell.restate(9_300, ME, &held);
+    cell.restate(9_300, HOST, &held);
     assert_eq!(engine_of(cell.place(9_300, &next)), Some(2));
 }
 
@@ -190,8 +190,8 @@
 #[case::orphaned(Outcome { end: MigrationOutcome::Orphaned, immediately: 0, later: 1, left: 1 })]
 #[case::ended(Outcome { end: MigrationOutcome::Ended, immediately: 0, later: 0, left: 0 })]
 fn outcomes_of_transfers(#[case] case: Outcome) {
-    let mut cell = cell(&[engine(1, NEAR, true), engine(2, NEAR, false)]);
-    cell.restate(0, ME, &[statement(1, 1, 100, 900)]);
+    let mut cell = cell(&[engine(1, LOCAL, true), engine(2, LOCAL, false)]);
+    cell.restate(0, HOST, &[statement(1, 1, 100, 900)]);
     let migration = cell.next_migration(5, UpstreamKey(1)).expect("a migration");
     cell.finish_migration(200, migration, case.end);
     assert_eq!(migrations(&mut cell, 210, 1).len(), case.immediately);
@@ -207,13 +207,13 @@
 fn no_backup_starts_while_an_engine_drains() {
     let three = |leaves| {
         [
-            engine(1, NEAR, leaves),
-            engine(2, NEAR, false),
-            engine(3, NEAR, false),
+            engine(1, LOCAL, leaves),
+            engine(2, LOCAL, false),
+            engine(3, LOCAL, false),
         ]
     };
     let mut cell = cell(&three(false));
-    cell.restate(0, ME, &[statement(1, 1, 100, 900)]);
+    cell.restate(0, HOST, &[statement(1, 1, 100, 900)]);
     let asked = |run| PlacementRequest {
         can_back_up: true,
         ..request(run, 3_000, 900, 100)
@@ -236,9 +236,9 @@
 /// others. The migration goes to the third one.
 #[test]
 fn migration_avoids_links_with_new_backups() {
-    let four = |leaves| [1, 2, 3, 4].map(|key| engine(key, NEAR, leaves && key == 1));
+    let four = |leaves| [1, 2, 3, 4].map(|key| engine(key, LOCAL, leaves && key == 1));
     let mut cell = cell(&four(false));
-    cell.restate(0, ME, &[statement(1, 1, 100, 900)]);
+    cell.restate(0, HOST, &[statement(1, 1, 100, 900)]);
     let asked = PlacementRequest {
         can_back_up: true,
         ..request(10, 3_000, 900, 100)
@@ -267,12 +267,12 @@
 /// generation, whose prompt was already prefilled; a new one waits until then.
 #[test]
 fn room_is_reserved_for_migration() {
-    let mut cell = cell(&[engine(1, NEAR, false), engine(2, NEAR, false)]);
+    let mut cell = cell(&[engine(1, LOCAL, false), engine(2, LOCAL, false)]);
     let mut held = vec![statement(1, 1, 100, 900)];
     held.extend((50..57).map(|run| statement(run, 2, 400, 500)));
-    cell.restate(0, ME, &held);
+    cell.restate(0, HOST, &held);
     let new = request(9, 3_000, 900, 100);
-    cell.set_engines(10, &[engine(1, NEAR, true), engine(2, NEAR, false)]);
+    cell.set_engines(10, &[engine(1, LOCAL, true), engine(2, LOCAL, false)]);
     assert!(matches!(cell.place(20, &new), Placement::Full { .. }));
     let migration = cell
         .next_migration(30, UpstreamKey(1))
@@ -297,7 +297,7 @@
 #[case::late_and_large(LateMigration { prompt_tokens: 5_000, now_ms: 1_050, is_migrated: false })]
 #[case::too_late(LateMigration { prompt_tokens: 3_000, now_ms: 1_450, is_migrated: false })]
 fn late_migration_may_overfill_an_engine(#[case] case: LateMigration) {
-    let mut cell = cell(&[engine(1, NEAR, true), engine(2, NEAR, false)]);
+    let mut cell = cell(&[engine(1, LOCAL, true), engine(2, LOCAL, false)]);
     let leaves = RunStatement {
         prompt_tokens: case.prompt_tokens,
         ..statement(1, 1, 100, 900)
@@ -305,7 +305,7 @@
     let stays = (50..58).map(|run| statement(run, 2, 490, 500));
     let held: Vec<RunStatement> = stays.chain([leaves]).collect();
     // Stated at the same time, so no further output tokens are expected.
-    cell.restate(case.now_ms, ME, &held);
+    cell.restate(case.now_ms, HOST, &held);
     let migration = cell.next_migration(case.now_ms, UpstreamKey(1));
     assert_eq!(migration.is_some(), case.is_migrated, "{migration:?}");
 }
--- a/crates/policy/tests/cell/placement.rs
+++ b/crates/policy/tests/cell/placement.rs
@@ -3,7 +3,7 @@
 use fulmarpath_policy::{CellEngine, Placement, PlacementRequest, RunStatement, UpstreamKey};
 use rstest::rstest;
 
-use crate::fixtures::{FAR, ME, NEAR, cell, engine, engine_of, request, statement};
+use crate::fixtures::{HOST, LOCAL, REMOTE, cell, engine, engine_of, request, statement};
 
 struct Choice {
     engines: Vec<CellEngine>,
@@ -15,37 +15,37 @@
 /// Places one generation in a cell of a given state.
 #[rstest]
 #[case::local_before_remote(Choice {
-    engines: vec![engine(1, FAR, false), engine(2, NEAR, false)],
+    engines: vec![engine(1, REMOTE, false), engine(2, LOCAL, false)],
     held: vec![],
     request: request(9, 3_000, 900, 800),
     expected: Some(2),
 })]
 #[case::leaving_engine_gets_nothing(Choice {
-    engines: vec![engine(1, FAR, false), engine(2, NEAR, true)],
+    engines: vec![engine(1, REMOTE, false), engine(2, LOCAL, true)],
     held: vec![],
     request: request(9, 3_000, 900, 800),
     expected: Some(1),
 })]
 #[case::emptier_engine_is_chosen(Choice {
-    engines: vec![engine(1, NEAR, false), engine(2, NEAR, false)],
+    engines: vec![engine(1, LOCAL, false), engine(2, LOCAL, false)],
     held: vec![statement(1, 1, 100, 900), statement(2, 1, 100, 900)],
     request: request(9, 3_000, 900, 800),
     expected: Some(2),
 })]
 #[case::excluded_engine_is_skipped(Choice {
-    engines: vec![engine(1, NEAR, false), engine(2, NEAR, false)],
+    engines: vec![engine(1, LOCAL, false), engine(2, LOCAL, false)],
     held: vec![],
     request: PlacementRequest { excluded: vec![UpstreamKey(1)], ..request(9, 3_000, 900, 800) },
     expected: Some(2),
 })]
 #[case::a_full_engine_is_full(Choice {
-    engines: vec![engine(1, NEAR, false)],
+    engines: vec![engine(1, LOCAL, false)],
     held: (0..8).map(|run| statement(run, 1, 100, 900)).collect(),
     request: request(9, 3_000, 900, 800),
     expected: None,
 })]
 #[case::a_short_answer_fits_where_a_long_one_does_not(Choice {
-    engines: vec![engine(1, NEAR, false)],
+    engines: vec![engine(1, LOCAL, false)],
     held: (0..7).map(|run| statement(run, 1, 100, 900)).collect(),
     request: request(9, 1_000, 40, 20),
     expected: Some(1),
@@ -58,7 +58,7 @@
 })]
 fn places_by_room_and_distance(#[case] case: Choice) {
     let mut cell = cell(&case.engines);
-    cell.restate(0, ME, &case.held);
+    cell.restate(0, HOST, &case.held);
     assert_eq!(engine_of(cell.place(10, &case.request)), case.expected);
 }
 
@@ -66,11 +66,11 @@
 /// lacks room now gets a retry delay.
 #[test]
 fn oversized_prompt_is_refused_at_once() {
-    let mut cell = cell(&[engine(1, NEAR, false)]);
+    let mut cell = cell(&[engine(1, LOCAL, false)]);
     let huge = request(1, 30_000, 900, 800);
     assert_eq!(cell.place(10, &huge), Placement::TooLarge);
     let held: Vec<RunStatement> = (10..18).map(|run| statement(run, 1, 100, 900)).collect();
-    cell.restate(10, ME, &held);
+    cell.restate(10, HOST, &held);
     let usual = request(2, 3_000, 900, 800);
     assert!(matches!(cell.place(20, &usual), Placement::Full { .. }));
 }
@@ -79,7 +79,7 @@
 /// there.
 #[test]
 fn prompts_are_spread() {
-    let engines: Vec<CellEngine> = (1..=5).map(|key| engine(key, NEAR, false)).collect();
+    let engines: Vec<CellEngine> = (1..=5).map(|key| engine(key, LOCAL, false)).collect();
     let mut cell = cell(&engines);
     let mut used: Vec<u64> = (0..10)
         .filter_map(|run| engine_of(cell.place(5, &request(run, 3_000, 900, 800))))
@@ -93,7 +93,7 @@
 #[case::room(0, true)]
 #[case::crowded(1, false)]
 fn keeps_backups_while_there_is_room(#[case] held_each: u64, #[case] expected: bool) {
-    let mut cell = cell(&[engine(1, NEAR, false), engine(2, NEAR, false)]);
+    let mut cell = cell(&[engine(1, LOCAL, false), engine(2, LOCAL, false)]);
     let held: Vec<RunStatement> = (0..held_each)
         .flat_map(|run| {
             [
@@ -102,7 +102,7 @@
             ]
         })
         .collect();
-    cell.restate(0, ME, &held);
+    cell.restate(0, HOST, &held);
     let asked = PlacementRequest {
         can_back_up: true,
         ..request(999, 3_000, 900, 800)
--- a/crates/policy/tests/cell/prefill_rate.rs
+++ b/crates/policy/tests/cell/prefill_rate.rs
@@ -3,14 +3,14 @@
 use fulmarpath_policy::{Placement, RunEnd, RunKey};
 use rstest::rstest;
 
-use crate::fixtures::{NEAR, cell, engine, request};
+use crate::fixtures::{LOCAL, cell, engine, request};
 
 const PROMPT_TOKENS: u32 = 2_500;
 
 /// Sends pairs of prompts to an engine that prefills `tokens_per_ms`, and returns how long the last
 /// one is expected to wait for the one before it.
 fn expected_wait_ms(tokens_per_ms: f32) -> f32 {
-    let mut cell = cell(&[engine(1, NEAR, false)]);
+    let mut cell = cell(&[engine(1, LOCAL, false)]);
     let prefill_ms = (PROMPT_TOKENS as f32 / tokens_per_ms) as u64;
     let mut now_ms = 0;
     for pair in 0..400 {
--- a/crates/policy/tests/cell/queueing.rs
+++ b/crates/policy/tests/cell/queueing.rs
@@ -3,7 +3,7 @@
 use fulmarpath_policy::{Placement, PlacementRequest, RunEnd, RunKey, RunStatement};
 use rstest::rstest;
 
-use crate::fixtures::{FAR, ME, NEAR, cell, engine, engine_of, request, statement};
+use crate::fixtures::{HOST, LOCAL, REMOTE, cell, engine, engine_of, request, statement};
 
 /// Guards against a large prompt that never gets room. It finds none and polls, as its host does.
 /// Cheaper requests that come soon after it go first, but not one that comes later than its maximum
@@ -11,20 +11,20 @@
 /// room. Once enough memory is free, the large one is placed.
 #[test]
 fn large_prompt_is_eventually_placed() {
-    let mut cell = cell(&[engine(1, NEAR, false), engine(2, FAR, false)]);
-    let crowd = |left: u64| -> Vec<RunStatement> {
+    let mut cell = cell(&[engine(1, LOCAL, false), engine(2, REMOTE, false)]);
+    let running = |left: u64| -> Vec<RunStatement> {
         let near = (0..left).map(|run| statement(run, 1, 400, 500));
         let far = (50..58).map(|run| statement(run, 2, 400, 500));
         near.chain(far).collect()
     };
-    cell.restate(0, ME, &crowd(7));
+    cell.restate(0, HOST, &running(7));
     let large = request(90, 6_000, 900, 100);
     for now_ms in [2_000, 2_200, 2_400] {
         assert!(matches!(cell.place(now_ms, &large), Placement::Full { .. }));
     }
     let small = request(91, 3_000, 900, 100);
     assert!(matches!(cell.place(2_410, &small), Placement::Full { .. }));
-    cell.restate(2_450, ME, &crowd(6));
+    cell.restate(2_450, HOST, &running(6));
     assert_eq!(engine_of(cell.place(2_460, &large)), Some(1));
 }
 
@@ -86,13 +86,13 @@
     expected: 2,
 })]
 fn room_is_given_in_queue_order(#[case] case: QueuedPair) {
-    let mut cell = cell(&[engine(1, NEAR, false)]);
-    let crowd = |count: u64| -> Vec<RunStatement> {
+    let mut cell = cell(&[engine(1, LOCAL, false)]);
+    let running = |count: u64| -> Vec<RunStatement> {
         (50..50 + count)
             .map(|run| statement(run, 1, 400, 500))
             .collect()
     };
-    cell.restate(0, ME, &crowd(8));
+    cell.restate(0, HOST, &running(8));
     let then_ms = 2_000 + case.delay_ms;
     // The first one keeps polling, as its host does; otherwise it would count as abandoned.
     for now_ms in (2_000..then_ms).step_by(200) {
@@ -101,7 +101,7 @@
     }
     let placed = cell.place(then_ms, &case.then);
     assert!(matches!(placed, Placement::Full { .. }), "{placed:?}");
-    cell.restate(then_ms + 10, ME, &crowd(7));
+    cell.restate(then_ms + 10, HOST, &running(7));
     let (winner, other) = match case.expected {
         1 => (&case.first, &case.then),
         _ => (&case.then, &case.first),
@@ -122,12 +122,12 @@
 #[case::after_the_longest_retry_delay(14_150)]
 #[case::just_before_its_timeout(39_000)]
 fn late_retry_does_not_delay_others(#[case] retry_ms: u64) {
-    let mut cell = cell(&[engine(1, NEAR, false)]);
-    let crowd = |count: u64| -> Vec<RunStatement> {
+    let mut cell = cell(&[engine(1, LOCAL, false)]);
+    let running = |count: u64| -> Vec<RunStatement> {
         let runs = 50..50 + count;
         runs.map(|run| statement(run, 1, 400, 500)).collect()
     };
-    cell.restate(0, ME, &crowd(8));
+    cell.restate(0, HOST, &running(8));
     let first = PlacementRequest {
         is_final_attempt: true,
         max_wait_ms: 800,
@@ -141,12 +141,12 @@
         ..request(2, 3_000, 900, 100)
     };
     let other = request(3, 3_000, 900, 100);
-    cell.restate(retry_ms - 50, ME, &crowd(7));
+    cell.restate(retry_ms - 50, HOST, &running(7));
     let placed = cell.place(retry_ms, &retry);
     assert!(matches!(placed, Placement::Full { .. }), "{placed:?}");
     assert_eq!(engine_of(cell.place(retry_ms + 10, &other)), Some(1));
     cell.end(retry_ms + 20, RunKey(3), RunEnd::default());
-    cell.restate(retry_ms + 2_000, ME, &crowd(4));
+    cell.restate(retry_ms + 2_000, HOST, &running(4));
     assert_eq!(engine_of(cell.place(retry_ms + 2_010, &retry)), Some(1));
 }
 
@@ -154,16 +154,16 @@
 /// The room is free again after a moment.
 #[test]
 fn abandoned_requests_lose_their_room() {
-    let mut cell = cell(&[engine(1, NEAR, false)]);
-    let crowd: Vec<RunStatement> = (50..58).map(|run| statement(run, 1, 400, 500)).collect();
-    cell.restate(0, ME, &crowd);
+    let mut cell = cell(&[engine(1, LOCAL, false)]);
+    let running: Vec<RunStatement> = (50..58).map(|run| statement(run, 1, 400, 500)).collect();
+    cell.restate(0, HOST, &running);
     let abandoned = request(1, 3_000, 900, 100);
     assert!(matches!(
         cell.place(2_000, &abandoned),
         Placement::Full { .. }
     ));
     let next = request(2, 3_000, 900, 100);
-    cell.restate(2_300, ME, &crowd[1..]);
+    cell.restate(2_300, HOST, &running[1..]);
     assert!(matches!(cell.place(2_100, &next), Placement::Full { .. }));
     assert_eq!(engine_of(cell.place(2_400, &next)), Some(1));
 }
@@ -183,9 +183,9 @@
 #[case::short_timeout(Refusal { retry_key: 500, left_ms: 5_000, after_ms: 1_290..1_311 })]
 #[case::no_time_left(Refusal { retry_key: 500, left_ms: 0, after_ms: 0..1 })]
 fn refused_callers_retry_at_different_times(#[case] case: Refusal) {
-    let mut cell = cell(&[engine(1, NEAR, false)]);
-    let crowd: Vec<RunStatement> = (50..58).map(|run| statement(run, 1, 400, 500)).collect();
-    cell.restate(0, ME, &crowd);
+    let mut cell = cell(&[engine(1, LOCAL, false)]);
+    let running: Vec<RunStatement> = (50..58).map(|run| statement(run, 1, 400, 500)).collect();
+    cell.restate(0, HOST, &running);
     let refused = PlacementRequest {
         retry_key: case.retry_key,
         left_ms: case.left_ms,
@@ -203,7 +203,7 @@
     prompt_tokens: u32,
     max_wait_ms: u64,
     /// Generations on the only engine.
-    crowd: u64,
+    running: u64,
     starts: bool,
 }
 
@@ -211,15 +211,15 @@
 /// in any room. Otherwise it starts only on an engine with plenty of room, because a late answer
 /// has little value and takes the room of one that would be on time.
 #[rstest]
-#[case::in_time(FinalAttempt { prompt_tokens: 2_000, max_wait_ms: 800, crowd: 7, starts: true })]
-#[case::too_late(FinalAttempt { prompt_tokens: 2_000, max_wait_ms: 200, crowd: 7, starts: false })]
-#[case::too_late_with_plenty(FinalAttempt { prompt_tokens: 2_000, max_wait_ms: 200, crowd: 3, starts: true })]
-#[case::too_long_to_read(FinalAttempt { prompt_tokens: 4_000, max_wait_ms: 400, crowd: 6, starts: false })]
+#[case::in_time(FinalAttempt { prompt_tokens: 2_000, max_wait_ms: 800, running: 7, starts: true })]
+#[case::too_late(FinalAttempt { prompt_tokens: 2_000, max_wait_ms: 200, running: 7, starts: false })]
+#[case::too_late_with_plenty(FinalAttempt { prompt_tokens: 2_000, max_wait_ms: 200, running: 3, starts: true })]
+#[case::too_long_to_read(FinalAttempt { prompt_tokens: 4_000, max_wait_ms: 400, running: 6, starts: false })]
 fn late_requests_need_plenty_of_room(#[case] case: FinalAttempt) {
-    let mut cell = cell(&[engine(1, NEAR, false)]);
-    let runs = 50..50 + case.crowd;
-    let crowd: Vec<RunStatement> = runs.map(|run| statement(run, 1, 400, 500)).collect();
-    cell.restate(0, ME, &crowd);
+    let mut cell = cell(&[engine(1, LOCAL, false)]);
+    let runs = 50..50 + case.running;
+    let running: Vec<RunStatement> = runs.map(|run| statement(run, 1, 400, 500)).collect();
+    cell.restate(0, HOST, &running);
     let asked = PlacementRequest {
         max_wait_ms: case.max_wait_ms,
         is_final_attempt: true,
