--- a/crates/cluster/src/claims.rs
+++ b/crates/cluster/src/claims.rs
@@ -1,8 +1,9 @@
 //! The claim log: which submission holds an idempotency key.
 //!
-//! Keys fall into a fixed number of shards. A shard's log is a row of numbered objects in the
-//! object API, each created only where none stands. Who writes is a hint; that each number is
-//! created once is what makes claims exclusive. docs/DESIGN.md has the ways that were weighed.
+//! Keys are partitioned into a fixed number of shards. A shard's log is a sequence of numbered
+//! segment objects in the object API, each written by a conditional create. Which host writes is
+//! only an optimisation; claims are exclusive since each segment number can be created only once.
+//! docs/DESIGN.md compares the alternatives.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -19,16 +20,16 @@
 
 use crate::clock::Clock;
 
-/// How the claim log is kept.
+/// Settings of the claim log.
 #[derive(Debug, Clone, Copy)]
 pub struct ClaimSettings {
-    /// Shards; fixed by the platform's write budget, not by the fleet.
+    /// Number of shards; replaces from the platform's write budget, not from the fleet's size.
     pub shards: u32,
-    /// Writes a second over all shards together.
+    /// Writes per second over all shards together.
     pub writes_per_s: u32,
-    /// How long a claim is kept.
+    /// Retention time of a claim.
     pub window_ms: u64,
-    /// Segments after which older ones are folded into a chunk.
+    /// Number of segments after which they are compacted into a chunk.
     pub fold_segments: u64,
 }
 
@@ -49,20 +50,20 @@
         (key % u128::from(self.shards.max(1))) as u32
     }
 
-    fn pause(&self) -> Duration {
-        let pause_ms = 1_000 * u64::from(self.shards) / u64::from(self.writes_per_s.max(1));
-        Duration::from_millis(pause_ms)
+    fn write_interval(&self) -> Duration {
+        let interval_ms = 1_000 * u64::from(self.shards) / u64::from(self.writes_per_s.max(1));
+        Duration::from_millis(interval_ms)
     }
 }
 
-/// Why nothing was learnt of a claim.
+/// Why a claim has no known outcome.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub enum ClaimError {
     /// The claim was certainly not made.
     #[error("could not make the claim")]
     NotMade,
     /// The claim may have been made.
-    #[error("could not learn whether the claim was made")]
+    #[error("could not determine whether the claim was made")]
     Unsure,
 }
 
@@ -91,7 +92,7 @@
 
 #[derive(Debug, Default, Serialize, Deserialize)]
 struct Fold {
-    /// Segments up to this number are in chunks, and their objects may be gone.
+    /// Segments up to this number are in chunks, and their objects may have been deleted.
     upto: u64,
     chunks: Vec<Chunk>,
 }
@@ -105,26 +106,26 @@
 struct Shard {
     number: u32,
     index: HashMap<u128, Record>,
-    /// The first number that isn't known to be taken; 0 before the log was read.
+    /// The first segment number not known to exist; 0 before the log was read.
     next: u64,
     folded: u64,
 }
 
 type Waiter = (ClaimRequest, oneshot::Sender<ClaimAnswer>);
 
-/// The shards that this host writes.
+/// The claim log, with a writer task for each shard that this host writes.
 pub struct ClaimLog {
     api: Arc<dyn ObjectApi>,
     settings: ClaimSettings,
     writers: Mutex<HashMap<u32, mpsc::Sender<Waiter>>>,
 }
 
-const WAITERS: usize = 4_096;
-const BATCH: usize = 1_000;
-const WRITE_TRIES: u32 = 3;
+const QUEUE_CAPACITY: usize = 4_096;
+const MAX_BATCH: usize = 1_000;
+const WRITE_ATTEMPTS: u32 = 3;
 
 impl ClaimLog {
-    /// A log without any shard read yet.
+    /// Creates a log that has read no shard yet.
     pub fn new(api: Arc<dyn ObjectApi>, settings: ClaimSettings) -> Self {
         Self {
             api,
@@ -133,16 +134,16 @@
         }
     }
 
-    /// How the log is kept.
+    /// Settings of the log.
     pub fn settings(&self) -> ClaimSettings {
         self.settings
     }
 
-    /// Claims a key, or tells who holds it.
-    pub async fn claim(&self, ask: ClaimRequest) -> ClaimAnswer {
-        let writer = self.writer(self.settings.shard(ask.key));
+    /// Claims a key, or returns the generation that holds it.
+    pub async fn claim(&self, request: ClaimRequest) -> ClaimAnswer {
+        let writer = self.writer(self.settings.shard(request.key));
         let (sender, receiver) = oneshot::channel();
-        if writer.try_send((ask, sender)).is_err() {
+        if writer.try_send((request, sender)).is_err() {
             return ClaimAnswer::NotClaimed;
         }
         receiver.await.unwrap_or(ClaimAnswer::Unsure)
@@ -151,7 +152,7 @@
     fn writer(&self, shard: u32) -> mpsc::Sender<Waiter> {
         let mut writers = self.writers.lock();
         let writer = writers.entry(shard).or_insert_with(|| {
-            let (sender, receiver) = mpsc::channel(WAITERS);
+            let (sender, receiver) = mpsc::channel(QUEUE_CAPACITY);
             let writer = Writer {
                 api: self.api.clone(),
                 settings: self.settings,
@@ -176,96 +177,97 @@
 }
 
 impl Writer {
-    /// Gathers claims while the pause since the last write lasts, then writes them as one segment.
+    /// Batches claims during the pause after the last write, then writes them as one segment.
     async fn run(mut self, mut receiver: mpsc::Receiver<Waiter>) {
         let mut batch = Vec::new();
-        while receiver.recv_many(&mut batch, BATCH).await > 0 {
+        while receiver.recv_many(&mut batch, MAX_BATCH).await > 0 {
             let started = tokio::time::Instant::now();
-            self.settle(std::mem::take(&mut batch)).await;
+            self.process(std::mem::take(&mut batch)).await;
             if self.shard.next - self.shard.folded > self.settings.fold_segments
                 && self.fold().await.is_err()
             {
                 warn!("claims: could not fold shard {}", self.shard.number);
             }
-            tokio::time::sleep_until(started + self.settings.pause()).await;
+            tokio::time::sleep_until(started + self.settings.write_interval()).await;
         }
     }
 
-    async fn settle(&mut self, waiters: Vec<Waiter>) {
+    async fn process(&mut self, waiters: Vec<Waiter>) {
         if let Err(error) = self.catch_up().await {
             let answer = match error {
-                // Nothing was written, whatever the read met.
+                // Nothing was written, whichever way the read failed.
                 ClaimError::NotMade | ClaimError::Unsure => ClaimAnswer::NotClaimed,
             };
             answer_all(waiters, &answer);
             return;
         }
-        let mut open = waiters;
+        let mut pending = waiters;
         loop {
-            let (records, rest) = self.sort_out(open);
-            open = rest;
+            let (records, remaining) = self.decide_known(pending);
+            pending = remaining;
             if records.is_empty() {
                 return;
             }
             match self.write(records).await {
-                // Written, or another writer took the number: its records are known now, and the
-                // next turn tells for each claim whether it holds.
+                // The segment was written, or another writer took the number and its records have
+                // been read. The next iteration decides for each claim whether it is held.
                 Ok(()) => {}
-                Err(ClaimError::NotMade) => return answer_all(open, &ClaimAnswer::NotClaimed),
-                Err(ClaimError::Unsure) => return answer_all(open, &ClaimAnswer::Unsure),
+                Err(ClaimError::NotMade) => return answer_all(pending, &ClaimAnswer::NotClaimed),
+                Err(ClaimError::Unsure) => return answer_all(pending, &ClaimAnswer::Unsure),
             }
         }
     }
 
-    /// Answers what the index decides; returns the records still to be written, and their waiters.
-    fn sort_out(&self, waiters: Vec<Waiter>) -> (Vec<Record>, Vec<Waiter>) {
+    /// Answers the claims that the index decides, and returns the records still to be written with
+    /// their waiters.
+    fn decide_known(&self, waiters: Vec<Waiter>) -> (Vec<Record>, Vec<Waiter>) {
         let mut records: Vec<Record> = Vec::new();
-        let mut open = Vec::new();
+        let mut pending = Vec::new();
         let at_ms = Clock::wall_ms();
-        for (ask, waiter) in waiters {
-            let held = self.shard.index.get(&ask.key);
-            if let Some(answer) = held.and_then(|held| decide(held, &ask)) {
+        for (request, waiter) in waiters {
+            let held = self.shard.index.get(&request.key);
+            if let Some(answer) = held.and_then(|held| decide(held, &request)) {
                 let _ = waiter.send(answer);
                 continue;
             }
-            if !records.iter().any(|record| record.key == ask.key) {
+            if !records.iter().any(|record| record.key == request.key) {
                 records.push(Record {
-                    key: ask.key,
-                    request_hash: ask.request_hash,
-                    generation: ask.generation.clone(),
-                    supersedes: ask.supersedes.clone(),
+                    key: request.key,
+                    request_hash: request.request_hash,
+                    generation: request.generation.clone(),
+                    supersedes: request.supersedes.clone(),
                     at_ms,
                 });
             }
-            open.push((ask, waiter));
+            pending.push((request, waiter));
         }
-        (records, open)
+        (records, pending)
     }
 
-    /// Creates the next segment with `records`, or learns what stands there.
+    /// Creates the next segment with `records`, or reads the one that exists.
     async fn write(&mut self, records: Vec<Record>) -> Result<(), ClaimError> {
         let number = self.shard.next;
         let segment = Segment { records };
         let value = Bytes::from(serde_json::to_vec(&segment).unwrap_or_default());
         let key = self.segment_key(number);
         let mut outcome = Err(ClaimError::NotMade);
-        for _ in 0..WRITE_TRIES {
+        for _ in 0..WRITE_ATTEMPTS {
             match self.api.create(&key, value.clone()).await {
                 Ok(_) => {
                     self.check_fold(number).await?;
-                    self.take_in(segment.records);
+                    self.apply(segment.records);
                     self.shard.next = number + 1;
                     return Ok(());
                 }
-                // Somebody's segment stands there, perhaps this very one: an answer that was lost
-                // after the write took effect. Reading it back tells, by the generations in it.
+                // The segment exists already. It may be this writer's own, if the write took effect
+                // and the answer was lost. The generations in it tell which after reading it back.
                 Err(PlatformError::Conflict { .. }) => {
-                    let theirs = self.read_segment(number).await;
-                    let Ok(Some(theirs)) = theirs else {
+                    let existing = self.read_segment(number).await;
+                    let Ok(Some(existing)) = existing else {
                         return Err(ClaimError::Unsure);
                     };
                     self.check_fold(number).await?;
-                    self.take_in(theirs.records);
+                    self.apply(existing.records);
                     self.shard.next = number + 1;
                     return Ok(());
                 }
@@ -276,9 +278,11 @@
         outcome
     }
 
+    /// Checks that no fold has covered a segment number that was just created.
+    ///
     /// A writer that was paused for long may find its number free because a newer writer has
-    /// folded that segment away; its symptom would be a key claimed twice. The fold's mark is
-    /// written before any segment is removed, so reading it after the create is enough.
+    /// compacted and deleted that segment; a key could then be claimed twice. The fold record is
+    /// written before any segment is deleted, so reading it after the create is sufficient.
     async fn check_fold(&mut self, number: u64) -> Result<(), ClaimError> {
         let fold = self.read_fold().await;
         match fold {
@@ -290,20 +294,20 @@
         }
     }
 
-    fn take_in(&mut self, records: Vec<Record>) {
+    fn apply(&mut self, records: Vec<Record>) {
         for record in records {
             let held = self.shard.index.get(&record.key);
-            let follows = held.is_none_or(|held| {
+            let replaces = held.is_none_or(|held| {
                 record.supersedes.as_ref() == Some(&held.generation)
                     || record.at_ms.saturating_sub(held.at_ms) > self.settings.window_ms
             });
-            if follows {
+            if replaces {
                 self.shard.index.insert(record.key, record);
             }
         }
     }
 
-    /// Reads the log as far as it goes.
+    /// Reads the log to its end, if it has not been read.
     async fn catch_up(&mut self) -> Result<(), ClaimError> {
         if self.shard.next == 0 {
             let (fold, _) = self.read_fold().await?;
@@ -313,12 +317,12 @@
                 let Some(object) = object else { continue };
                 let records: Vec<Record> =
                     serde_json::from_slice(&object.value).map_err(|_| ClaimError::NotMade)?;
-                self.take_in(records);
+                self.apply(records);
             }
             self.shard.folded = fold.upto;
             let mut next = fold.upto + 1;
             while let Some(segment) = self.read_segment(next).await? {
-                self.take_in(segment.records);
+                self.apply(segment.records);
                 next += 1;
             }
             self.shard.next = next;
@@ -332,7 +336,7 @@
         Ok(())
     }
 
-    /// Joins the segments since the last fold into one chunk, then removes them.
+    /// Compacts the segments since the last fold into one chunk, then deletes them.
     async fn fold(&mut self) -> Result<(), ClaimError> {
         let (mut fold, version) = self.read_fold().await?;
         let upto = self.shard.next - 1;
@@ -403,17 +407,17 @@
     }
 }
 
-/// What a held record says to an ask; `None` where a new record is to be written.
-fn decide(held: &Record, ask: &ClaimRequest) -> Option<ClaimAnswer> {
-    if held.generation == ask.generation {
+/// Decides a claim request against the held record; `None` where a new record is to be written.
+fn decide(held: &Record, request: &ClaimRequest) -> Option<ClaimAnswer> {
+    if held.generation == request.generation {
         return Some(ClaimAnswer::Claimed);
     }
-    if ask.supersedes.as_ref() == Some(&held.generation) {
+    if request.supersedes.as_ref() == Some(&held.generation) {
         return None;
     }
     Some(ClaimAnswer::Taken {
         generation: held.generation.clone(),
-        same_request: held.request_hash == ask.request_hash,
+        same_request: held.request_hash == request.request_hash,
     })
 }
 
--- a/crates/cluster/src/homes.rs
+++ b/crates/cluster/src/homes.rs
@@ -1,4 +1,4 @@
-//! The engines whose home this host is.
+//! Permits of the engines whose home this host is.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -19,36 +19,36 @@
 use crate::node::Node;
 use crate::safeguard::Safeguard;
 
-/// How long one call waits for an outcome; the asker then asks again.
+/// How long one call waits for a decision; the requesting host then polls again.
 const MAX_CALL_WAIT: Duration = Duration::from_millis(300);
 const STEP_PERIOD: Duration = Duration::from_millis(10);
 const POLL_PERIOD: Duration = Duration::from_millis(500);
 const POLL_TIMEOUT: Duration = Duration::from_millis(700);
-/// Polls without an answer after which an engine gets nothing new.
+/// Consecutive polls without an answer after which an engine gets no new generations.
 const MAX_FAILED_POLLS: u32 = 2;
 
-/// What the metrics page shows of an engine whose home this host is.
+/// Statistics of an engine whose home this host is, for the metrics page.
 #[derive(Debug, Clone, Copy)]
 pub struct EngineStats {
-    /// The engine.
+    /// Key of the engine.
     pub upstream: UpstreamKey,
-    /// Its load as the home counts it.
+    /// Load, as the home counts it.
     pub load: EngineLoad,
-    /// Its own count of preemptions.
+    /// The engine's own count of preemptions.
     pub preemptions: u64,
 }
 
 struct Entry {
     home: Home,
     load: EngineLoad,
-    /// The engine's own count since it started.
+    /// The engine's own count since its start.
     preemptions: u64,
     failed_polls: u32,
     reported_leaving: bool,
 }
 
 impl Entry {
-    /// The home's own count; the engine's report only where it shows more.
+    /// The load as the home counts it. The engine's report is used only where it shows more.
     fn load(&self) -> EngineLoad {
         let own = self.home.load();
         EngineLoad {
@@ -67,7 +67,7 @@
     moves: HashMap<HostKey, Vec<PermitId>>,
 }
 
-/// All homes of this host, behind one lock that is held for one decision at a time.
+/// The homes on this host, behind one lock that is held for one decision at a time.
 pub(crate) struct HomeTable {
     epoch: u64,
     state: Mutex<State>,
@@ -175,13 +175,13 @@
     fn step_all(&self, now_ms: Millis) {
         let mut state = self.state.lock();
         let state = &mut *state;
-        let busy: Vec<UpstreamKey> = state
+        let active: Vec<UpstreamKey> = state
             .entries
             .iter()
             .filter(|(_, entry)| entry.home.load().queued > 0 || entry.home.load().running > 0)
             .map(|(key, _)| *key)
             .collect();
-        for upstream in busy {
+        for upstream in active {
             self.step(now_ms, state, upstream);
         }
     }
@@ -216,33 +216,33 @@
         let mut state = self.state.lock();
         let state = &mut *state;
         let mut reply = ProgressReply::default();
-        for one in progress {
+        for item in progress {
             let home = state
                 .entries
-                .get_mut(&one.upstream)
+                .get_mut(&item.upstream)
                 .map(|entry| &mut entry.home)
-                .filter(|home| one.permit.epoch == self.epoch && home.has_permit(one.permit.key));
+                .filter(|home| item.permit.epoch == self.epoch && home.has_permit(item.permit.key));
             let Some(home) = home else {
-                reply.unknown.push(one.permit);
+                reply.unknown.push(item.permit);
                 continue;
             };
-            let key = one.permit.key;
-            home.progress(now_ms, key, one.out_tokens);
-            match one.state {
+            let key = item.permit.key;
+            home.progress(now_ms, key, item.out_tokens);
+            match item.state {
                 RunState::Running => {}
                 RunState::Complete => {
-                    home.finish(now_ms, key, one.out_tokens, &mut state.lengths);
+                    home.finish(now_ms, key, item.out_tokens, &mut state.lengths);
                 }
                 RunState::Incomplete => home.cancel(key),
             }
-            if one.state != RunState::Running {
-                self.step(now_ms, state, one.upstream);
+            if item.state != RunState::Running {
+                self.step(now_ms, state, item.upstream);
             }
         }
         reply
     }
 
-    /// Permits of `host` that had better move.
+    /// Takes the permits of `host` whose generations should move.
     pub(crate) fn take_moves(&self, host: HostKey) -> Vec<PermitId> {
         self.state.lock().moves.remove(&host).unwrap_or_default()
     }
@@ -267,15 +267,17 @@
             }
             None => entry.failed_polls += 1,
         }
-        let is_gone = entry.failed_polls >= MAX_FAILED_POLLS;
+        let is_unresponsive = entry.failed_polls >= MAX_FAILED_POLLS;
         if entry.failed_polls == MAX_FAILED_POLLS {
             warn!("homes: an engine does not answer and gets nothing new");
         }
-        entry.home.set_leaving(entry.reported_leaving || is_gone);
+        entry
+            .home
+            .set_leaving(entry.reported_leaving || is_unresponsive);
         self.step(now_ms, &mut state, upstream);
     }
 
-    /// Homes decide by new settings from now on; what runs stays.
+    /// Applies new settings to later decisions; running generations keep their permits.
     pub(crate) fn set_settings(&self, settings: impl Fn(UpstreamKey) -> Option<HomeSettings>) {
         let mut state = self.state.lock();
         for (key, entry) in &mut state.entries {
@@ -293,7 +295,7 @@
             .or_insert_with(|| new_entry(settings));
     }
 
-    /// The home's count of each engine, for the metrics page.
+    /// The statistics of all engines whose home this host is.
     pub(crate) fn engine_stats(&self) -> Vec<EngineStats> {
         let state = self.state.lock();
         let entries = state.entries.iter();
@@ -321,7 +323,7 @@
 }
 
 impl Node {
-    /// How the home of `upstream` decides under the preset in force.
+    /// The settings of the home of `upstream` under the active preset.
     pub(crate) fn home_settings_of(&self, upstream: UpstreamKey) -> Option<HomeSettings> {
         let listing = self.documents.listing();
         let configuration = self.documents.active()?;
@@ -340,13 +342,13 @@
         ))
     }
 
-    /// Gives homes the settings of the preset in force.
+    /// Applies the settings of the active preset to all homes.
     pub(crate) fn apply_preset(&self) {
         self.homes
             .set_settings(|upstream| self.home_settings_of(upstream));
     }
 
-    /// Decides what time alone makes due: pacing, deadlines, lapses.
+    /// Runs decisions that become due by time alone: pacing, deadlines and expiries.
     pub(crate) async fn step_homes(self: Arc<Self>) {
         loop {
             tokio::time::sleep(STEP_PERIOD).await;
@@ -360,11 +362,11 @@
             tokio::time::sleep(POLL_PERIOD).await;
             let listing = self.documents.listing();
             let all = listing.engines.values();
-            let mine = all.filter(|upstream| {
+            let own = all.filter(|upstream| {
                 let home = self.engine_homes(upstream.key, 1).pop();
                 home.is_some_and(|(key, _)| key == self.key)
             });
-            let polls = mine.map(|upstream| self.poll_engine(upstream));
+            let polls = own.map(|upstream| self.poll_engine(upstream));
             join_all(polls).await;
         }
     }
--- a/crates/cluster/src/lib.rs
+++ b/crates/cluster/src/lib.rs
@@ -1,5 +1,5 @@
-//! What entry hosts agree on: who is alive, who is home of what, the configuration in force, and
-//! which submissions have been claimed.
+//! Coordination of entry hosts: membership, homes of engines and cells, the active configuration,
+//! and the claims of submissions.
 
 mod circuit_breakers;
 mod claims;
--- a/crates/cluster/src/members.rs
+++ b/crates/cluster/src/members.rs
@@ -1,4 +1,4 @@
-//! The table of members: beliefs about liveness, spread by rumour.
+//! The membership table: the liveness of all members, disseminated by gossip.
 //!
 //! (Das, Gupta and Motivala, "SWIM: Scalable Weakly-consistent Infection-style Process Group
 //! Membership Protocol", DSN 2002.)
@@ -8,62 +8,62 @@
 use fulmarpath_policy::{HostKey, Millis, rank};
 use fulmarpath_wire::{MemberInfo, MemberState, Rumour};
 
-/// How long a suspect may refute before it counts as dead.
+/// How long a suspect may refute the suspicion before it counts as dead.
 const SUSPICION_MS: Millis = 1_500;
-/// A dead member is remembered so long, lest an old rumour bring it back.
-const FORGET_MS: Millis = 60_000;
-/// Rumours in one message.
-const RUMOURS: usize = 8;
-/// Members of a data centre from which on most pings stay within it. Bytes between data centres are
-/// paid for; with a dozen hosts there the others still hear from it several times a second, and a
-/// data centre that is lost whole is found out within a second.
-const NEAR_MEMBERS: usize = 12;
-/// One ping in so many may go anywhere then.
-const FAR_PERIOD: u32 = 3;
+/// Retention time of dead members, which prevents stale rumours from reviving them.
+const DEAD_RETENTION_MS: Millis = 60_000;
+/// Limit on the rumours in one message.
+const MAX_RUMOURS: usize = 8;
+/// Size of a data centre from which on most pings stay within it, since traffic between data centres
+/// is paid for. With a dozen hosts, a data centre still pings the others several times per second,
+/// and the loss of a whole data centre is detected within a second.
+const LOCAL_PING_MIN_MEMBERS: usize = 12;
+/// One ping in this many may then go to any data centre.
+const REMOTE_PING_PERIOD: u32 = 3;
 
 #[derive(Debug)]
-struct Known {
+struct MemberRecord {
     rumour: Rumour,
     since_ms: Millis,
     sends_left: u32,
 }
 
-/// What this host believes of all members, itself with them.
+/// The membership table of one host, which includes the host itself.
 #[derive(Debug)]
 pub struct Members {
-    me: HostKey,
-    known: HashMap<HostKey, Known>,
-    /// Members of this host's data centre that are still to be pinged in this round of them.
-    near: Vec<HostKey>,
-    /// The same of all members.
+    own: HostKey,
+    known: HashMap<HostKey, MemberRecord>,
+    /// Members of this host's data centre that remain to be pinged in the current local round.
+    local: Vec<HostKey>,
+    /// Members of all data centres that remain to be pinged in the current global round.
     all: Vec<HostKey>,
     pings: u32,
 }
 
 impl Members {
-    /// A table that knows only this host.
+    /// Creates a table that contains only this host.
     ///
-    /// `incarnation` must be higher than at any earlier start of the same name; the wall clock
-    /// serves, and where it doesn't, the host refutes its own death and goes on from there.
-    pub fn new(me: MemberInfo, incarnation: u64) -> Self {
-        let key = HostKey::of(&me.name);
+    /// `incarnation` must be higher than at any earlier start under the same name. The wall clock
+    /// suffices; should it be wrong, the host refutes its own death with a higher incarnation.
+    pub fn new(info: MemberInfo, incarnation: u64) -> Self {
+        let key = HostKey::of(&info.name);
         let rumour = Rumour {
-            member: me,
+            member: info,
             state: MemberState::Alive,
             incarnation,
         };
         let known = HashMap::from([(
             key,
-            Known {
+            MemberRecord {
                 rumour,
                 since_ms: 0,
                 sends_left: 0,
             },
         )]);
         Self {
-            me: key,
+            own: key,
             known,
-            near: Vec::new(),
+            local: Vec::new(),
             all: Vec::new(),
             pings: 0,
         }
@@ -71,15 +71,15 @@
 
     /// This host's own rumour.
     pub fn own_rumour(&self) -> Rumour {
-        self.known[&self.me].rumour.clone()
+        self.known[&self.own].rumour.clone()
     }
 
     /// This host's key.
     pub fn own_key(&self) -> HostKey {
-        self.me
+        self.own
     }
 
-    /// Adds a member that the host list names and nobody has heard of.
+    /// Adds a member from the host list if it is unknown.
     pub fn seed(&mut self, now_ms: Millis, member: MemberInfo) {
         let key = HostKey::of(&member.name);
         if self.known.contains_key(&key) {
@@ -93,45 +93,45 @@
         self.insert(now_ms, key, rumour, 0);
     }
 
-    /// Takes in a rumour.
+    /// Applies a rumour and schedules it for gossip if it is an update.
     pub fn apply(&mut self, now_ms: Millis, rumour: Rumour) {
         let key = HostKey::of(&rumour.member.name);
-        if key == self.me {
+        if key == self.own {
             self.refute(now_ms, &rumour);
             return;
         }
-        if self.is_news(key, &rumour) {
-            let sends = self.sends();
+        if self.is_update(key, &rumour) {
+            let sends = self.send_count();
             self.insert(now_ms, key, rumour, sends);
         }
     }
 
-    /// Takes in what reaches every member on another way, so that it isn't passed on from here; true
-    /// where it was news.
+    /// Applies a rumour that reaches every member by other means and needs no gossip; true where it
+    /// was an update.
     ///
-    /// With each of some hundred newcomers told again by all who hear of it, a ping's few rumours would
-    /// be old news for long after all hosts have started, and suspicions would wait behind them.
+    /// If every host relayed each of some hundred joining hosts, stale rumours would fill the pings
+    /// for long after all hosts have started, and suspicions would queue behind them.
     pub fn apply_unrelayed(&mut self, now_ms: Millis, rumour: Rumour) -> bool {
         let key = HostKey::of(&rumour.member.name);
-        if key == self.me {
+        if key == self.own {
             self.refute(now_ms, &rumour);
             return false;
         }
-        let is_news = self.is_news(key, &rumour);
-        if is_news {
+        let is_update = self.is_update(key, &rumour);
+        if is_update {
             self.insert(now_ms, key, rumour, 0);
         }
-        is_news
+        is_update
     }
 
-    fn is_news(&self, key: HostKey, rumour: &Rumour) -> bool {
+    fn is_update(&self, key: HostKey, rumour: &Rumour) -> bool {
         self.known.get(&key).is_none_or(|known| {
             let held = (known.rumour.incarnation, known.rumour.state);
             (rumour.incarnation, rumour.state) > held
         })
     }
 
-    /// A member didn't answer, neither directly nor through others.
+    /// Marks a member as suspect that answered neither direct nor indirect pings.
     pub fn suspect(&mut self, now_ms: Millis, key: HostKey) {
         let Some(known) = self.known.get(&key) else {
             return;
@@ -143,7 +143,7 @@
         }
     }
 
-    /// A member answered: whatever was suspected of that incarnation is wrong.
+    /// Records an answer of a member, which clears any suspicion of that incarnation.
     pub fn record_answer(&mut self, now_ms: Millis, rumour: &Rumour) {
         let key = HostKey::of(&rumour.member.name);
         if let Some(known) = self.known.get_mut(&key)
@@ -157,17 +157,17 @@
         self.apply(now_ms, rumour.clone());
     }
 
-    /// This host leaves: it is home of nothing from now on.
+    /// Marks this host as leaving; it is no home from then on.
     pub fn leave(&mut self) {
-        let sends = self.sends();
-        if let Some(known) = self.known.get_mut(&self.me) {
+        let sends = self.send_count();
+        if let Some(known) = self.known.get_mut(&self.own) {
             known.rumour.state = MemberState::Leaving;
             known.rumour.incarnation += 1;
             known.sends_left = sends;
         }
     }
 
-    /// Suspects that did not refute in time are dead; the long dead are forgotten.
+    /// Marks suspects that did not refute in time as dead, and forgets members dead for 60 s.
     pub fn expire(&mut self, now_ms: Millis) {
         let overdue: Vec<Rumour> = self
             .known
@@ -182,21 +182,21 @@
         }
         self.known.retain(|_, known| {
             known.rumour.state != MemberState::Dead
-                || now_ms.saturating_sub(known.since_ms) < FORGET_MS
+                || now_ms.saturating_sub(known.since_ms) < DEAD_RETENTION_MS
         });
     }
 
-    /// Rumours to send now; each is sent a number of times that grows with the logarithm of the
-    /// members.
+    /// Takes the rumours to send with the next message. Each is sent a number of times that grows
+    /// with the logarithm of the number of members.
     pub fn rumours(&mut self) -> Vec<Rumour> {
-        let mut fresh: Vec<&mut Known> = self
+        let mut pending: Vec<&mut MemberRecord> = self
             .known
             .values_mut()
             .filter(|known| known.sends_left > 0)
             .collect();
-        fresh.sort_by_key(|known| std::cmp::Reverse(known.sends_left));
-        let chosen = fresh.into_iter().take(RUMOURS);
-        chosen
+        pending.sort_by_key(|known| std::cmp::Reverse(known.sends_left));
+        let selected = pending.into_iter().take(MAX_RUMOURS);
+        selected
             .map(|known| {
                 known.sends_left -= 1;
                 known.rumour.clone()
@@ -204,23 +204,23 @@
             .collect()
     }
 
-    /// The next member to ping: each once in a round, in an order that `draw` shuffles. Where many stand
-    /// near, most pings go to them.
+    /// The next member to ping. Each member is pinged once per round, in an order shuffled by `draw`.
+    /// In a large data centre most pings stay local.
     pub fn next_target(&mut self, draw: u64) -> Option<MemberInfo> {
         self.pings = self.pings.wrapping_add(1);
-        let is_far = self.pings.is_multiple_of(FAR_PERIOD);
-        let data_centre = self.known[&self.me].rumour.member.data_centre.clone();
-        let is_near = |known: &Known| known.rumour.member.data_centre == data_centre;
-        let near = self.others().filter(|(_, known)| is_near(known)).count();
-        if near < NEAR_MEMBERS || is_far {
+        let is_remote = self.pings.is_multiple_of(REMOTE_PING_PERIOD);
+        let data_centre = self.known[&self.own].rumour.member.data_centre.clone();
+        let is_local = |known: &MemberRecord| known.rumour.member.data_centre == data_centre;
+        let local = self.others().filter(|(_, known)| is_local(known)).count();
+        if local < LOCAL_PING_MIN_MEMBERS || is_remote {
             let mut round = std::mem::take(&mut self.all);
             let target = self.take_target(&mut round, draw, |_| true);
             self.all = round;
             return target;
         }
-        let mut round = std::mem::take(&mut self.near);
-        let target = self.take_target(&mut round, draw, is_near);
-        self.near = round;
+        let mut round = std::mem::take(&mut self.local);
+        let target = self.take_target(&mut round, draw, is_local);
+        self.local = round;
         target
     }
 
@@ -228,11 +228,11 @@
         &self,
         round: &mut Vec<HostKey>,
         draw: u64,
-        is_of_round: impl Fn(&Known) -> bool,
+        is_in_round: impl Fn(&MemberRecord) -> bool,
     ) -> Option<MemberInfo> {
         loop {
             if round.is_empty() {
-                let others = self.others().filter(|(_, known)| is_of_round(known));
+                let others = self.others().filter(|(_, known)| is_in_round(known));
                 *round = others.map(|(key, _)| key).collect();
                 round.sort_by_key(|key| rank(draw, key.0));
             }
@@ -245,51 +245,52 @@
         }
     }
 
-    /// Members that answer, a few drawn at random, for a newcomer to ask: those of its data centre first;
-    /// this host among those that may be drawn. Whoever had its address before is gone, though nobody
-    /// may have noticed yet: it would ask itself.
-    pub fn sample(&self, newcomer: &MemberInfo, draw: u64, count: usize) -> Vec<Rumour> {
+    /// A random sample of live members for a joining host to query, those of its data centre first.
+    /// This host may be in the sample. A member with the address of the joining host is left out: it is
+    /// an earlier instance whose end may be undetected, and the host would query itself.
+    pub fn sample(&self, joining: &MemberInfo, draw: u64, count: usize) -> Vec<Rumour> {
         let alive = self.known.iter();
-        let mut alive: Vec<((bool, u64), &Known)> = alive
+        let mut alive: Vec<((bool, u64), &MemberRecord)> = alive
             .filter(|(_, known)| known.rumour.state == MemberState::Alive)
-            .filter(|(_, known)| known.rumour.member.address != newcomer.address)
+            .filter(|(_, known)| known.rumour.member.address != joining.address)
             .map(|(key, known)| {
-                let is_far = known.rumour.member.data_centre != newcomer.data_centre;
-                ((is_far, rank(draw, key.0)), known)
+                let is_remote = known.rumour.member.data_centre != joining.data_centre;
+                ((is_remote, rank(draw, key.0)), known)
             })
             .collect();
         alive.sort_by_key(|(order, _)| *order);
-        let chosen = alive.into_iter().take(count);
-        chosen.map(|(_, known)| known.rumour.clone()).collect()
+        let selected = alive.into_iter().take(count);
+        selected.map(|(_, known)| known.rumour.clone()).collect()
     }
 
-    /// All that is believed, of the dead as well.
+    /// The rumours of all known members, including dead ones.
     pub fn snapshot(&self) -> Vec<Rumour> {
         let all = self.known.values();
         all.map(|known| known.rumour.clone()).collect()
     }
 
-    /// Equal at two hosts that believe the same members present. Suspects count as present, lest
-    /// each missed ping makes all differ.
+    /// A digest of the present members, equal on hosts that agree on them. Suspects count as
+    /// present; otherwise each missed ping would make the digests differ.
     pub fn digest(&self) -> u64 {
         let keys = self.homes().map(|(key, _)| rank(key.0, 0));
         keys.fold(0, u64::wrapping_add)
     }
 
-    /// Members that may be asked to ping another one.
+    /// Members to send an indirect ping of `target` through.
     pub fn probe_relays(&self, target: HostKey, draw: u64, count: usize) -> Vec<MemberInfo> {
-        let mut others: Vec<(HostKey, &Known)> = self
+        let mut others: Vec<(HostKey, &MemberRecord)> = self
             .others()
             .filter(|(key, known)| *key != target && known.rumour.state == MemberState::Alive)
             .collect();
         others.sort_by_key(|(key, _)| rank(draw, key.0));
-        let chosen = others.into_iter().take(count);
-        chosen
+        let selected = others.into_iter().take(count);
+        selected
             .map(|(_, known)| known.rumour.member.clone())
             .collect()
     }
 
-    /// Members that can be home of something; suspects still count, lest homes move at each hiccup.
+    /// Members eligible as homes. Suspects still count; otherwise homes would move at each missed
+    /// ping.
     pub fn homes(&self) -> impl Iterator<Item = (HostKey, &MemberInfo)> {
         self.known
             .iter()
@@ -302,32 +303,32 @@
             .map(|(key, known)| (*key, &known.rumour.member))
     }
 
-    /// The homes of a thing, best first.
-    pub fn homes_of(&self, thing: u64, count: usize) -> Vec<(HostKey, MemberInfo)> {
-        best(thing, self.homes(), count)
+    /// The homes of a resource by rendezvous hashing, best first.
+    pub fn homes_of(&self, resource: u64, count: usize) -> Vec<(HostKey, MemberInfo)> {
+        rank_homes(resource, self.homes(), count)
     }
 
-    /// The homes of a thing that stands in a data centre: hosts there, or any where none is left.
+    /// The homes of a resource in a data centre: hosts there, or any host where none is left.
     ///
-    /// A host's streams run mostly on near engines; near homes save a way over the data centres
-    /// for each permit, and let one message report on many engines.
+    /// A host's streams run mostly on engines of its own data centre. Homes there save a round trip
+    /// between data centres for each permit, and let one message report on many engines.
     pub fn homes_in(
         &self,
-        thing: u64,
+        resource: u64,
         data_centre: &str,
         count: usize,
     ) -> Vec<(HostKey, MemberInfo)> {
-        let near = self
+        let local = self
             .homes()
-            .filter(|(_, note)| note.data_centre == data_centre);
-        let near = best(thing, near, count);
-        if near.is_empty() {
-            return self.homes_of(thing, count);
+            .filter(|(_, info)| info.data_centre == data_centre);
+        let local = rank_homes(resource, local, count);
+        if local.is_empty() {
+            return self.homes_of(resource, count);
         }
-        near
+        local
     }
 
-    /// Every member that isn't dead, this host with them.
+    /// Every member that isn't dead, including this host.
     pub fn present(&self) -> impl Iterator<Item = &Rumour> {
         self.known
             .values()
@@ -343,34 +344,34 @@
             .filter(|rumour| rumour.state != MemberState::Dead)
     }
 
-    fn others(&self) -> impl Iterator<Item = (HostKey, &Known)> {
-        let me = self.me;
+    fn others(&self) -> impl Iterator<Item = (HostKey, &MemberRecord)> {
+        let own = self.own;
         self.known
             .iter()
-            .filter(move |(key, known)| **key != me && known.rumour.state != MemberState::Dead)
+            .filter(move |(key, known)| **key != own && known.rumour.state != MemberState::Dead)
             .map(|(key, known)| (*key, known))
     }
 
-    /// A rumour against this host is answered with a higher incarnation. Without that a host that
-    /// was paused for some seconds would stay dead to all others.
+    /// Refutes a rumour against this host with a higher incarnation. Without this, a host that was
+    /// paused for some seconds would stay dead to all others.
     fn refute(&mut self, now_ms: Millis, rumour: &Rumour) {
-        let sends = self.sends();
-        let Some(mine) = self.known.get_mut(&self.me) else {
+        let sends = self.send_count();
+        let Some(own_record) = self.known.get_mut(&self.own) else {
             return;
         };
-        let against =
-            (rumour.incarnation, rumour.state) > (mine.rumour.incarnation, mine.rumour.state);
-        if against {
-            mine.rumour.incarnation = rumour.incarnation + 1;
-            mine.since_ms = now_ms;
-            mine.sends_left = sends;
+        let is_against = (rumour.incarnation, rumour.state)
+            > (own_record.rumour.incarnation, own_record.rumour.state);
+        if is_against {
+            own_record.rumour.incarnation = rumour.incarnation + 1;
+            own_record.since_ms = now_ms;
+            own_record.sends_left = sends;
         }
     }
 
     fn insert(&mut self, now_ms: Millis, key: HostKey, rumour: Rumour, sends_left: u32) {
         self.known.insert(
             key,
-            Known {
+            MemberRecord {
                 rumour,
                 since_ms: now_ms,
                 sends_left,
@@ -378,21 +379,21 @@
         );
     }
 
-    fn sends(&self) -> u32 {
+    fn send_count(&self) -> u32 {
         3 * (self.known.len() as u32 + 1).ilog2().max(1)
     }
 }
 
-fn best<'a>(
-    thing: u64,
+fn rank_homes<'a>(
+    resource: u64,
     members: impl Iterator<Item = (HostKey, &'a MemberInfo)>,
     count: usize,
 ) -> Vec<(HostKey, MemberInfo)> {
     let mut ranked: Vec<(u64, HostKey, &MemberInfo)> = members
-        .map(|(key, note)| (rank(thing, key.0), key, note))
+        .map(|(key, info)| (rank(resource, key.0), key, info))
         .collect();
     ranked.sort_by_key(|(rank, _, _)| std::cmp::Reverse(*rank));
     ranked.truncate(count);
     let ranked = ranked.into_iter();
-    ranked.map(|(_, key, note)| (key, note.clone())).collect()
+    ranked.map(|(_, key, info)| (key, info.clone())).collect()
 }
--- a/crates/cluster/src/permits.rs
+++ b/crates/cluster/src/permits.rs
@@ -1,4 +1,5 @@
-//! The entry host's side of permits: ask two homes, take the first grant, report progress.
+//! Permits as an entry host acquires them: it requests one from up to two homes, takes the first
+//! grant, and reports progress.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, AtomicU32, Ordering};
@@ -21,40 +22,40 @@
 use crate::homes::EngineStats;
 use crate::node::Node;
 
-/// After so long without a grant the second home is asked as well.
+/// Delay without a grant after which a hedged request goes to the second home.
 const HEDGE_DELAY: Duration = Duration::from_millis(10);
 const RETRY_PAUSE: Duration = Duration::from_millis(20);
-/// Homes tried for one engine: the best and the next, since views of who is alive may differ.
+/// Homes tried for one engine: the best and the next, since hosts may disagree on who is alive.
 const HOMES_TRIED: usize = 2;
-/// Generations that one host may start on one engine when no home answers.
+/// Generations that one host may run on one engine without a permit while no home answers.
 const MAX_HOMELESS_PERMITS: u32 = 2;
 
-/// What a generation needs to start.
+/// A request for a permit to run one generation.
 #[derive(Debug, Clone)]
 pub struct PermitRequest {
-    /// For whom.
+    /// Organisation of the caller.
     pub organisation: OrganisationKey,
-    /// For which service.
+    /// Requested service.
     pub service: ServiceKey,
-    /// The organisation's weight.
+    /// Weight of the organisation.
     pub weight: f32,
-    /// Its guaranteed share of an engine's memory.
+    /// The organisation's guaranteed share of an engine's memory.
     pub share: f32,
-    /// The model.
+    /// Name of the model.
     pub model: String,
     /// Hash of the prompt's first blocks.
     pub prefix: u64,
-    /// Prompt tokens.
+    /// Length of the prompt in tokens.
     pub prompt_tokens: u32,
-    /// Tokens that are out already.
+    /// Tokens already generated.
     pub out_tokens: u32,
-    /// The answer's bound.
+    /// Limit on the answer's length.
     pub output_limit_tokens: u32,
-    /// How long it may wait.
+    /// Longest wait for a permit.
     pub max_wait_ms: Millis,
-    /// Whether to be refused rather than queue.
+    /// Whether to be refused instead of queued.
     pub only_now: bool,
-    /// Engines not to ask.
+    /// Engines that are no candidates.
     pub excluded: Vec<UpstreamKey>,
 }
 
@@ -64,21 +65,21 @@
     /// No engine of the model takes work.
     #[error("could not find a live engine of the model")]
     NoEngine,
-    /// All that were asked refused.
+    /// All requested engines refused.
     #[error("could not start within the time allowed")]
     Refused {
-        /// The last reason.
+        /// Reason of the last refusal.
         reason: RefusalReason,
-        /// When to come back.
+        /// When to retry.
         retry_after_ms: Millis,
     },
-    /// No home answers, and this host's own small share is in use.
+    /// No home answers, and this host's share of starts without a home is in use.
     #[error("could not reach the engine's home")]
     NoHome,
 }
 
 impl NotGranted {
-    /// When to come back.
+    /// When to retry.
     pub fn retry_after_ms(&self) -> Millis {
         const UNKNOWN_MS: Millis = 2_000;
         match self {
@@ -88,19 +89,19 @@
     }
 }
 
-/// What the entry host knows of a permit between reports.
+/// The entry host's record of a permit between progress reports.
 #[derive(Debug)]
 pub(crate) struct HeldPermit {
     pub(crate) upstream: UpstreamKey,
     pub(crate) ask: EnginePermitRequest,
-    /// `None` where the generation started without a home; changes when a new home takes over.
+    /// `None` where the generation started without a home; replaced when a new home takes over.
     pub(crate) id: Mutex<Option<PermitId>>,
     pub(crate) out_tokens: AtomicU32,
     pub(crate) move_requested: AtomicBool,
 }
 
 impl HeldPermit {
-    /// What there is to report; nothing for a start without a home.
+    /// The progress to report; `None` for a start without a home.
     pub(crate) fn progress(&self) -> Option<Progress> {
         Some(Progress {
             upstream: self.upstream,
@@ -111,31 +112,31 @@
     }
 }
 
-/// Leave to run one generation on one engine; given back when dropped.
+/// Permission to run one generation on one engine; released when dropped.
 pub struct Permit {
     node: Arc<Node>,
     held: Arc<HeldPermit>,
     ended: bool,
-    /// The engine.
+    /// Key of the engine.
     pub upstream: UpstreamKey,
-    /// Its client.
+    /// Client of the engine.
     pub engine: Arc<dyn Engine>,
-    /// The engine's priority for this generation.
+    /// Priority of this generation at the engine.
     pub priority: i32,
 }
 
 impl Permit {
-    /// So many tokens are out.
+    /// Records the number of tokens generated so far.
     pub fn advance(&self, out_tokens: u32) {
         self.held.out_tokens.store(out_tokens, Ordering::Relaxed);
     }
 
-    /// Whether the home asks to move this generation; asked once for each such request.
+    /// Whether the home has requested to move this generation; clears the request.
     pub fn take_move_request(&self) -> bool {
         self.held.move_requested.swap(false, Ordering::Relaxed)
     }
 
-    /// The generation is whole.
+    /// Releases the permit of a completed generation.
     pub fn finish(mut self) {
         self.end(RunState::Complete);
     }
@@ -171,8 +172,8 @@
     }
 }
 
-/// An ask under way; withdrawn when dropped without a grant, so that a caller who left or a lost
-/// race leaves no reservation behind.
+/// A pending permit request. It is withdrawn when dropped without a grant: a caller who disconnects
+/// or a hedged request that loses leaves no reservation behind.
 struct PendingRequest {
     node: Arc<Node>,
     upstream: UpstreamKey,
@@ -198,7 +199,7 @@
 }
 
 impl Node {
-    /// Asks for leave to run a generation.
+    /// Acquires a permit to run a generation.
     ///
     /// # Errors
     /// [`NotGranted`]: nothing was sent to any engine.
@@ -207,28 +208,28 @@
         request: &PermitRequest,
     ) -> Result<Permit, NotGranted> {
         let candidates = self.candidates(request);
-        let picked = pick(request.prefix, &candidates).ok_or(NotGranted::NoEngine)?;
+        let choice = pick(request.prefix, &candidates).ok_or(NotGranted::NoEngine)?;
         let deadline_ms = self.clock.now_ms() + request.max_wait_ms;
-        let ask = |upstream| {
+        let request_from = |upstream| {
             Box::pin(
                 self.clone()
                     .request_until(upstream, request.clone(), deadline_ms),
             )
         };
-        let mut first = ask(picked.first);
-        // Most first asks are granted at once; a second home is troubled only by the others.
-        let granted = match (timeout(HEDGE_DELAY, &mut first).await, picked.second) {
+        let mut first = request_from(choice.first);
+        // Most requests are granted at once; only the others add load on a second home.
+        let granted = match (timeout(HEDGE_DELAY, &mut first).await, choice.second) {
             (Ok(Ok(grant)), _) => Ok(grant),
             (Ok(Err(error)), None) => Err(error),
-            (Ok(Err(_)), Some(second)) => ask(second).await,
+            (Ok(Err(_)), Some(second)) => request_from(second).await,
             (Err(_), None) => first.await,
-            (Err(_), Some(second)) => select_ok([first, ask(second)])
+            (Err(_), Some(second)) => select_ok([first, request_from(second)])
                 .await
                 .map(|(grant, _)| grant),
         };
         let grant = match granted {
             Ok(grant) => grant,
-            Err(NotGranted::NoHome) => self.grant_without_home(picked.first, request)?,
+            Err(NotGranted::NoHome) => self.grant_without_home(choice.first, request)?,
             Err(refused) => return Err(refused),
         };
         self.hold(grant)
@@ -291,18 +292,18 @@
             ask: id,
             granted: false,
         };
-        let mut unanswered = 0;
+        let mut failed_calls = 0;
         loop {
             let now_ms = self.clock.now_ms();
             let ask = self.request_message(id, &request, deadline_ms.saturating_sub(now_ms));
             let Some(reply) = self.request_from_home(upstream, ask).await else {
-                unanswered += 1;
-                if unanswered >= HOMES_TRIED {
+                failed_calls += 1;
+                if failed_calls >= HOMES_TRIED {
                     return Err(NotGranted::NoHome);
                 }
                 continue;
             };
-            unanswered = 0;
+            failed_calls = 0;
             self.loads.lock().insert(upstream, reply.load);
             match reply.answer {
                 PermitAnswer::Granted { permit, priority } => {
@@ -351,7 +352,7 @@
         }
     }
 
-    /// Asks the best home that answers.
+    /// Sends the request to the best home that answers.
     async fn request_from_home(
         &self,
         upstream: UpstreamKey,
@@ -372,7 +373,7 @@
         None
     }
 
-    /// Decides as the engine's home.
+    /// Decides on a permit request as the engine's home.
     pub(crate) async fn handle_permit_request(
         &self,
         upstream: UpstreamKey,
@@ -383,10 +384,10 @@
         Some(self.homes.ask(now_ms, upstream, settings, ask).await)
     }
 
-    /// A start without a home, out of this host's own small share of the engine.
+    /// Grants a start without a home, limited by this host's own share of the engine.
     ///
-    /// When no home answers, refusing everything would stop the service for want of coordination;
-    /// so many starts from each host overfill an engine by a bounded amount only.
+    /// When no home answers, refusing all requests would stop the service for lack of coordination.
+    /// The limit per host bounds by how much an engine can be overcommitted.
     fn grant_without_home(
         &self,
         upstream: UpstreamKey,
@@ -443,7 +444,7 @@
         }
     }
 
-    /// The last known loads, for the metrics page.
+    /// Statistics of the engines whose home this host is, for the metrics page.
     pub fn engine_stats(&self) -> Vec<EngineStats> {
         self.homes.engine_stats()
     }
