--- a/crates/cluster/src/configuration.rs
+++ b/crates/cluster/src/configuration.rs
@@ -8,19 +8,19 @@
 
 /// The key of the root object.
 pub(crate) const ROOT_KEY: &str = "fulmarpath/root";
-/// Entries that the root's history keeps.
-const HISTORY: usize = 50;
+/// Limit on the entries of the root's history.
+const HISTORY_ENTRIES: usize = 50;
 
 /// The hashes of the four parts.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Parts {
-    /// Of the organisations.
+    /// Hash of the organisations.
     pub organisations: String,
-    /// Of the services.
+    /// Hash of the services.
     pub services: String,
-    /// Of the models.
+    /// Hash of the models.
     pub models: String,
-    /// Of the presets.
+    /// Hash of the presets.
     pub presets: String,
 }
 
@@ -35,49 +35,50 @@
     }
 }
 
-/// What a change was.
+/// The kind of a change.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ChangeKind {
-    /// New declarations.
+    /// New declarations were applied.
     Apply,
-    /// Another preset.
+    /// Another preset was selected.
     UsePreset,
-    /// The parts and preset of an earlier revision, as a new one.
+    /// The parts and preset of an earlier revision were restored as a new revision.
     Rollback {
-        /// That revision.
+        /// Restored revision.
         to: u64,
     },
 }
 
 /// One revision in the root's history.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Entry {
-    /// The revision.
+pub struct HistoryEntry {
+    /// Revision that the change created.
     pub revision: u64,
-    /// The change's own id, by which its writer finds it after a lost answer.
+    /// Id of the change, by which its writer finds it after a lost answer.
     pub change: String,
-    /// What the change was.
+    /// Kind of the change.
     pub kind: ChangeKind,
-    /// The preset in force from then on.
+    /// Preset active from this revision on.
     pub preset: String,
-    /// The parts in force from then on.
+    /// Parts active from this revision on.
     pub parts: Parts,
-    /// Wall time of the change.
+    /// Wall time of the change in Unix milliseconds.
     pub at_ms: u64,
 }
 
-/// The root: one object, so that exactly one preset and one set of parts is in force.
+/// The root of the configuration. It is a single object, so exactly one preset and one set of parts
+/// is active.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Root {
-    /// Grows by one with each change.
+    /// Revision; grows by one with each change.
     pub revision: u64,
-    /// The preset in force.
+    /// Name of the active preset.
     pub preset: String,
-    /// The parts in force.
+    /// Hashes of the active parts.
     pub parts: Parts,
     /// The latest changes, newest last.
-    pub history: Vec<Entry>,
+    pub history: Vec<HistoryEntry>,
 }
 
 impl Root {
@@ -92,7 +93,7 @@
     ) -> Self {
         let revision = self.revision + 1;
         let mut history = self.history.clone();
-        history.push(Entry {
+        history.push(HistoryEntry {
             revision,
             change,
             kind,
@@ -100,7 +101,7 @@
             parts: parts.clone(),
             at_ms,
         });
-        let surplus = history.len().saturating_sub(HISTORY);
+        let surplus = history.len().saturating_sub(HISTORY_ENTRIES);
         history.drain(..surplus);
         Self {
             revision,
@@ -110,21 +111,21 @@
         }
     }
 
-    /// The revision that a change became, if it did.
+    /// The revision that a change created; `None` if the history doesn't contain the change.
     pub(crate) fn revision_of(&self, change: &str) -> Option<u64> {
         let entry = self.history.iter().find(|entry| entry.change == change)?;
         Some(entry.revision)
     }
 }
 
-/// The four parts as bytes.
+/// The four parts in their encoded form, by hash.
 #[derive(Debug, Clone)]
 pub(crate) struct PartValues {
     pub(crate) parts: Parts,
     pub(crate) values: HashMap<String, Vec<u8>>,
 }
 
-/// Splits declarations into parts.
+/// Splits declarations into encoded parts.
 pub(crate) fn split(declarations: &Declarations) -> PartValues {
     let mut values = HashMap::new();
     let mut add = |value: Vec<u8>| {
@@ -141,7 +142,7 @@
     PartValues { parts, values }
 }
 
-/// Joins parts to declarations; `None` where a part is missing or isn't what its hash says.
+/// Decodes parts to declarations; `None` where a part is missing or can't be decoded.
 pub(crate) fn join(parts: &Parts, values: &HashMap<String, Vec<u8>>) -> Option<Declarations> {
     let [organisations, services, models, presets] = parts
         .hashes()
@@ -154,7 +155,7 @@
     })
 }
 
-/// The name of a part.
+/// The hash of a part, which is its name.
 pub(crate) fn part_hash(value: &[u8]) -> String {
     let digest = Sha256::digest(value);
     digest.iter().map(|byte| format!("{byte:02x}")).collect()
@@ -169,10 +170,10 @@
     serde_json::to_vec(items).unwrap_or_default()
 }
 
-/// One configuration, ready for look-ups.
+/// A configuration, indexed for lookups.
 #[derive(Debug)]
 pub struct ActiveConfiguration {
-    /// Its root.
+    /// Root of the configuration.
     pub root: Root,
     /// All declarations.
     pub declarations: Declarations,
@@ -215,12 +216,12 @@
         })
     }
 
-    /// The preset in force.
+    /// The active preset.
     pub fn preset(&self) -> &Preset {
         &self.declarations.presets[self.preset]
     }
 
-    /// The organisation that a caller's key belongs to.
+    /// The organisation that an API key belongs to.
     pub fn organisation_by_key(&self, key: &str) -> Option<&Organisation> {
         let hash = fulmarpath_settings::key_hash(key);
         let index = *self.by_key_hash.get(&hash)?;
--- a/crates/cluster/src/documents.rs
+++ b/crates/cluster/src/documents.rs
@@ -1,4 +1,4 @@
-//! The documents that every host holds: the configuration in force and the host list.
+//! The documents replicated to every host: the active configuration and the host list.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -22,7 +22,7 @@
     pub(crate) engine: Arc<dyn Engine>,
 }
 
-/// The host list, ready for look-ups.
+/// The host list, indexed for lookups.
 #[derive(Default)]
 pub(crate) struct Listing {
     pub(crate) document: HostListing,
@@ -38,13 +38,13 @@
             match entry.role {
                 Role::Entry => {}
                 Role::Plain => {
-                    let same = listing.plain.entry(entry.serves.clone()).or_default();
-                    same.push(entry.clone());
+                    let group = listing.plain.entry(entry.serves.clone()).or_default();
+                    group.push(entry.clone());
                 }
                 Role::Engine => {
                     let key = UpstreamKey::of(&entry.name);
-                    let same = listing.by_model.entry(entry.serves.clone()).or_default();
-                    same.push(key);
+                    let group = listing.by_model.entry(entry.serves.clone()).or_default();
+                    group.push(key);
                     let upstream = Upstream {
                         key,
                         entry: entry.clone(),
@@ -67,18 +67,18 @@
 
     /// The live instances of a plain service.
     pub(crate) fn plain(&self, service: &str) -> impl Iterator<Item = &HostEntry> {
-        let same = self.plain.get(service).into_iter().flatten();
-        same.filter(|entry| entry.state == ListedState::Live)
+        let group = self.plain.get(service).into_iter().flatten();
+        group.filter(|entry| entry.state == ListedState::Live)
     }
 }
 
-/// What this host holds. A document is only ever replaced by a newer one.
+/// The documents held by this host. A document is only ever replaced by a newer one.
 pub(crate) struct Documents {
     active: ArcSwapOption<ActiveConfiguration>,
     listing: ArcSwap<Listing>,
     adopting: Mutex<()>,
     last_contact_ms: AtomicU64,
-    /// A fault run has taken the comparison of revisions away.
+    /// Set when a fault run disables the comparison of revisions.
     accepts_any_revision: bool,
 }
 
@@ -110,10 +110,11 @@
         }
     }
 
-    /// Takes a configuration with a higher revision; true where it was taken.
+    /// Adopts a configuration with a higher revision; true where it was adopted.
     ///
-    /// Announcements come late and crossed. Taking an older one would revert an accepted change;
-    /// comparing revisions under the lock is enough, since the root's revision only grows.
+    /// Announcements arrive late and out of order. Adopting an older one would revert an accepted
+    /// change. Comparing revisions under the lock is sufficient, since the root's revision only
+    /// grows.
     pub(crate) fn adopt_root(&self, newer: ActiveConfiguration) -> bool {
         let _adopting = self.adopting.lock();
         let held = self.versions().root;
@@ -128,7 +129,7 @@
         true
     }
 
-    /// Takes a newer host list; true where it was taken.
+    /// Adopts a newer host list; true where it was adopted.
     pub(crate) fn adopt_listing(&self, newer: HostListing, clients: &dyn Engines) -> bool {
         let _adopting = self.adopting.lock();
         if newer.version <= self.versions().host_list {
@@ -138,7 +139,7 @@
         true
     }
 
-    /// The platform or a peer has just been heard.
+    /// Records contact with the platform or a peer.
     pub(crate) fn record_contact(&self, now_ms: Millis) {
         self.last_contact_ms.fetch_max(now_ms, Ordering::Relaxed);
     }
--- a/crates/cluster/src/lease.rs
+++ b/crates/cluster/src/lease.rs
@@ -1,46 +1,46 @@
-//! A lease on the right to give a model's engines orders, with a fencing number.
+//! A lease on sending orders to a model's engines, with a fencing number.
 //!
-//! Hosts' clocks are never compared: a holder counts its time from before it sent the renewal, and
-//! a successor from when it last saw the record change.
+//! Clocks of hosts are never compared: a holder measures from before it sent the renewal, and a
+//! successor from when it last saw the record change.
 
 use fulmarpath_policy::Millis;
 use fulmarpath_store::Version;
 use serde::{Deserialize, Serialize};
 
-/// How long a renewal lasts.
+/// Duration of the lease after a renewal.
 pub const LEASE_MS: Millis = 6_000;
-/// When the holder renews.
+/// Age of a renewal at which the holder renews again.
 const RENEW_MS: Millis = 2_000;
-/// How long an order may be on its way; an order is given only with more of the lease left, and a
-/// successor waits so long beyond the lease.
+/// Timeout of an order. An order is sent only while more than this remains of the lease, and a
+/// successor waits this long beyond the end of the lease.
 pub const ORDER_TIMEOUT_MS: Millis = 2_500;
 
-/// The lease as the platform holds it.
+/// The lease as stored on the platform.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LeaseRecord {
-    /// Who holds it.
+    /// Name of the holding host.
     pub holder: String,
-    /// Grows with each new holder.
+    /// Fencing number; grows with each new holder.
     pub fencing: u64,
-    /// Grows with each renewal, so that each write changes the record.
+    /// Grows with each renewal, which makes each write change the record.
     pub renewal: u64,
 }
 
-/// What to do about the lease now.
+/// What a host should do about the lease.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum LeaseAction {
-    /// Nothing yet.
+    /// Wait.
     Wait,
-    /// Write this record: over that version, or where none stands.
+    /// Write a record, either over a version or as the first one.
     Write {
-        /// The version to replace.
+        /// Version to replace; `None` to create the record.
         over: Option<Version>,
-        /// The record.
+        /// Record to write.
         record: LeaseRecord,
     },
 }
 
-/// What one host knows of a lease.
+/// The state of a lease as one host sees it.
 #[derive(Debug, Default)]
 pub struct Lease {
     seen: Option<(Version, Millis)>,
@@ -48,7 +48,7 @@
 }
 
 impl Lease {
-    /// Decides by the record as it was just read.
+    /// Decides what to do, given the record that was just read.
     pub fn decide(
         &mut self,
         now_ms: Millis,
@@ -59,7 +59,7 @@
             self.held = None;
             return LeaseAction::Write {
                 over: None,
-                record: record_of(host, 1, 1),
+                record: new_record(host, 1, 1),
             };
         };
         if let Some((held, held_version, until_ms)) = &self.held
@@ -70,7 +70,7 @@
             }
             return LeaseAction::Write {
                 over: Some(version),
-                record: record_of(host, held.fencing, held.renewal + 1),
+                record: new_record(host, held.fencing, held.renewal + 1),
             };
         }
         self.held = None;
@@ -81,34 +81,34 @@
                 now_ms
             }
         };
-        // Taking over earlier could let two holders give orders at once: the old one's last order
-        // may have been sent just before its lease ended.
+        // Taking over earlier could let two holders send orders concurrently: the old holder's last
+        // order may have been sent just before its lease ended.
         if now_ms.saturating_sub(since_ms) < LEASE_MS + ORDER_TIMEOUT_MS {
             return LeaseAction::Wait;
         }
         LeaseAction::Write {
             over: Some(version),
-            record: record_of(host, record.fencing + 1, 1),
+            record: new_record(host, record.fencing + 1, 1),
         }
     }
 
-    /// A write that was sent at `sent_ms` was accepted with this version.
+    /// Records that a write sent at `sent_ms` was accepted with this version.
     pub fn accepted(&mut self, sent_ms: Millis, record: LeaseRecord, version: Version) {
         self.held = Some((record, version, sent_ms + LEASE_MS));
     }
 
     /// The fencing number under which an order may be sent now, if any.
     ///
-    /// Engines that check the number are safe by that alone. For those that ignore it, a holder
-    /// that was paused past its lease must notice before it sends: the remaining time has to cover
-    /// the order's way.
+    /// The number alone protects engines that check it. For engines that ignore it, a holder that
+    /// was paused past its lease must detect that before it sends: the remaining time has to cover
+    /// the timeout of an order.
     pub fn order_fencing(&self, now_ms: Millis) -> Option<u64> {
         let (record, _, until_ms) = self.held.as_ref()?;
         (*until_ms > now_ms + ORDER_TIMEOUT_MS).then_some(record.fencing)
     }
 }
 
-fn record_of(holder: &str, fencing: u64, renewal: u64) -> LeaseRecord {
+fn new_record(holder: &str, fencing: u64, renewal: u64) -> LeaseRecord {
     LeaseRecord {
         holder: holder.to_owned(),
         fencing,
--- a/crates/cluster/src/lib.rs
+++ b/crates/cluster/src/lib.rs
@@ -25,7 +25,7 @@
 pub use circuit_breakers::{CRASH_HOMES, CircuitBreakers, Evaluation};
 pub use claims::{ClaimError, ClaimLog, ClaimSettings};
 pub use clock::Clock;
-pub use configuration::{ActiveConfiguration, ChangeKind, Entry, Parts, Root};
+pub use configuration::{ActiveConfiguration, ChangeKind, HistoryEntry, Parts, Root};
 pub use engines::{Engines, HttpEngines};
 pub use homes::EngineStats;
 pub use lease::{LEASE_MS, Lease, LeaseAction, LeaseRecord, ORDER_TIMEOUT_MS};
--- a/crates/cluster/src/orders.rs
+++ b/crates/cluster/src/orders.rs
@@ -1,4 +1,4 @@
-//! Orders to engines: each model's engines are to have the version that is declared.
+//! Orders to engines, which bring each model's engines to the declared version.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -16,34 +16,34 @@
 use crate::node::Node;
 
 const PERIOD: Duration = Duration::from_millis(1_000);
-/// Orders accepted in one period: loads read from the weight store, which is rate-limited.
+/// Limit on orders per period, since loading a model reads from the rate-limited weight store.
 const ORDERS_PER_PERIOD: usize = 2;
 
-/// What an engine is to have, and the engine.
+/// The model version that an engine should load.
 pub struct DesiredVersion {
-    /// The engine's name.
+    /// Name of the engine.
     pub engine: String,
-    /// Its client.
+    /// Client of the engine.
     pub client: Arc<dyn Engine>,
-    /// The model.
+    /// Name of the model.
     pub model: String,
-    /// The version.
+    /// Declared version of the model.
     pub version: String,
 }
 
-/// Gives the orders of one model while it holds the model's lease.
+/// Sends the orders of one model while it holds the model's lease.
 pub struct OrderDispatcher {
     api: Arc<dyn ObjectApi>,
     clock: Clock,
     host: String,
     key: String,
     lease: Lease,
-    /// Versions that engines took from this holder under its present fencing number.
+    /// Versions that engines accepted from this holder, by engine, with the fencing number.
     accepted: HashMap<String, (u64, String)>,
 }
 
 impl OrderDispatcher {
-    /// An dispatcher that holds nothing yet.
+    /// Creates a dispatcher that doesn't hold the lease yet.
     pub fn new(api: Arc<dyn ObjectApi>, clock: Clock, host: &str, model: &str) -> Self {
         Self {
             api,
@@ -55,27 +55,28 @@
         }
     }
 
-    /// Takes or renews the lease where it can, then gives the orders that are due; tells how many.
+    /// Acquires or renews the lease where possible, then sends the orders that are due. Returns the
+    /// number of accepted orders.
     ///
     /// # Errors
-    /// The platform's; no order is accepted without a lease that was renewed in time.
+    /// [`PlatformError`]; no order is sent without a lease that was renewed in time.
     pub async fn run_once(&mut self, desired: &[DesiredVersion]) -> Result<usize, PlatformError> {
         self.renew_lease().await?;
         let mut count = 0;
-        for one in desired {
+        for target in desired {
             if count == ORDERS_PER_PERIOD {
                 break;
             }
-            // Asked before each order: the process may have been paused since the last one.
+            // Checked before each order: the process may have been paused since the last one.
             let Some(fencing) = self.lease.order_fencing(self.now_ms()) else {
                 return Ok(count);
             };
-            let due = (fencing, one.version.clone());
-            if self.accepted.get(&one.engine) == Some(&due) {
+            let due = (fencing, target.version.clone());
+            if self.accepted.get(&target.engine) == Some(&due) {
                 continue;
             }
-            if send_order(one, fencing).await {
-                self.accepted.insert(one.engine.clone(), due);
+            if send_order(target, fencing).await {
+                self.accepted.insert(target.engine.clone(), due);
                 count += 1;
             }
         }
@@ -107,7 +108,7 @@
                 self.lease.accepted(sent_ms, record, version);
                 Ok(())
             }
-            // Somebody else was quicker; the next read tells who.
+            // Another host wrote the lease first; the next read returns its record.
             Err(PlatformError::Conflict { .. }) => Ok(()),
             Err(error) => Err(error),
         }
@@ -133,7 +134,10 @@
             true
         }
         Ok(Ok(false)) => {
-            warn!("orders: {} has seen a newer holder", desired.engine);
+            warn!(
+                "orders: {} has an order from a newer lease holder",
+                desired.engine
+            );
             false
         }
         _ => {
@@ -144,7 +148,7 @@
 }
 
 impl Node {
-    /// Gives orders for the models whose home this host is.
+    /// Sends orders for the models whose home this host is.
     pub(crate) async fn send_orders(self: Arc<Self>) {
         let mut dispatchers: HashMap<String, OrderDispatcher> = HashMap::new();
         loop {
@@ -153,8 +157,8 @@
                 continue;
             };
             for model in &configuration.declarations.models {
-                let thing = xxh3_64(format!("orders/{}", model.name).as_bytes());
-                let home = self.members.lock().homes_of(thing, 1).pop();
+                let resource = xxh3_64(format!("orders/{}", model.name).as_bytes());
+                let home = self.members.lock().homes_of(resource, 1).pop();
                 if home.is_none_or(|(key, _)| key != self.key) {
                     dispatchers.remove(&model.name);
                     continue;
@@ -174,7 +178,10 @@
                     OrderDispatcher::new(api, self.clock, &self.settings.host, &model.name)
                 });
                 if dispatcher.run_once(&desired).await.is_err() {
-                    warn!("orders: no word from the platform about {}", model.name);
+                    warn!(
+                        "orders: could not read or write the lease of {}",
+                        model.name
+                    );
                 }
             }
         }
--- a/crates/cluster/src/poison.rs
+++ b/crates/cluster/src/poison.rs
@@ -1,9 +1,10 @@
-//! Keeps poison requests, which end whatever upstream runs them, from the next upstream, over all hosts.
+//! Quarantine of poison requests, which crash every upstream that runs them, across all hosts.
 //!
-//! Two hosts are home of a service's crashes. Each run that had just begun on an upstream that ended
-//! is one message to each of them, and each change of a circuit, which is rare, reaches every host:
-//! nothing here grows with the square of the fleet, whatever crashes at once. Hosts of either kind
-//! bring their own way of reaching each other.
+//! Two hosts are the homes of a service's crash reports. Each run that had just begun on an upstream
+//! that crashed costs one message to each home. Each change of a circuit, which is rare, reaches
+//! every host. The traffic therefore doesn't grow with the square of the fleet, however many
+//! upstreams crash at once. Entry hosts and gateways implement [`CircuitHost`] with their own
+//! transport.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -16,24 +17,24 @@
 
 use crate::circuit_breakers::{CircuitBreakers, EVALUATION_PERIOD, PROBE_RUNS_MS};
 
-/// A request may not run now, since upstreams ended as they began to run its content.
+/// A request may not run now, since upstreams crashed as they began to run its content.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 #[error("could not run it: upstreams ended as they began to run the same request")]
 pub struct Quarantined {
-    /// When to come back.
+    /// When to retry.
     pub retry_after_ms: Millis,
 }
 
-/// A host among others that know circuits.
+/// A host that takes part in the quarantine of poison requests.
 #[async_trait]
 pub trait CircuitHost: Send + Sync {
-    /// What it knows.
+    /// The host's circuit breakers.
     fn breakers(&self) -> &CircuitBreakers;
-    /// The present time.
+    /// The current time.
     fn now_ms(&self) -> Millis;
-    /// Its own key.
+    /// The host's own key.
     fn key(&self) -> HostKey;
-    /// The homes of a service's crashes.
+    /// The homes of a service's crash reports.
     fn crash_homes(&self, service: ServiceKey) -> Vec<(HostKey, MemberInfo)>;
     /// Reports a crash to a home.
     async fn report_crash(
@@ -42,21 +43,21 @@
         content: ContentKey,
         upstream: UpstreamKey,
     ) -> Result<(), NoAnswer>;
-    /// Reports to a home that a content was answered whole.
+    /// Reports to a home that a content was answered completely.
     async fn report_success(&self, home: SocketAddr, content: ContentKey) -> Result<(), NoAnswer>;
-    /// Asks a home whether a request may be the one that runs.
+    /// Asks a home whether a request may run as the circuit's probe.
     async fn request_probe(&self, home: SocketAddr, content: ContentKey) -> Result<bool, NoAnswer>;
-    /// Tells a peer all that this host knows, for all that the peer knows.
+    /// Exchanges all circuits of this host for those of a peer.
     async fn swap_circuits(
         &self,
         peer: SocketAddr,
         own: Vec<Circuit>,
     ) -> Result<Vec<Circuit>, NoAnswer>;
-    /// Has other hosts hear of what this one has decided as a home.
+    /// Announces to other hosts the circuits that this one has decided as a home.
     fn announce_circuits(self: Arc<Self>, decided: &[Circuit]);
 }
 
-/// Reports a run that may be what ended its upstream to the homes of its service.
+/// Reports a run that may have crashed its upstream to the homes of its service.
 pub fn report_crash(
     host: &Arc<dyn CircuitHost>,
     service: ServiceKey,
@@ -66,22 +67,22 @@
     if host.breakers().has_succeeded(host.now_ms(), content) {
         return;
     }
-    for (key, note) in host.crash_homes(service) {
+    for (key, info) in host.crash_homes(service) {
         if key == host.key() {
             handle_crash_report(host, content, upstream);
             continue;
         }
         let host = host.clone();
         tokio::spawn(async move {
-            let told = host.report_crash(note.address, content, upstream).await;
-            if let Err(error) = told {
-                warn!("circuits: a home did not hear of a crash: {error}");
+            let result = host.report_crash(info.address, content, upstream).await;
+            if let Err(error) = result {
+                warn!("circuits: could not report a crash to a home: {error}");
             }
         });
     }
 }
 
-/// Records a crash as a home, and decides on its content in a moment.
+/// Records a crash as a home, and schedules the decision on its content.
 pub fn handle_crash_report(
     host: &Arc<dyn CircuitHost>,
     content: ContentKey,
@@ -92,25 +93,25 @@
     }
 }
 
-/// Decides as a home until no report waits.
+/// Decides as a home until no report is pending.
 async fn evaluate(host: Arc<dyn CircuitHost>) {
     loop {
         sleep(EVALUATION_PERIOD).await;
         let evaluation = host.breakers().evaluate(host.now_ms());
-        tell(&host, &evaluation.decided);
+        announce(&host, &evaluation.decided);
         if evaluation.is_over {
             return;
         }
     }
 }
 
-fn tell(host: &Arc<dyn CircuitHost>, decided: &[Circuit]) {
+fn announce(host: &Arc<dyn CircuitHost>, decided: &[Circuit]) {
     if decided.is_empty() {
         return;
     }
     for circuit in decided {
         let crashes = circuit.crashes.iter();
-        let crashes: Vec<String> = crashes.map(|one| format!("{:016x}", one.0)).collect();
+        let crashes: Vec<String> = crashes.map(|crash| format!("{:016x}", crash.0)).collect();
         info!(
             "circuits: content {:016x} is {}, by this home in version {}; it had begun on {} that ended: {}",
             circuit.content.0,
@@ -123,8 +124,8 @@
     host.clone().announce_circuits(decided);
 }
 
-/// Whether a request may begin to run now. Where its content runs one at a time, this is the one from
-/// then on.
+/// Whether a request may begin to run now. Where the circuit lets one request at a time run as a
+/// probe, an admitted request is that probe.
 ///
 /// # Errors
 /// [`Quarantined`]
@@ -143,38 +144,38 @@
 }
 
 async fn may_probe(host: &dyn CircuitHost, service: ServiceKey, content: ContentKey) -> bool {
-    for (key, note) in host.crash_homes(service) {
+    for (key, info) in host.crash_homes(service) {
         if key == host.key() {
             return grant_probe(host, content);
         }
-        match host.request_probe(note.address, content).await {
+        match host.request_probe(info.address, content).await {
             Ok(granted) => return granted,
-            Err(error) => warn!("circuits: a home grants no probe: {error}"),
+            Err(error) => warn!("circuits: could not get a probe from a home: {error}"),
         }
     }
     false
 }
 
-/// Answers as a home whether a request of this content may be the one that runs.
+/// Decides as a home whether a request of this content may run as the circuit's probe.
 pub fn grant_probe(host: &dyn CircuitHost, content: ContentKey) -> bool {
     host.breakers().grant_probe(host.now_ms(), content)
 }
 
-/// An upstream has answered a request whole: it doesn't end upstreams. A failure says nothing: a sick
-/// upstream fails what it has not run.
+/// Records that an upstream answered a request completely, which shows that its content crashes no
+/// upstream. A failure shows nothing, since a failing upstream rejects requests without running them.
 pub fn note_success(host: &Arc<dyn CircuitHost>, service: ServiceKey, content: ContentKey) {
     if !host.breakers().note_success(host.now_ms(), content) {
         return;
     }
-    for (key, note) in host.crash_homes(service) {
+    for (key, info) in host.crash_homes(service) {
         if key == host.key() {
             handle_success_report(host, content);
             continue;
         }
         let host = host.clone();
         tokio::spawn(async move {
-            if let Err(error) = host.report_success(note.address, content).await {
-                warn!("circuits: a home did not hear of a success: {error}");
+            if let Err(error) = host.report_success(info.address, content).await {
+                warn!("circuits: could not report a success to a home: {error}");
             }
         });
     }
@@ -186,33 +187,37 @@
     if must_evaluate {
         tokio::spawn(evaluate(host.clone()));
     }
-    tell(host, closed.as_slice());
+    announce(host, closed.as_slice());
 }
 
-/// Takes circuits; those that are news.
-pub fn adopt_circuits(host: &dyn CircuitHost, told: Vec<Circuit>, source: &str) -> Vec<Circuit> {
+/// Adopts circuits, and returns those that were updates.
+pub fn adopt_circuits(
+    host: &dyn CircuitHost,
+    received: Vec<Circuit>,
+    source: &str,
+) -> Vec<Circuit> {
     let now_ms = host.now_ms();
-    let mut news = told;
-    news.retain(|circuit| host.breakers().adopt(now_ms, circuit.clone()));
-    for circuit in &news {
+    let mut updates = received;
+    updates.retain(|circuit| host.breakers().adopt(now_ms, circuit.clone()));
+    for circuit in &updates {
         let (content, state) = (circuit.content.0, circuit.state.name());
         info!("circuits: content {content:016x} is {state}, by {source}");
     }
-    news
+    updates
 }
 
-/// Exchanges all circuits with a peer that knows others.
+/// Exchanges all circuits with a peer whose circuits differ.
 pub async fn exchange_circuits(host: &dyn CircuitHost, peer: SocketAddr) {
     let own = host.breakers().circuits(host.now_ms());
     match host.swap_circuits(peer, own).await {
         Ok(theirs) => {
             adopt_circuits(host, theirs, "a peer");
         }
-        Err(error) => warn!("circuits: could not exchange them: {error}"),
+        Err(error) => warn!("circuits: could not exchange circuits with a peer: {error}"),
     }
 }
 
-/// Answers a peer's circuits with this host's.
+/// Adopts a peer's circuits, and returns this host's.
 pub fn handle_circuit_exchange(host: &dyn CircuitHost, theirs: Vec<Circuit>) -> Vec<Circuit> {
     let own = host.breakers().circuits(host.now_ms());
     adopt_circuits(host, theirs, "a peer");
--- a/crates/cluster/src/publish.rs
+++ b/crates/cluster/src/publish.rs
@@ -1,4 +1,4 @@
-//! Changes of the configuration, by one conditional update of the root.
+//! Changes of the configuration, each made by one conditional update of the root.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -14,24 +14,24 @@
     ActiveConfiguration, ChangeKind, PartValues, Parts, ROOT_KEY, Root, join, part_key, split,
 };
 
-/// What an operator wants changed.
+/// A change requested by an operator.
 #[derive(Debug, Clone)]
 pub enum Change {
-    /// New declarations, if the root still has revision `onto`.
+    /// Replace the declarations, if the root still has revision `onto`.
     Apply {
-        /// The declarations.
+        /// New declarations.
         declarations: Box<Declarations>,
-        /// The revision that the operator saw; `None` for whatever stands.
+        /// Revision that the change is based on; `None` for any.
         onto: Option<u64>,
     },
-    /// Another preset.
+    /// Switch to another preset.
     UsePreset {
-        /// Its name.
+        /// Name of the preset.
         preset: String,
     },
-    /// The parts and preset of an earlier revision.
+    /// Restore the parts and preset of an earlier revision.
     Rollback {
-        /// That revision.
+        /// Revision to restore.
         to: u64,
     },
 }
@@ -42,39 +42,39 @@
     /// Another operator's change came first.
     #[error("could not change revision {seen}: revision {found} is in force by now")]
     Conflict {
-        /// The revision this change was made for.
+        /// Revision that the change was based on.
         seen: u64,
-        /// The revision found.
+        /// Revision that is active.
         found: u64,
     },
-    /// No such preset.
+    /// The active declarations lack the preset.
     #[error("could not find preset `{preset}` in the declarations in force")]
     NoSuchPreset {
-        /// Its name.
+        /// Name of the preset.
         preset: String,
     },
-    /// The new declarations lack the preset in force.
+    /// The new declarations lack the active preset.
     #[error("could not remove preset `{preset}`: it is in force")]
     PresetInForce {
-        /// Its name.
+        /// Name of the preset.
         preset: String,
     },
-    /// Nothing was ever applied.
+    /// No configuration was ever applied.
     #[error("could not find any configuration; apply one first")]
     Nothing,
     /// The history no longer has that revision.
     #[error("could not find revision {revision} in the history")]
     NoSuchRevision {
-        /// The revision.
+        /// Requested revision.
         revision: u64,
     },
-    /// A part is larger than the platform takes.
+    /// A part is larger than the platform accepts.
     #[error("could not store a part of {size_bytes} bytes: the platform takes 1,000,000")]
     TooLarge {
-        /// Its size.
+        /// Size of the part.
         size_bytes: usize,
     },
-    /// The platform holds something that isn't a configuration.
+    /// The stored object isn't a valid configuration.
     #[error("could not read the stored configuration")]
     Unreadable,
     /// The change was certainly not made.
@@ -83,16 +83,16 @@
     /// The change may have been made.
     #[error("could not learn whether change {change} was accepted; look for it in the history")]
     Unsure {
-        /// The change's id.
+        /// Id of the change.
         change: String,
     },
 }
 
-const TRIES: u32 = 5;
+const ATTEMPTS: u32 = 5;
 const RETRY_PAUSE: Duration = Duration::from_millis(200);
 const VALUE_LIMIT_BYTES: usize = 1_000_000;
 
-/// Writes changes to the platform.
+/// Writes configuration changes to the platform.
 pub struct Publisher {
     api: Arc<dyn ObjectApi>,
 }
@@ -103,23 +103,23 @@
 }
 
 impl Publisher {
-    /// A publisher to an object API.
+    /// Creates a publisher that writes to an object API.
     pub fn new(api: Arc<dyn ObjectApi>) -> Self {
         Self { api }
     }
 
-    /// Makes a change; accepted means that the update of the root took effect.
+    /// Makes a change; it is accepted once the update of the root takes effect.
     ///
-    /// An update whose answer is lost is looked for by its id in the root's history. The update is
-    /// conditional on the version that was read, so trying it again can't make it twice.
+    /// An update whose answer is lost is searched by its id in the root's history. The update is
+    /// conditional on the version that was read, so a retry can't apply it twice.
     ///
     /// # Errors
     /// [`PublishError`]; only [`PublishError::Unsure`] leaves open whether it was made.
     pub async fn publish(&self, change: &Change) -> Result<ActiveConfiguration, PublishError> {
         let id = Uuid::now_v7().to_string();
-        let mut first_preset = None;
+        let mut first_root = None;
         let mut unsure = false;
-        for _ in 0..TRIES {
+        for _ in 0..ATTEMPTS {
             let read = self.read_root().await;
             let Ok(read) = read else {
                 tokio::time::sleep(RETRY_PAUSE).await;
@@ -129,7 +129,7 @@
             if root.revision_of(&id).is_some() {
                 return self.load(root).await;
             }
-            let seen = first_preset.get_or_insert_with(|| root.clone());
+            let seen = first_root.get_or_insert_with(|| root.clone());
             if matches!(change, Change::UsePreset { .. }) && seen.preset != root.preset {
                 return Err(conflict(seen, &root));
             }
@@ -140,7 +140,7 @@
             }
             let draft = self.draft(change, &id, &root).await?;
             match self.write(draft, version).await {
-                Ok(in_force) => return Ok(in_force),
+                Ok(configuration) => return Ok(configuration),
                 Err(PlatformError::Conflict { .. }) => {}
                 Err(PlatformError::NotDone(_)) => tokio::time::sleep(RETRY_PAUSE).await,
                 Err(PlatformError::Unsure(_)) => unsure = true,
@@ -152,10 +152,10 @@
         Err(PublishError::NotDone)
     }
 
-    /// The root as it stands; a default one where nothing was ever applied.
+    /// Reads the current root; a default one where no configuration was ever applied.
     ///
     /// # Errors
-    /// The outer error is the platform's, the inner one that of an unreadable root.
+    /// The outer error is one of the platform, the inner one that of an unreadable root.
     async fn read_root(
         &self,
     ) -> Result<Result<(Option<Version>, Root), PublishError>, PlatformError> {
@@ -221,9 +221,9 @@
         for (hash, value) in &draft.values {
             let value = Bytes::from(value.clone());
             match self.api.create(&part_key(hash), value).await {
-                // A part is named by its content: whoever created it wrote the same.
+                // A part is named by the hash of its content, so an existing one is identical.
                 Ok(_) | Err(PlatformError::Conflict { .. }) => {}
-                // Without its parts the root isn't written, so nothing has changed.
+                // The root isn't written without its parts, so nothing has changed.
                 Err(PlatformError::NotDone(error) | PlatformError::Unsure(error)) => {
                     return Err(PlatformError::NotDone(error));
                 }
@@ -234,8 +234,8 @@
             Some(version) => self.api.replace(ROOT_KEY, value, version).await?,
             None => self.api.create(ROOT_KEY, value).await?,
         };
-        let in_force = ActiveConfiguration::new(draft.root, draft.values);
-        Ok(in_force.expect("a draft's parts belong to its root"))
+        let configuration = ActiveConfiguration::new(draft.root, draft.values);
+        Ok(configuration.expect("a draft's parts belong to its root"))
     }
 
     async fn load(&self, root: Root) -> Result<ActiveConfiguration, PublishError> {
@@ -259,7 +259,7 @@
     }
 }
 
-/// The preset in force after an apply: the one before it, or the first declared.
+/// The active preset after an apply: the previous one, or the first declared.
 fn preset_after(root: &Root, declarations: &Declarations) -> Result<String, PublishError> {
     let too_large = split(declarations)
         .values
--- a/crates/cluster/src/spread.rs
+++ b/crates/cluster/src/spread.rs
@@ -1,5 +1,5 @@
-//! Spread of the documents: a few watchers in each data centre, announcements, and comparison of
-//! versions with each pinged peer.
+//! Dissemination of the documents: a few watchers per data data_centre, announcements, and a comparison
+//! of versions with each pinged peer.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -19,29 +19,29 @@
 use crate::poison::exchange_circuits;
 use crate::safeguard::Safeguard;
 
-/// Watchers in each data centre; their number doesn't grow with the fleet.
+/// Watchers per data data_centre, a number that doesn't grow with the fleet.
 const WATCHERS: usize = 2;
 const WATCH_TIMEOUT: Duration = Duration::from_millis(1_000);
 const HOST_LIST_PERIOD: Duration = Duration::from_millis(1_000);
-/// A fetch that failed is made up for with the next ping after so long.
-const ROOT_FETCH_PAUSE_MS: u64 = 100;
-const HOST_LIST_FETCH_PAUSE_MS: u64 = 700;
+/// Shortest time between two fetches; a failed fetch is retried with the next ping after it.
+const ROOT_FETCH_INTERVAL_MS: u64 = 100;
+const HOST_LIST_FETCH_INTERVAL_MS: u64 = 700;
 const IDLE_PERIOD: Duration = Duration::from_millis(500);
-/// Back-off after a failed platform call; jittered, lest all hosts come back at once.
+/// Backoff after a failed platform call, with jitter so that hosts don't retry simultaneously.
 const BACKOFF_MS: std::ops::Range<u64> = 250..3_000;
 
 impl Node {
     /// Whether this host is one of its data centre's watchers.
     pub(crate) fn is_watcher(&self) -> bool {
-        let thing = xxh3_64(self.settings.data_centre.as_bytes());
+        let resource = xxh3_64(self.settings.data_centre.as_bytes());
         let members = self.members.lock();
-        let mine = rank(thing, self.key.0);
+        let own = rank(resource, self.key.0);
         let better = members
             .homes()
-            .filter(|(key, note)| {
+            .filter(|(key, info)| {
                 *key != self.key
-                    && note.data_centre == self.settings.data_centre
-                    && rank(thing, key.0) > mine
+                    && info.data_centre == self.settings.data_centre
+                    && rank(resource, key.0) > own
             })
             .count();
         better < WATCHERS
@@ -96,7 +96,7 @@
         tokio::time::sleep(Duration::from_millis(wait_ms)).await;
     }
 
-    /// Takes a document from the platform (`holder` is `None`) or a peer, and passes it on.
+    /// Adopts a document from the platform (`holder` is `None`) or a peer, and announces it.
     pub(crate) async fn adopt_document(
         self: &Arc<Self>,
         holder: Option<SocketAddr>,
@@ -117,12 +117,12 @@
         }
     }
 
-    /// Fetches the missing parts of a newer root, takes it and passes it on.
+    /// Fetches the missing parts of a newer root, adopts it and announces it.
     pub(crate) async fn fetch_root(self: &Arc<Self>, holder: Option<SocketAddr>, root: Root) {
         let held = self.documents.versions().root;
-        let is_news =
+        let is_update =
             root.revision > held || (root.revision < held && !self.has(Safeguard::RevisionGrows));
-        if !is_news {
+        if !is_update {
             return;
         }
         let mut values = HashMap::new();
@@ -136,49 +136,49 @@
             };
             values.insert(hash.clone(), value);
         }
-        let Some(in_force) = ActiveConfiguration::new(root, values) else {
-            warn!("spread: could not read a newer revision");
+        let Some(configuration) = ActiveConfiguration::new(root, values) else {
+            warn!("spread: could not decode a newer revision");
             return;
         };
-        // A host that held nothing has not seen a change, it has just started: when many start at
-        // once, each passing on what all read for themselves would be a storm.
+        // A host that held no root has just started and has seen no change. When many hosts start
+        // at once, announcing what each of them reads anyway would cause a message storm.
         let has_started = held > 0;
-        self.adopt_root(holder, in_force, has_started);
+        self.adopt_root(holder, configuration, has_started);
     }
 
-    /// Takes a whole configuration, and passes it on where it is news to others.
+    /// Adopts a complete configuration, and announces it where it is an update for others.
     pub(crate) fn adopt_root(
         self: &Arc<Self>,
         holder: Option<SocketAddr>,
-        in_force: ActiveConfiguration,
-        is_news: bool,
+        configuration: ActiveConfiguration,
+        is_update: bool,
     ) {
-        let revision = in_force.root.revision;
-        let value = serde_json::to_vec(&in_force.root).unwrap_or_default();
-        if self.documents.adopt_root(in_force) {
-            info!("spread: revision {} is in force here", revision);
+        let revision = configuration.root.revision;
+        let value = serde_json::to_vec(&configuration.root).unwrap_or_default();
+        if self.documents.adopt_root(configuration) {
+            info!("spread: revision {} is active", revision);
             self.apply_preset();
-            if is_news {
+            if is_update {
                 self.announce_root(holder, &value);
             }
         }
     }
 
-    /// Takes a newer host list. It isn't announced but found by comparing versions: when many
-    /// hosts start at once the list changes with each of them, every one still believes to be a
-    /// watcher, and announcing each version to all would drown the fleet in lists.
+    /// Adopts a newer host list. It isn't announced; hosts discover it by comparing versions. When
+    /// many hosts start at once, the list changes with each of them and each still considers itself
+    /// a watcher, so announcing each version to all would flood the fleet.
     fn adopt_listing(&self, listing: HostListing) {
         if listing.version <= self.documents.versions().host_list {
             return;
         }
         let now_ms = self.clock.now_ms();
-        for note in crate::node::entry_hosts(&listing) {
-            self.members.lock().seed(now_ms, note);
+        for info in crate::node::entry_hosts(&listing) {
+            self.members.lock().seed(now_ms, info);
         }
         self.documents.adopt_listing(listing, &*self.engines);
     }
 
-    /// A part from memory, from the peer that holds the root, or from the platform.
+    /// Returns a part from memory, from the peer that holds the root, or from the platform.
     async fn part(&self, holder: Option<SocketAddr>, hash: &str) -> Option<Vec<u8>> {
         if let Some(held) = self.documents.active()
             && let Some(value) = held.part_values.get(hash)
@@ -201,18 +201,19 @@
         (part_hash(&value) == hash).then_some(value)
     }
 
-    /// Announces a root: whoever has it from the platform tells its own data centre and one
-    /// watcher of each other one; whoever has it from another data centre tells its own.
+    /// Announces a root. A host that read it from the platform announces it to its own data centre
+    /// and to the watchers of each other one; a host that received it from another data centre
+    /// announces it to its own.
     fn announce_root(self: &Arc<Self>, holder: Option<SocketAddr>, root: &[u8]) {
         if !self.has(Safeguard::Spread) {
             return;
         }
-        let mine = self.settings.peer_address;
+        let own = self.settings.peer_address;
         let calls = self.recipients(holder).into_iter().map(|address| {
             let (node, root) = (self.clone(), root.to_vec());
             async move {
                 let call = |client: fulmarpath_wire::PeerClient, context| async move {
-                    client.announce(context, mine, Document::Root, root).await
+                    client.announce(context, own, Document::Root, root).await
                 };
                 let _ = node.peers.call(address, call).await;
             }
@@ -223,66 +224,66 @@
 
     fn recipients(&self, holder: Option<SocketAddr>) -> Vec<SocketAddr> {
         let members = self.members.lock();
-        let mine = &self.settings.data_centre;
-        let from_near = members.present().any(|rumour| {
-            Some(rumour.member.address) == holder && &rumour.member.data_centre == mine
+        let own = &self.settings.data_centre;
+        let from_local = members.present().any(|rumour| {
+            Some(rumour.member.address) == holder && &rumour.member.data_centre == own
         });
-        if from_near {
+        if from_local {
             return Vec::new();
         }
         let mut targets = Vec::new();
-        let mut other_centres: HashMap<&str, Vec<(HostKey, &MemberInfo)>> = HashMap::new();
+        let mut other_data_centres: HashMap<&str, Vec<(HostKey, &MemberInfo)>> = HashMap::new();
         for rumour in members.present() {
-            let note = &rumour.member;
-            if note.address == self.settings.peer_address {
+            let info = &rumour.member;
+            if info.address == self.settings.peer_address {
                 continue;
             }
-            if &note.data_centre == mine {
-                targets.push(note.address);
+            if &info.data_centre == own {
+                targets.push(info.address);
             } else if holder.is_none() {
-                let key = HostKey::of(&note.name);
-                let same = other_centres.entry(&note.data_centre).or_default();
-                same.push((key, note));
+                let key = HostKey::of(&info.name);
+                let same = other_data_centres.entry(&info.data_centre).or_default();
+                same.push((key, info));
             }
         }
-        for (centre, mut notes) in other_centres {
-            let thing = xxh3_64(centre.as_bytes());
-            notes.sort_by_key(|(key, _)| std::cmp::Reverse(rank(thing, key.0)));
-            let chosen = notes.into_iter().take(WATCHERS);
-            targets.extend(chosen.map(|(_, note)| note.address));
+        for (data_centre, mut infos) in other_data_centres {
+            let resource = xxh3_64(data_centre.as_bytes());
+            infos.sort_by_key(|(key, _)| std::cmp::Reverse(rank(resource, key.0)));
+            let selected = infos.into_iter().take(WATCHERS);
+            targets.extend(selected.map(|(_, info)| info.address));
         }
         targets
     }
 
-    /// Whether to fetch a document from a peer now. Many peers show a newer version at about the
-    /// same time; fetching it from each of them would cost a hundred times what one fetch does.
+    /// Whether to fetch a document from a peer now. Many peers report a newer version at about the
+    /// same time; fetching it from each of them would cost a hundred times as much as one fetch.
     fn may_fetch(&self, document: Document) -> bool {
-        let pause_ms = match document {
-            Document::Root => ROOT_FETCH_PAUSE_MS,
-            Document::HostList => HOST_LIST_FETCH_PAUSE_MS,
+        let interval_ms = match document {
+            Document::Root => ROOT_FETCH_INTERVAL_MS,
+            Document::HostList => HOST_LIST_FETCH_INTERVAL_MS,
         };
         let now_ms = self.clock.now_ms();
         let mut fetched = self.fetched_at_ms.lock();
         let last_ms = fetched.entry(document).or_insert(0);
-        if now_ms.saturating_sub(*last_ms) < pause_ms {
+        if now_ms.saturating_sub(*last_ms) < interval_ms {
             return false;
         }
         *last_ms = now_ms;
         true
     }
 
-    /// Fetches what a peer holds in a newer version.
+    /// Fetches the documents that a peer holds in a newer version.
     pub(crate) async fn compare(self: &Arc<Self>, peer: SocketAddr, theirs: Versions) {
         if !self.has(Safeguard::Spread) {
             return;
         }
-        let mine = self.versions();
-        if theirs.circuits != mine.circuits {
+        let own = self.versions();
+        if theirs.circuits != own.circuits {
             exchange_circuits(self.as_ref(), peer).await;
         }
         let newer = [
-            (Document::Root, theirs.root > mine.root),
-            (Document::HostList, theirs.host_list > mine.host_list),
+            (Document::Root, theirs.root > own.root),
+            (Document::HostList, theirs.host_list > own.host_list),
         ];
         for (document, _) in newer.into_iter().filter(|(_, is_newer)| *is_newer) {
             if !self.may_fetch(document) {
--- a/src/cmd/history.rs
+++ b/src/cmd/history.rs
@@ -1,7 +1,7 @@
 //! `fulmarpath history`: the latest changes.
 
 use bpaf::Bpaf;
-use fulmarpath::cluster::Entry;
+use fulmarpath::cluster::HistoryEntry;
 
 use super::{Run, block_on};
 use crate::client::{Target, target};
@@ -18,7 +18,7 @@
 impl Run for History {
     fn run(&self) -> Result<(), CommandError> {
         block_on(async {
-            let history: Vec<Entry> = self.target.get("/operator/history").await?;
+            let history: Vec<HistoryEntry> = self.target.get("/operator/history").await?;
             for entry in history.iter().rev() {
                 println!(
                     "{}\t{:?}\tpreset {}\tat {} ms\tchange {}",
