--- a/crates/gateway/src/backpressure.rs
+++ b/crates/gateway/src/backpressure.rs
@@ -94,7 +94,7 @@
         self.count_matching(Backpressure::is_leaving)
     }
 
-    /// Registered upstreams that have backpressure this host for a backoff that still runs.
+    /// Registered upstreams that have asked this host for a backoff that still runs.
     pub(crate) fn backing_off_count(&self, now_ms: Millis) -> usize {
         self.count_matching(|backpressure| backpressure.is_backing_off(now_ms))
     }
--- a/crates/gateway/src/crashes.rs
+++ b/crates/gateway/src/crashes.rs
@@ -70,7 +70,7 @@
     }
 
     /// Whether an upstream has ended without notice. An upstream that had given notice ends as
-    /// announced, whatever progress there.
+    /// announced, whatever ran there.
     async fn has_ended(&self, chosen: &Chosen) -> bool {
         if chosen.lost.is_cancelled() {
             return true;
--- a/crates/gateway/src/log_throttle.rs
+++ b/crates/gateway/src/log_throttle.rs
@@ -10,7 +10,7 @@
 }
 
 impl LogThrottle {
-    /// Whether a line is_allowed be logged at `now_ms`; further lines are suppressed for `period_ms`.
+    /// Whether a line may be logged at `now_ms`; further lines are suppressed for `period_ms`.
     pub(crate) fn allows(&self, now_ms: Millis, period_ms: Millis) -> bool {
         let mut logged_ms = self.logged_ms.lock();
         let is_allowed =
--- a/crates/gateway/src/probe.rs
+++ b/crates/gateway/src/probe.rs
@@ -5,7 +5,7 @@
 //! first: hosts met closed ports until their attempts were used up, and generations on engines
 //! whose notice reached nobody were cut off. The home therefore probes engines with reported
 //! failures, and all engines of its cells during an outage and until they have registered again: an
-//! engine that leaves in that time never does.
+//! engine that leaves in that time never registers again.
 
 use std::collections::HashMap;
 use std::sync::Arc;
--- a/crates/gateway/src/roster.rs
+++ b/crates/gateway/src/roster.rs
@@ -2,7 +2,7 @@
 //! unavailable or restored.
 //!
 //! A registration expires without a heartbeat, and no upstream can send one while the store is
-//! unavailable. When the store restored, all registrations are missing at once and are back after
+//! unavailable. When the store returns, all registrations are missing at once and are back after
 //! about two seconds. Without a grace period every upstream would be dropped for that time and
 //! every request refused. Entries that expired during the outage are therefore kept for
 //! [`REREGISTRATION_GRACE_MS`] after the store's return; what is still missing then is removed. An
@@ -131,7 +131,7 @@
         }
     }
 
-    /// Loads a list that may be stale, if nothing is known yet; restored whether it named any
+    /// Loads a list that may be stale, if nothing is known yet; returns whether it named any
     /// upstream.
     ///
     /// The list's own revision is not adopted: the list may be older than the revision that comes
@@ -160,7 +160,7 @@
         }
     }
 
-    /// Applies a complete list; restored whether it changed anything.
+    /// Applies a complete list; returns whether it changed anything.
     pub fn replace(&mut self, now_ms: Millis, snapshot: Snapshot<Registration>) -> bool {
         if snapshot.revision < self.revision {
             return false;
@@ -208,7 +208,7 @@
         false
     }
 
-    /// Applies a peer's change; restored whether it changed anything. A change that begins after
+    /// Applies a peer's change; returns whether it changed anything. A change that begins after
     /// this host's revision is ignored: a comparison of revisions fetches what lies between.
     ///
     /// A change that begins before this host's revision is applied: it gives the present state of
@@ -281,7 +281,7 @@
             .collect()
     }
 
-    /// Removes an entry whose upstream had left at a revision; restored whether there was one.
+    /// Removes an entry whose upstream had left at a revision; returns whether there was one.
     fn drop_entry(&mut self, now_ms: Millis, name: &str, gone_at: Revision) -> bool {
         self.restored.remove(name);
         let Some(entry) = self.entries.remove(name) else {
@@ -301,7 +301,7 @@
         }
     }
 
-    /// Applies the changes since this host's revision; restored whether they changed anything.
+    /// Applies the changes since this host's revision; returns whether they changed anything.
     /// Changes of another era are ignored: they do not include what lies between the eras.
     pub fn apply(&mut self, now_ms: Millis, changes: Changes<Registration>) -> bool {
         let is_first = self.revision == Revision::default();
@@ -322,7 +322,7 @@
     }
 
     /// Removes what is still missing after the grace period, and accepts restored entries that have
-    /// outlived the longest silence of an upstream; restored whether anything changed.
+    /// outlived the longest silence of an upstream; returns whether anything changed.
     pub fn expire(&mut self, now_ms: Millis) -> bool {
         self.departures.expire(now_ms);
         let has_accepted = self.accept_restored(now_ms);
@@ -364,7 +364,7 @@
         }
     }
 
-    /// Records a restart that the upstream itself reports; restored whether it was unknown.
+    /// Records a restart that the upstream itself reports; returns whether it was unknown.
     ///
     /// The upstream's entry may still be that of the previous start: the report on a connection
     /// comes first.
--- a/crates/gateway/tests/presence_log.rs
+++ b/crates/gateway/tests/presence_log.rs
@@ -1,9 +1,9 @@
-//! What the log tells of hosts that come and go.
+//! Tests the log lines on hosts that join and leave.
 
 use fulmarpath_gateway::{PresenceLog, PresentHosts};
 use fulmarpath_policy::HostKey;
 
-/// Hosts of these numbers.
+/// Hosts with these numbers.
 fn present(numbers: impl IntoIterator<Item = u64>) -> PresentHosts {
     let hosts = numbers.into_iter();
     hosts
@@ -13,20 +13,20 @@
 
 struct Case {
     what: &'static str,
-    /// When the log looks, and who is present then.
-    seen: Vec<(u64, PresentHosts)>,
+    /// The time of each update, and the hosts that are present then.
+    updates: Vec<(u64, PresentHosts)>,
     lines: &'static [&'static str],
 }
 
-/// Hundreds of hosts come within a second and each change is seen: one line tells who, how many and
-/// over which time. A flow that doesn't end is told in parts, and a host that was away for a moment
-/// isn't told at all.
+/// Guards against one log line per change when hundreds of hosts join within a second: one line
+/// gives names, number and duration. A burst that does not end is logged in parts, and a host that
+/// is absent for a moment is not logged at all.
 #[test]
-fn a_burst_is_one_line() {
+fn burst_is_logged_as_one_line() {
     let cases = [
         Case {
-            what: "hundreds come",
-            seen: (0..195)
+            what: "hundreds join",
+            updates: (0..195)
                 .map(|number| (number * 5, present(0..=number)))
                 .chain([(1_250, present(0..195)), (1_700, present(0..195))])
                 .collect(),
@@ -36,7 +36,7 @@
         },
         Case {
             what: "one is replaced",
-            seen: vec![
+            updates: vec![
                 (0, present(1..4)),
                 (700, present(1..4)),
                 (5_000, present(2..4)),
@@ -50,8 +50,8 @@
             ],
         },
         Case {
-            what: "it was away for a moment",
-            seen: vec![
+            what: "one is absent for a moment",
+            updates: vec![
                 (0, present(1..4)),
                 (700, present(1..4)),
                 (5_000, present(2..4)),
@@ -61,8 +61,8 @@
             lines: &["3 other hosts present; over 0 ms came 3: h1, h2, h3; went none"],
         },
         Case {
-            what: "it doesn't end",
-            seen: (0..42).map(|step| (step * 250, present([step]))).collect(),
+            what: "the burst does not end",
+            updates: (0..42).map(|step| (step * 250, present([step]))).collect(),
             lines: &[
                 "1 other hosts present; over 5000 ms came 1: h20; went none",
                 "1 other hosts present; over 5000 ms came 1: h41; went 1: h20",
@@ -71,8 +71,8 @@
     ];
     for case in cases {
         let mut presence = PresenceLog::default();
-        let seen = case.seen.into_iter();
-        let lines: Vec<String> = seen
+        let updates = case.updates.into_iter();
+        let lines: Vec<String> = updates
             .filter_map(|(now_ms, present)| presence.update(now_ms, present))
             .collect();
         assert_eq!(lines, case.lines, "{}", case.what);
--- a/crates/gateway/tests/directory.rs
+++ b/crates/gateway/tests/replicated_encoding.rs
@@ -1,4 +1,4 @@
-//! The list of upstreams and the configuration on their way between hosts.
+//! Tests the encoded form of the directory's changes and of the configuration between hosts.
 
 use std::net::SocketAddr;
 
@@ -34,9 +34,9 @@
     roster
 }
 
-/// What changed is what is new, what differs and what is gone, and nothing else.
+/// Guards against changes that include unchanged upstreams, or lack new, changed or departed ones.
 #[test]
-fn a_change_names_only_what_changed() {
+fn change_contains_only_differences() {
     let mut roster = roster(5, 0..100);
     let changes = vec![
         Change::Put(registration(1, RegisteredState::Draining)),
@@ -60,20 +60,21 @@
     assert_eq!((change.from_revision, change.revision), (from, to));
 }
 
-/// Every host hears of every change, so the form of a change decides what news cost: it comes back
-/// as it was, and has less than a third of the bytes of its JSON.
+/// Guards against a large or lossy form of a change. Every change goes to every host, so its form
+/// decides the cost of an update: decoding returns the same value, and the bytes are less than a
+/// third of its JSON.
 #[test]
-fn the_binary_form_is_short_and_whole() {
+fn binary_change_is_compact_and_lossless() {
     let change = roster(9, 0..40).change_since(Revision::new(1, 5));
     assert_eq!(change.put.len(), 40);
     let bytes = bincode::DefaultOptions::new()
         .serialize(&change)
-        .expect("it is written");
+        .expect("encoding succeeds");
     let read: DirectoryChange = bincode::DefaultOptions::new()
         .deserialize(&bytes)
-        .expect("it is read");
+        .expect("decoding succeeds");
     assert_eq!(read, change);
-    let json = serde_json::to_vec(&change).expect("it is written");
+    let json = serde_json::to_vec(&change).expect("encoding succeeds");
     assert!(
         bytes.len() * 3 < json.len(),
         "{} {}",
@@ -83,10 +84,11 @@
     assert!(bytes.len() / 40 < 50, "{}", bytes.len());
 }
 
-/// A configuration with very many routes goes whole from host to host over slow links, and has to
-/// be in force everywhere within seconds: its form comes back as it was, in a third of the bytes.
+/// Guards against a large or lossy form of a configuration. One with very many routes is sent
+/// complete from host to host over slow links and has to be in force everywhere within seconds:
+/// decoding returns the same value, and the bytes are less than a third of its JSON.
 #[test]
-fn a_large_configuration_is_short_and_whole() {
+fn large_configuration_is_compact_and_lossless() {
     let routes = (0..1_500).map(|number| Route {
         name: format!("r-{number:07}"),
         host: "fiwu24.example".to_owned(),
@@ -118,12 +120,12 @@
     };
     let bytes = bincode::DefaultOptions::new()
         .serialize(&configuration)
-        .expect("it is written");
+        .expect("encoding succeeds");
     let read: Configuration = bincode::DefaultOptions::new()
         .deserialize(&bytes)
-        .expect("it is read");
+        .expect("decoding succeeds");
     assert_eq!(read, configuration);
-    let json = serde_json::to_vec(&configuration).expect("it is written");
+    let json = serde_json::to_vec(&configuration).expect("encoding succeeds");
     assert!(
         bytes.len() * 3 < json.len(),
         "{} {}",
--- a/crates/gateway/tests/roster.rs
+++ b/crates/gateway/tests/roster.rs
@@ -1,4 +1,4 @@
-//! Which registered upstreams count as there while the store comes and goes.
+//! Tests which registered upstreams count as present during and after outages of the store.
 
 use std::net::SocketAddr;
 
@@ -21,7 +21,7 @@
     }
 }
 
-/// A revision of the one era that the store is in.
+/// A revision in the store's only era.
 fn at(number: u64) -> Revision {
     Revision::new(1, number)
 }
@@ -65,17 +65,18 @@
 struct Outage {
     lost_ms: u64,
     back_ms: u64,
-    /// When the whole list is read again, without the second upstream.
+    /// When the complete list is read again, without the second upstream.
     listed_ms: u64,
     kept: bool,
 }
 
-/// The store is away for a while and a registration is missing when it is back.
+/// Guards against upstreams that are dropped after an outage before they can register again, and
+/// against upstreams that are kept although they are gone.
 #[rstest]
 #[case::short_outage(Outage { lost_ms: 1_000, back_ms: 1_500, listed_ms: 1_500, kept: false })]
 #[case::long_outage(Outage { lost_ms: 1_000, back_ms: 6_000, listed_ms: 6_000, kept: true })]
-#[case::long_after(Outage { lost_ms: 1_000, back_ms: 6_000, listed_ms: 9_000, kept: false })]
-fn lapsed_registrations_have_a_grace(#[case] case: Outage) {
+#[case::long_after_outage(Outage { lost_ms: 1_000, back_ms: 6_000, listed_ms: 9_000, kept: false })]
+fn expired_registrations_have_grace_period(#[case] case: Outage) {
     let mut roster = Roster::default();
     roster.replace(500, snapshot(5, &["i-1", "i-2"]));
     roster.mark_store_unavailable(case.lost_ms);
@@ -84,17 +85,21 @@
     let kept: &[&str] = if case.kept { &["i-1", "i-2"] } else { &["i-1"] };
     assert_eq!(names(&roster), kept);
     roster.expire(case.listed_ms + 3_000);
-    assert_eq!(names(&roster), ["i-1"], "what stays away is gone");
+    assert_eq!(
+        names(&roster),
+        ["i-1"],
+        "a missing upstream is removed after the grace period"
+    );
 }
 
-/// While the store is away, and until upstreams have had the time to register again, entries can't
-/// tell who leaves.
+/// Guards against trust in registrations around an outage: during it, and until upstreams have had
+/// time to register again, entries do not show which upstreams are leaving.
 #[rstest]
 #[case::before(900, false)]
-#[case::away(1_500, true)]
-#[case::just_back(6_500, true)]
-#[case::later(8_300, false)]
-fn registrations_are_uncertain_around_an_outage(#[case] at_ms: u64, #[case] expected: bool) {
+#[case::during_outage(1_500, true)]
+#[case::after_outage(6_500, true)]
+#[case::after_grace(8_300, false)]
+fn registrations_are_uncertain_around_outage(#[case] at_ms: u64, #[case] expected: bool) {
     let mut roster = Roster::default();
     roster.replace(500, snapshot(5, &["i-1"]));
     if at_ms >= 1_000 {
@@ -106,9 +111,10 @@
     assert_eq!(roster.is_uncertain(at_ms), expected);
 }
 
-/// An upstream that said it is draining before the outage is not kept.
+/// Guards against a grace period for an upstream that announced before the outage that it is
+/// draining.
 #[test]
-fn draining_upstreams_have_no_grace() {
+fn draining_upstreams_have_no_grace_period() {
     let mut roster = Roster::default();
     let items = vec![registration("i-1", RegisteredState::Draining)];
     roster.replace(
@@ -125,7 +131,7 @@
     assert!(names(&roster).is_empty());
 }
 
-/// Changes and lists that come late are older than what is known, and change nothing.
+/// Guards against late changes and lists: they are older than the known state and change nothing.
 #[test]
 fn revisions_only_grow() {
     let mut roster = Roster::default();
@@ -137,10 +143,10 @@
     assert_eq!(names(&roster), ["i-2"]);
 }
 
-/// A watcher's news lead from one state to the next. News that begin behind a host's state are left
-/// alone, and what it asks a peer for takes their place.
+/// Guards against gaps between a watcher's changes. A change that begins after a host's state is
+/// ignored, and the change that the host then requests from a peer replaces it.
 #[test]
-fn news_apply_to_their_own_state_only() {
+fn change_beyond_known_revision_is_ignored() {
     let mut watcher = Roster::default();
     let mut other = Roster::default();
     watcher.replace(0, snapshot(5, &["i-1", "i-2"]));
@@ -151,7 +157,7 @@
     let second = watcher.change_since(at(6));
     assert!(
         !other.apply_peer_change(3, second.clone()),
-        "it lacks a state"
+        "the change begins after the known revision"
     );
     assert_eq!(other.revision(), at(5));
     assert!(other.apply_peer_change(4, first));
@@ -164,47 +170,49 @@
     assert_eq!(names(&late), ["i-2", "i-3"]);
 }
 
-/// A host is told by a peer of another data centre, whose watcher cuts the flow of changes at other
-/// revisions, and so stands between two cuts of its own. It goes on with its own watcher's news: it
-/// hears of what went and of what came, and asks nobody for a whole list again.
+/// Guards against a host that can no longer apply its own watcher's changes. A peer of another data
+/// centre, whose watcher divides the sequence of changes at other revisions, has brought the host
+/// to a revision between two boundaries of its own watcher. It continues with its own watcher's
+/// changes, including departures and new upstreams, without another complete list.
 #[test]
-fn a_host_between_two_cuts_goes_on_with_the_news() {
-    let mut near = Roster::default();
-    let mut far = Roster::default();
-    near.replace(0, snapshot(10, &["i-1", "i-2", "i-3"]));
-    far.replace(0, snapshot(10, &["i-1", "i-2", "i-3"]));
+fn host_between_two_boundaries_applies_changes() {
+    let mut local = Roster::default();
+    let mut remote = Roster::default();
+    local.replace(0, snapshot(10, &["i-1", "i-2", "i-3"]));
+    remote.replace(0, snapshot(10, &["i-1", "i-2", "i-3"]));
     let mut host = Roster::default();
-    far.apply(1, gone(13, "i-1"));
-    host.apply_peer_change(1, far.change_since(Revision::default()));
+    remote.apply(1, gone(13, "i-1"));
+    host.apply_peer_change(1, remote.change_since(Revision::default()));
     assert_eq!((host.revision(), names(&host).len()), (at(13), 2));
-    near.apply(2, gone(13, "i-1"));
-    near.apply(2, put(15, "i-4"));
-    assert!(host.apply_peer_change(2, near.change_since(at(10))));
+    local.apply(2, gone(13, "i-1"));
+    local.apply(2, put(15, "i-4"));
+    assert!(host.apply_peer_change(2, local.change_since(at(10))));
     assert_eq!(names(&host), ["i-2", "i-3", "i-4"]);
-    near.apply(3, gone(18, "i-2"));
-    assert!(host.apply_peer_change(3, near.change_since(at(15))));
-    assert_eq!(names(&host), names(&near));
+    local.apply(3, gone(18, "i-2"));
+    assert!(host.apply_peer_change(3, local.change_since(at(15))));
+    assert_eq!(names(&host), names(&local));
 }
 
-struct Told {
+struct PeerCase {
     what: &'static str,
-    /// What the peer sees after its list of revision 10 names i-1 and i-2.
-    seen: fn(&mut Roster),
-    /// The revision that the asking host stands at.
+    /// The peer's updates after its list of revision 10, which names i-1 and i-2.
+    update_peer: fn(&mut Roster),
+    /// The revision of the requesting host.
     since: u64,
     is_complete: bool,
     put: &'static [&'static str],
     gone: &'static [&'static str],
 }
 
-/// A peer tells what has changed since the asker's revision, also what came and went between, and
-/// all there is where it can't tell that.
+/// Guards against changes that a peer omits. It returns what has changed since the requested
+/// revision, including upstreams that came and left in between, and a complete list if it cannot
+/// determine that.
 #[test]
-fn a_peer_tells_what_has_changed() {
+fn peer_returns_changes_since_revision() {
     let cases = [
-        Told {
-            what: "what came and what went",
-            seen: |peer| {
+        PeerCase {
+            what: "one came and one left",
+            update_peer: |peer| {
                 peer.apply(1, put(12, "i-3"));
                 peer.apply(1, gone(14, "i-1"));
             },
@@ -213,9 +221,9 @@
             put: &["i-3"],
             gone: &["i-1"],
         },
-        Told {
-            what: "only what is new to the asker",
-            seen: |peer| {
+        PeerCase {
+            what: "only changes that the requester lacks",
+            update_peer: |peer| {
                 peer.apply(1, put(12, "i-3"));
                 peer.apply(1, gone(14, "i-1"));
             },
@@ -224,9 +232,9 @@
             put: &[],
             gone: &["i-1"],
         },
-        Told {
-            what: "what came and went again, which the asker may have seen come",
-            seen: |peer| {
+        PeerCase {
+            what: "one came and left; the requester may know it as present",
+            update_peer: |peer| {
                 peer.apply(1, put(12, "i-3"));
                 peer.apply(1, gone(14, "i-3"));
             },
@@ -235,9 +243,9 @@
             put: &[],
             gone: &["i-3"],
         },
-        Told {
-            what: "what went and came back, which the asker may have seen go",
-            seen: |peer| {
+        PeerCase {
+            what: "one left and came back; the requester may know it as gone",
+            update_peer: |peer| {
                 peer.apply(1, gone(12, "i-1"));
                 peer.apply(1, put(14, "i-1"));
             },
@@ -246,9 +254,9 @@
             put: &["i-1"],
             gone: &[],
         },
-        Told {
-            what: "the asker stands before the peer's own list",
-            seen: |peer| {
+        PeerCase {
+            what: "the requested revision is before the peer's list",
+            update_peer: |peer| {
                 peer.apply(1, put(12, "i-3"));
             },
             since: 9,
@@ -256,9 +264,9 @@
             put: &["i-1", "i-2", "i-3"],
             gone: &[],
         },
-        Told {
-            what: "the peer has read the list anew: what went and came back in between is unseen",
-            seen: |peer| {
+        PeerCase {
+            what: "the peer has listed anew and cannot see what left and came back in between",
+            update_peer: |peer| {
                 peer.replace(1, snapshot(20, &["i-1", "i-2"]));
             },
             since: 15,
@@ -270,7 +278,7 @@
     for case in cases {
         let mut peer = Roster::default();
         peer.replace(0, snapshot(10, &["i-1", "i-2"]));
-        (case.seen)(&mut peer);
+        (case.update_peer)(&mut peer);
         let mut change = peer.change_since(at(case.since));
         change
             .put
@@ -292,10 +300,11 @@
     }
 }
 
-/// Thousands of upstreams go, more than are remembered one by one: a peer far behind is told all
-/// there is, and one that is up to date hears of the next as before.
+/// Guards against lost departures when thousands of upstreams leave, more than are stored one by
+/// one. A peer far behind gets a complete list; one that is up to date gets an incremental change
+/// as before.
 #[test]
-fn what_is_not_remembered_is_told_whole() {
+fn truncated_departures_need_complete_list() {
     let mut peer = Roster::default();
     let all: Vec<String> = (0..3_000).map(|number| format!("i-{number}")).collect();
     let all: Vec<&str> = all.iter().map(String::as_str).collect();
@@ -318,24 +327,24 @@
     }
 }
 
-struct Foreign {
-    /// The name of what another writer has left, where it has one.
+struct ForeignEntry {
+    /// The name of the other writer's entry, if it has one.
     name: Option<&'static str>,
-    /// It comes as a change; else it stands in the list.
+    /// Whether the entry arrives as a change; otherwise it is in the list.
     is_change: bool,
     left: &'static [&'static str],
 }
 
-/// Another writer leaves an entry that can't be used, over an upstream's own or beside it. It names no
-/// upstream from then on, also just after an outage of the store; the others hold.
+/// Guards against unusable entries of another writer, in place of an upstream's own entry or beside
+/// it. Such an entry names no upstream, not even just after a store outage; the others are kept.
 #[rstest]
-#[case::changed_over(Foreign { name: Some("i-1"), is_change: true, left: &["i-2"] })]
-#[case::listed_over(Foreign { name: Some("i-1"), is_change: false, left: &["i-2"] })]
-#[case::changed_beside(Foreign { name: Some("x"), is_change: true, left: &["i-1", "i-2"] })]
-#[case::listed_beside(Foreign { name: Some("x"), is_change: false, left: &["i-1", "i-2"] })]
-#[case::nameless_change(Foreign { name: None, is_change: true, left: &["i-1", "i-2"] })]
-#[case::nameless_listed(Foreign { name: None, is_change: false, left: &["i-1", "i-2"] })]
-fn what_cannot_be_used_names_no_upstream(#[case] case: Foreign) {
+#[case::changed_over(ForeignEntry { name: Some("i-1"), is_change: true, left: &["i-2"] })]
+#[case::listed_over(ForeignEntry { name: Some("i-1"), is_change: false, left: &["i-2"] })]
+#[case::changed_beside(ForeignEntry { name: Some("x"), is_change: true, left: &["i-1", "i-2"] })]
+#[case::listed_beside(ForeignEntry { name: Some("x"), is_change: false, left: &["i-1", "i-2"] })]
+#[case::nameless_change(ForeignEntry { name: None, is_change: true, left: &["i-1", "i-2"] })]
+#[case::nameless_listed(ForeignEntry { name: None, is_change: false, left: &["i-1", "i-2"] })]
+fn unusable_entry_names_no_upstream(#[case] case: ForeignEntry) {
     let mut roster = Roster::default();
     roster.replace(500, snapshot(5, &["i-1", "i-2"]));
     roster.mark_store_unavailable(1_000);
@@ -360,35 +369,35 @@
     assert_eq!(names(&roster), case.left);
 }
 
-fn born(instance: &str, started_at_ms: Option<u64>) -> Registration {
+fn registration_of_start(instance: &str, started_at_ms: Option<u64>) -> Registration {
     Registration {
         started_at_ms,
         ..registration(instance, RegisteredState::Ready)
     }
 }
 
-struct Birth {
+struct Restart {
     held_ms: Option<u64>,
-    /// What the next entry of the same name says.
+    /// The start time in the next entry of the same name.
     next_ms: Option<u64>,
-    /// What is known then; `None` where there is no such upstream any more.
+    /// The known start time after that; `None` if the upstream is no longer present.
     known: Option<Option<u64>>,
 }
 
-/// An upstream starts again under its name, and entries of its starts come in any order: the later
-/// start is the one that counts. Where upstreams state their starts, an entry that doesn't is from
-/// another writer.
+/// Guards against an earlier start in place of a later one. An upstream restarts under its name,
+/// and entries of its starts arrive in any order: the latest start counts. If a service's upstreams
+/// state their start time, an entry without one is from another writer.
 #[rstest]
-#[case::again(Birth { held_ms: Some(5), next_ms: Some(9), known: Some(Some(9)) })]
-#[case::late_word(Birth { held_ms: Some(9), next_ms: Some(5), known: Some(Some(9)) })]
-#[case::same_start(Birth { held_ms: Some(9), next_ms: Some(9), known: Some(Some(9)) })]
-#[case::foreign(Birth { held_ms: Some(9), next_ms: None, known: None })]
-#[case::begins_to_state(Birth { held_ms: None, next_ms: Some(9), known: Some(Some(9)) })]
-#[case::states_never(Birth { held_ms: None, next_ms: None, known: Some(None) })]
-fn the_latest_start_counts(#[case] case: Birth) {
+#[case::later_start(Restart { held_ms: Some(5), next_ms: Some(9), known: Some(Some(9)) })]
+#[case::earlier_start_arrives_late(Restart { held_ms: Some(9), next_ms: Some(5), known: Some(Some(9)) })]
+#[case::same_start(Restart { held_ms: Some(9), next_ms: Some(9), known: Some(Some(9)) })]
+#[case::foreign(Restart { held_ms: Some(9), next_ms: None, known: None })]
+#[case::start_time_appears(Restart { held_ms: None, next_ms: Some(9), known: Some(Some(9)) })]
+#[case::no_start_time(Restart { held_ms: None, next_ms: None, known: Some(None) })]
+fn latest_start_counts(#[case] case: Restart) {
     let mut roster = Roster::default();
     let put = |roster: &mut Roster, revision, started_at_ms| {
-        let changes = vec![Change::Put(born("i-1", started_at_ms))];
+        let changes = vec![Change::Put(registration_of_start("i-1", started_at_ms))];
         roster.apply(
             revision,
             Changes {
@@ -404,30 +413,31 @@
     assert_eq!(known, case.known);
 }
 
-/// An upstream says itself that it has started again, before its entry does. The entry of before is
-/// late then.
+/// Guards against an entry of the previous start that arrives after the upstream itself has
+/// reported its restart.
 #[test]
-fn its_own_word_comes_before_its_entry() {
+fn own_report_precedes_entry() {
     let mut roster = Roster::default();
     let listed = |revision, started_at_ms| Snapshot {
         revision: at(revision),
-        items: vec![born("i-1", Some(started_at_ms))],
+        items: vec![registration_of_start("i-1", Some(started_at_ms))],
         unusable: Vec::new(),
     };
     roster.replace(0, listed(1, 5));
     assert!(roster.observe_start("i-1", 9));
-    assert!(!roster.observe_start("i-1", 9), "that is known");
-    assert!(!roster.observe_start("i-1", 5), "that was before");
-    assert!(!roster.observe_start("i-2", 9), "there is no such upstream");
+    assert!(!roster.observe_start("i-1", 9), "the start is known");
+    assert!(!roster.observe_start("i-1", 5), "the start is earlier");
+    assert!(!roster.observe_start("i-2", 9), "the upstream is unknown");
     roster.replace(1, listed(2, 5));
     assert_eq!(roster.directory().registrations[0].started_at_ms, Some(9));
 }
 
-/// A host has read a list that may be old. A watcher's first word names all there are: what it
-/// doesn't name was gone already. Another watcher's first word, of an earlier revision, comes too late.
+/// Guards against a stale list that outlives a confirmed one. A host has loaded a list that may be
+/// stale. The first change from a watcher is a complete list: upstreams that it does not name were
+/// gone already. The first change from another watcher, of an earlier revision, is ignored.
 #[test]
-fn a_provisional_list_gives_way_to_the_whole() {
-    let whole = |revision, instances| {
+fn complete_list_replaces_provisional_list() {
+    let complete_change = |revision, instances| {
         let mut watcher = Roster::default();
         watcher.replace(0, snapshot(revision, instances));
         watcher.change_since(Directory::PROVISIONAL)
@@ -435,8 +445,8 @@
     let mut roster = Roster::default();
     roster.load_provisional(0, snapshot(40, &["i-1", "i-old"]));
     assert_eq!(roster.revision(), Directory::PROVISIONAL);
-    assert!(roster.apply_peer_change(10, whole(50, &["i-1", "i-2"])));
-    assert!(!roster.apply_peer_change(20, whole(49, &["i-1"])));
+    assert!(roster.apply_peer_change(10, complete_change(50, &["i-1", "i-2"])));
+    assert!(!roster.apply_peer_change(20, complete_change(49, &["i-1"])));
     assert_eq!(roster.revision(), at(50));
     assert_eq!(names(&roster), ["i-1", "i-2"]);
 }
