--- a/crates/cluster/src/circuit_breakers.rs
+++ b/crates/cluster/src/circuit_breakers.rs
@@ -1,4 +1,5 @@
-//! What one host knows of poison requests: as a home of crashes, and as any host.
+//! The state of the quarantine of poison requests on one host: crash reports where it is a home,
+//! and circuits on any host.
 
 use std::time::Duration;
 
@@ -8,15 +9,16 @@
 };
 use parking_lot::Mutex;
 
-/// Hosts that record a service's crashes. With one alone, what it knew would be gone with it, and
-/// three more upstreams with that.
+/// Hosts that record a service's crashes. If a single home failed, its reports would be lost, and
+/// three more upstreams would crash before the circuit opens.
 pub const CRASH_HOMES: usize = 2;
-/// Between two looks of a home at reports that have come: those of one moment are decided on together.
+/// Period in which a home evaluates its reports; those that arrive together are decided together.
 pub(crate) const EVALUATION_PERIOD: Duration = Duration::from_millis(100);
-/// When to come back while another request of the same content runs: about the time of a short one.
+/// When to retry while another request of the same content runs as the probe: about the duration of
+/// a short request.
 pub(crate) const PROBE_RUNS_MS: Millis = 500;
 
-/// What one host knows of poison requests.
+/// The crash reports, circuits and recent successes that one host holds.
 ///
 /// Lock order: crashes, circuits; successes alone.
 #[derive(Debug, Default)]
@@ -26,31 +28,31 @@
     successes: Mutex<RecentSuccesses>,
 }
 
-/// As a home.
+/// Crash reports received as a home.
 #[derive(Debug, Default)]
 struct Crashes {
     record: CrashRecord,
     is_evaluating: bool,
 }
 
-/// What came of a home's look at its reports.
+/// The result of a home's evaluation of its reports.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Evaluation {
-    /// Circuits that all hosts have to hear of.
+    /// Circuits that have to be announced to all hosts.
     pub decided: Vec<Circuit>,
-    /// No report waits any more.
+    /// Whether no report is pending.
     pub is_over: bool,
 }
 
 impl CircuitBreakers {
-    /// Records a crash as a home; true where nobody is about to [evaluate](Self::evaluate).
+    /// Records a crash as a home; true where the caller has to schedule [`evaluate`](Self::evaluate).
     pub fn report(&self, now_ms: Millis, content: ContentKey, upstream: UpstreamKey) -> bool {
         let mut crashes = self.crashes.lock();
         crashes.record.report(now_ms, content, upstream);
         !std::mem::replace(&mut crashes.is_evaluating, true)
     }
 
-    /// Decides as a home on what has settled.
+    /// Decides as a home on the reports that are due.
     pub fn evaluate(&self, now_ms: Millis) -> Evaluation {
         let mut crashes = self.crashes.lock();
         let decided = crashes.record.evaluate(now_ms, &mut self.circuits.lock());
@@ -61,8 +63,9 @@
         }
     }
 
-    /// Closes a content's circuit as a home, and who was suspected beside it is to be decided on; the circuit that
-    /// all hosts have to hear of, and whether nobody is about to evaluate.
+    /// Closes a content's circuit as a home, which makes a decision on the other suspects of its
+    /// crashes due. Returns the circuit to announce to all hosts, and whether the caller has to
+    /// schedule [`evaluate`](Self::evaluate).
     pub fn clear(&self, now_ms: Millis, content: ContentKey) -> (Option<Circuit>, bool) {
         let mut crashes = self.crashes.lock();
         let closed = crashes
@@ -74,7 +77,7 @@
         (closed, must_evaluate && !was_evaluating)
     }
 
-    /// Answers as a home whether a request of this content may be the one that runs.
+    /// Decides as a home whether a request of this content may run as the circuit's probe.
     pub fn grant_probe(&self, now_ms: Millis, content: ContentKey) -> bool {
         self.crashes.lock().record.grant_probe(now_ms, content)
     }
@@ -84,7 +87,7 @@
         self.circuits.lock().admit(now_ms, content)
     }
 
-    /// Takes a circuit of a home; true where it is news.
+    /// Adopts a circuit decided by a home; true where it was an update.
     pub fn adopt(&self, now_ms: Millis, circuit: Circuit) -> bool {
         self.circuits.lock().adopt(now_ms, circuit)
     }
@@ -97,22 +100,23 @@
             .map(|known| known.version)
     }
 
-    /// All circuits, as of now.
+    /// All circuits at the given time.
     pub fn circuits(&self, now_ms: Millis) -> Vec<Circuit> {
         self.circuits.lock().all(now_ms)
     }
 
-    /// A hash of the circuits.
+    /// A digest of the circuits.
     pub fn digest(&self, now_ms: Millis) -> u64 {
         self.circuits.lock().digest(now_ms)
     }
 
-    /// Contents that may not run like any other.
+    /// Number of contents whose circuit restricts their requests.
     pub fn restricted(&self) -> usize {
         self.circuits.lock().restricted()
     }
 
-    /// A request of this content was answered whole; true where its homes have to hear of it.
+    /// Records a completely answered request of this content; true where its homes have to be
+    /// notified.
     pub fn note_success(&self, now_ms: Millis, content: ContentKey) -> bool {
         self.successes.lock().record(now_ms, content);
         let circuits = self.circuits.lock();
@@ -120,7 +124,7 @@
         known.is_some_and(|known| known.state != CircuitState::Closed)
     }
 
-    /// Whether a content ended well here lately.
+    /// Whether a request of this content succeeded on this host recently.
     pub fn has_succeeded(&self, now_ms: Millis, content: ContentKey) -> bool {
         self.successes.lock().contains(now_ms, content)
     }
--- a/crates/cluster/src/clock.rs
+++ b/crates/cluster/src/clock.rs
@@ -1,30 +1,30 @@
-//! The one place where the present time is read.
+//! The clock, the only place that reads the current time.
 
 use std::time::SystemTime;
 
 use fulmarpath_policy::Millis;
 use tokio::time::Instant;
 
-/// Milliseconds since this process started; stands still under tokio's paused time.
+/// Milliseconds since this process started; stops while tokio's time is paused.
 #[derive(Debug, Clone, Copy)]
 pub struct Clock {
     start: Instant,
 }
 
 impl Clock {
-    /// A clock that starts now.
+    /// Starts a clock.
     pub fn start() -> Self {
         Self {
             start: Instant::now(),
         }
     }
 
-    /// The present time. One second is added, so that it is never 0.
+    /// The current time, offset by one second so that it is never 0.
     pub fn now_ms(&self) -> Millis {
         self.start.elapsed().as_millis() as Millis + 1_000
     }
 
-    /// Wall time in milliseconds, for records that people read and that outlive a process.
+    /// Wall time in Unix milliseconds, for records that people read and that outlive a process.
     pub fn wall_ms() -> u64 {
         let since = SystemTime::now().duration_since(SystemTime::UNIX_EPOCH);
         since.map_or(0, |elapsed| elapsed.as_millis() as u64)
--- a/crates/cluster/src/crashes.rs
+++ b/crates/cluster/src/crashes.rs
@@ -1,4 +1,4 @@
-//! Engines that end without notice, as entry hosts see them.
+//! Crash reports and the quarantine on entry hosts.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -14,9 +14,9 @@
 use crate::node::Node;
 use crate::poison::{self, CircuitHost, Quarantined};
 
-/// Reports within this time are of one crash of an upstream. The host list names no starts, and one
-/// that started again in its place is the same to it; a start takes longer than this.
-const ONE_CRASH_MS: Millis = 4_000;
+/// Reports within this time count as one crash of an upstream. The host list has no start times, so
+/// a restarted upstream looks the same in it; a start takes longer than this.
+const CRASH_WINDOW_MS: Millis = 4_000;
 
 #[async_trait]
 impl CircuitHost for Node {
@@ -72,7 +72,7 @@
         self.peers.call(peer, call).await
     }
 
-    /// Other hosts hear of them with the pings.
+    /// Does nothing: other hosts receive circuits through pings and exchanges.
     fn announce_circuits(self: Arc<Self>, _decided: &[Circuit]) {}
 }
 
@@ -81,22 +81,22 @@
         self.clone()
     }
 
-    /// Whether an engine is listed and not as leaving.
+    /// Whether an engine is listed as live.
     pub fn is_engine_live(&self, upstream: UpstreamKey) -> bool {
         let listing = self.documents.listing();
         let listed = listing.engines.get(&upstream);
         listed.is_some_and(|listed| listed.entry.state == ListedState::Live)
     }
 
-    /// Reports that a request had just begun on an upstream that ended without notice.
+    /// Reports that a request had just begun on an upstream that crashed.
     pub fn report_upstream_crash(
         self: &Arc<Self>,
         service: ServiceKey,
         content: ContentKey,
         upstream: UpstreamKey,
     ) {
-        let moment = Clock::wall_ms() / ONE_CRASH_MS;
-        let crash = UpstreamKey::of(&format!("{:016x}/{moment}", upstream.0));
+        let window = Clock::wall_ms() / CRASH_WINDOW_MS;
+        let crash = UpstreamKey::of(&format!("{:016x}/{window}", upstream.0));
         info!(
             "crashes: {} ended without notice under content {:016x}",
             self.upstream_name(upstream),
@@ -113,7 +113,7 @@
         poison::admit(self, service, content).await
     }
 
-    /// An upstream has answered a request whole.
+    /// Records that an upstream answered a request completely.
     pub fn note_success(self: &Arc<Self>, service: ServiceKey, content: ContentKey) {
         poison::note_success(&self.as_circuit_host(), service, content);
     }
--- a/crates/cluster/src/engines.rs
+++ b/crates/cluster/src/engines.rs
@@ -1,4 +1,4 @@
-//! The border to the engines.
+//! Clients of engines and plain services.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -6,18 +6,18 @@
 
 use fulmarpath_upstream::{Engine, HttpEngine, HttpPlain, Plain};
 
-/// Makes clients of engines and plain services.
+/// Creates clients of engines and plain services.
 pub trait Engines: Send + Sync {
-    /// A client of the engine at `address`.
+    /// Creates a client of the engine at `address`.
     fn engine(&self, address: SocketAddr) -> Arc<dyn Engine>;
-    /// A client of the plain service at `address`.
+    /// Creates a client of the plain service at `address`.
     fn plain(&self, address: SocketAddr) -> Arc<dyn Plain>;
 }
 
-/// Upstreams over HTTP.
+/// Clients of upstreams over HTTP.
 #[derive(Debug, Clone, Copy)]
 pub struct HttpEngines {
-    /// How long a plain service may take to answer.
+    /// Timeout of a request to a plain service.
     pub plain_timeout: Duration,
 }
 
--- a/crates/cluster/src/homes.rs
+++ b/crates/cluster/src/homes.rs
@@ -86,12 +86,12 @@
         }
     }
 
-    pub(crate) async fn ask(
+    pub(crate) async fn request_permit(
         &self,
         now_ms: Millis,
         upstream: UpstreamKey,
         settings: HomeSettings,
-        ask: EnginePermitRequest,
+        request: EnginePermitRequest,
     ) -> PermitReply {
         let (sender, receiver) = oneshot::channel();
         {
@@ -101,7 +101,7 @@
                 .entries
                 .entry(upstream)
                 .or_insert_with(|| new_entry(settings));
-            if let Some((key, priority)) = entry.home.granted_permit(ask.id) {
+            if let Some((key, priority)) = entry.home.granted_permit(request.id) {
                 let permit = PermitId {
                     epoch: self.epoch,
                     key,
@@ -110,14 +110,14 @@
                 let load = entry.load();
                 return PermitReply { answer, load };
             }
-            state.waiters.insert(ask.id, sender);
-            entry.home.request_permit(now_ms, ask, &state.lengths);
+            state.waiters.insert(request.id, sender);
+            entry.home.request_permit(now_ms, request, &state.lengths);
             self.step(now_ms, state, upstream);
         }
         let answer = tokio::time::timeout(MAX_CALL_WAIT, receiver).await;
         let answer = answer.ok().and_then(Result::ok);
         let mut state = self.state.lock();
-        state.waiters.remove(&ask.id);
+        state.waiters.remove(&request.id);
         let load = state.entries.get(&upstream).map(Entry::load);
         PermitReply {
             answer: answer.unwrap_or(PermitAnswer::Queued),
@@ -132,7 +132,7 @@
         let mut outcomes = Vec::new();
         entry.home.step(now_ms, &state.lengths, &mut outcomes);
         for outcome in outcomes {
-            let (ask, answer) = match outcome {
+            let (request, answer) = match outcome {
                 Outcome::Granted {
                     ask,
                     permit,
@@ -166,7 +166,7 @@
                     continue;
                 }
             };
-            if let Some(waiter) = state.waiters.remove(&ask) {
+            if let Some(waiter) = state.waiters.remove(&request) {
                 let _ = waiter.send(answer);
             }
         }
@@ -186,10 +186,10 @@
         }
     }
 
-    pub(crate) fn withdraw(&self, now_ms: Millis, upstream: UpstreamKey, ask: PermitRequestId) {
+    pub(crate) fn withdraw(&self, now_ms: Millis, upstream: UpstreamKey, request: PermitRequestId) {
         let mut state = self.state.lock();
         if let Some(entry) = state.entries.get_mut(&upstream) {
-            entry.home.withdraw(ask);
+            entry.home.withdraw(request);
         }
         self.step(now_ms, &mut state, upstream);
     }
@@ -199,7 +199,7 @@
         now_ms: Millis,
         upstream: UpstreamKey,
         settings: HomeSettings,
-        ask: EnginePermitRequest,
+        request: EnginePermitRequest,
     ) -> PermitId {
         let mut state = self.state.lock();
         let entry = state
@@ -208,7 +208,7 @@
             .or_insert_with(|| new_entry(settings));
         PermitId {
             epoch: self.epoch,
-            key: entry.home.restore(now_ms, ask),
+            key: entry.home.restore(now_ms, request),
         }
     }
 
--- a/crates/cluster/src/node.rs
+++ b/crates/cluster/src/node.rs
@@ -1,4 +1,4 @@
-//! One entry host's part in the cluster.
+//! The cluster node that runs on each entry host.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -35,27 +35,27 @@
 use crate::publish::{Change, PublishError, Publisher};
 use crate::safeguard::Safeguard;
 
-/// What a node must know of itself.
+/// Settings of a node.
 #[derive(Debug, Clone)]
 pub struct NodeSettings {
-    /// Its unique name.
+    /// Unique name of the host.
     pub host: String,
-    /// Its data centre.
+    /// Data centre of the host.
     pub data_centre: String,
-    /// Where its peers reach it.
+    /// Address that peers connect to.
     pub peer_address: SocketAddr,
-    /// Without a word from the platform or any peer for so long, it takes no new work.
+    /// Time without contact to the platform or any peer after which the node takes no new work.
     pub contact_timeout_ms: Millis,
-    /// How the claim log is kept.
+    /// Settings of the claim log.
     pub claims: ClaimSettings,
-    /// A safeguard that a fault run takes away.
+    /// Safeguard that a fault run disables.
     pub disabled_safeguard: Option<Safeguard>,
 }
 
-/// Where peers find the generations that a host holds.
+/// The generations that a host holds, for requests of peers.
 #[async_trait]
 pub trait Generations: Send + Sync {
-    /// Tokens from an index on; waits a little where there are none yet.
+    /// Returns tokens from an index on; waits briefly where there are none yet.
     async fn fetch(
         &self,
         organisation: OrganisationKey,
@@ -64,15 +64,15 @@
     ) -> FetchAnswer;
 }
 
-/// A node could not start.
+/// Why a node could not start.
 #[derive(Debug, thiserror::Error)]
 pub enum StartError {
-    /// Its peers' address can't be used.
+    /// The address for peers can't be used.
     #[error("could not listen for peers")]
     Listen(#[source] std::io::Error),
 }
 
-/// One entry host's part in the cluster.
+/// The cluster node of one entry host.
 ///
 /// Lock order: members, loads, held, homeless permits, limits, slots, fetched, then the home tables; none is held
 /// across an await.
@@ -100,10 +100,10 @@
 }
 
 impl Node {
-    /// Starts a node and all that it does by itself.
+    /// Starts a node and its background tasks.
     ///
     /// # Errors
-    /// [`StartError`] where the peers' listener can't be used.
+    /// [`StartError`] where the listener for peers can't be used.
     pub async fn start(
         settings: NodeSettings,
         listener: TcpListener,
@@ -111,7 +111,7 @@
         host_list: Arc<dyn HostList>,
         engines: Arc<dyn Engines>,
     ) -> Result<Arc<Self>, StartError> {
-        let note = MemberInfo {
+        let info = MemberInfo {
             name: settings.host.clone(),
             data_centre: settings.data_centre.clone(),
             address: settings.peer_address,
@@ -121,7 +121,7 @@
         let node = Arc::new(Self {
             clock: Clock::start(),
             key: HostKey::of(&settings.host),
-            members: Mutex::new(Members::new(note, incarnation)),
+            members: Mutex::new(Members::new(info, incarnation)),
             loads: Mutex::default(),
             held: Mutex::default(),
             homeless_permits: Mutex::default(),
@@ -157,7 +157,7 @@
         Ok(node)
     }
 
-    /// Names where peers find this host's generations.
+    /// Sets the generations that this node serves to peers.
     pub fn set_generations(&self, generations: Arc<dyn Generations>) {
         let _ = self.generations.set(generations);
     }
@@ -172,39 +172,42 @@
         &self.settings.host
     }
 
-    /// Whether a safeguard stands; it does unless a fault run has taken it away.
+    /// Whether a safeguard is enabled, which it is unless a fault run has disabled it.
     pub fn has(&self, safeguard: Safeguard) -> bool {
         self.settings.disabled_safeguard != Some(safeguard)
     }
 
-    /// The configuration in force here.
+    /// The configuration that is active on this host.
     pub fn active_configuration(&self) -> Option<Arc<ActiveConfiguration>> {
         self.documents.active()
     }
 
     /// Whether this host may take new work.
     ///
-    /// A host that hears neither the platform nor any peer can't know whether its revision is
-    /// still the one in force; going on would apply a reverted change for as long as it is cut
-    /// off. With peers it hears of a newer revision within a ping or two, so they are enough.
+    /// A host without contact to the platform or any peer can't know whether its revision is still
+    /// active; taking work could apply a reverted change for as long as it is partitioned. Contact
+    /// to peers suffices, since a newer revision reaches the host within one or two pings.
     pub fn takes_work(&self) -> bool {
-        let silent_ms = self
+        let since_contact_ms = self
             .clock
             .now_ms()
             .saturating_sub(self.documents.last_contact_ms());
         self.active_configuration().is_some()
             && !self.leaving.load(Ordering::Relaxed)
-            && silent_ms <= self.settings.contact_timeout_ms
+            && since_contact_ms <= self.settings.contact_timeout_ms
     }
 
-    /// The live instances of a plain service, nearest first.
+    /// The live instances of a plain service, those of this data centre first.
     pub fn plain(&self, service: &str) -> Vec<(UpstreamKey, Arc<dyn Plain>)> {
         let listing = self.documents.listing();
         let mut entries: Vec<&HostEntry> = listing.plain(service).collect();
         let draw: u64 = rand::random();
         entries.sort_by_key(|entry| {
-            let far = entry.data_centre != self.settings.data_centre;
-            (far, xxh3_64(format!("{draw}{}", entry.name).as_bytes()))
+            let is_remote = entry.data_centre != self.settings.data_centre;
+            (
+                is_remote,
+                xxh3_64(format!("{draw}{}", entry.name).as_bytes()),
+            )
         });
         entries
             .into_iter()
@@ -215,7 +218,7 @@
             .collect()
     }
 
-    /// Every listed engine of a model, leaving ones as well.
+    /// All listed engines of a model, including leaving ones.
     pub fn engines_of(&self, model: &str) -> Vec<Arc<dyn fulmarpath_upstream::Engine>> {
         let listing = self.documents.listing();
         let engines = listing.engines.values();
@@ -227,26 +230,26 @@
 
     /// Takes a slot under an organisation's limits, at the organisation's home.
     ///
-    /// Where no home answers the request goes on: limits protect the pool from rivals, and an
-    /// unreachable counter must not stop them all.
+    /// If no home answers, the request proceeds. Limits protect organisations from each other, and an
+    /// unreachable counter must not block all of them.
     pub async fn take_slot(
         &self,
         organisation: OrganisationKey,
         bounds: Bounds,
     ) -> Result<(), Over> {
-        let ask = SlotRequest {
+        let request = SlotRequest {
             organisation,
             host: self.key,
             bounds,
         };
         let home = self.members.lock().homes_of(organisation.0, 1).pop();
         let answer = match home {
-            Some((key, _)) if key == self.key => self.acquire_slot(ask),
-            Some((_, note)) => {
+            Some((key, _)) if key == self.key => self.acquire_slot(request),
+            Some((_, info)) => {
                 let call = |client: PeerClient, context| async move {
-                    client.take_slot(context, ask).await
+                    client.take_slot(context, request).await
                 };
-                let answer = self.peers.call(note.address, call).await;
+                let answer = self.peers.call(info.address, call).await;
                 answer.unwrap_or(LimitAnswer::Taken)
             }
             None => LimitAnswer::Taken,
@@ -263,17 +266,17 @@
         }
     }
 
-    /// Gives a slot back; the home hears of it with the next statement.
+    /// Releases a slot; the home is notified by the next report of held slots.
     pub fn release_slot(&self, organisation: OrganisationKey) {
         if let Some(slots) = self.slots.lock().get_mut(&organisation) {
             *slots = slots.saturating_sub(1);
         }
     }
 
-    pub(crate) fn acquire_slot(&self, ask: SlotRequest) -> LimitAnswer {
+    pub(crate) fn acquire_slot(&self, request: SlotRequest) -> LimitAnswer {
         let now_ms = self.clock.now_ms();
         let mut limits = self.limits.lock();
-        match limits.take(now_ms, ask.organisation, ask.host, ask.bounds) {
+        match limits.take(now_ms, request.organisation, request.host, request.bounds) {
             Ok(()) => LimitAnswer::Taken,
             Err(Over::Rate { retry_after_ms }) => LimitAnswer::OverRate { retry_after_ms },
             Err(Over::Concurrency { retry_after_ms }) => {
@@ -282,7 +285,7 @@
         }
     }
 
-    /// States to each organisation's home how many slots this host holds.
+    /// Reports to each organisation's home how many slots this host holds.
     pub(crate) async fn restate_slots(&self) {
         let held: Vec<(OrganisationKey, u32)> = {
             let mut slots = self.slots.lock();
@@ -297,17 +300,17 @@
                 Some((key, _)) if key == self.key => {
                     self.set_held_slots(self.key, &[(organisation, count)]);
                 }
-                Some((_, note)) => {
-                    let same = by_home.entry(note.address).or_default();
-                    same.push((organisation, count));
+                Some((_, info)) => {
+                    let group = by_home.entry(info.address).or_default();
+                    group.push((organisation, count));
                 }
                 None => {}
             }
         }
         let calls = by_home.into_iter().map(|(address, slots)| {
-            let mine = self.key;
+            let own = self.key;
             self.peers.call(address, move |client, context| async move {
-                client.restate_slots(context, mine, slots).await
+                client.restate_slots(context, own, slots).await
             })
         });
         join_all(calls).await;
@@ -323,24 +326,24 @@
 
     /// Claims an idempotency key at the home of its shard.
     ///
-    /// Which host writes is only a hint: a second one that believes to be home races on the
-    /// conditional create, and one of the two loses.
-    pub async fn claim(&self, ask: ClaimRequest) -> ClaimAnswer {
+    /// Which host writes is only an optimisation: a second host that considers itself the home races
+    /// on the conditional create, and one of the two loses.
+    pub async fn claim(&self, request: ClaimRequest) -> ClaimAnswer {
         if !self.has(Safeguard::Claim) {
             return ClaimAnswer::Claimed;
         }
-        let shard = self.settings.claims.shard(ask.key);
-        let thing = xxh3_64(format!("claims/{shard}").as_bytes());
-        let homes = self.members.lock().homes_of(thing, 2);
+        let shard = self.settings.claims.shard(request.key);
+        let resource = xxh3_64(format!("claims/{shard}").as_bytes());
+        let homes = self.members.lock().homes_of(resource, 2);
         let mut answer = ClaimAnswer::NotClaimed;
-        for (key, note) in homes {
+        for (key, info) in homes {
             if key == self.key {
-                return self.claims.claim(ask).await;
+                return self.claims.claim(request).await;
             }
-            let ask = ask.clone();
+            let request = request.clone();
             let call =
-                |client: PeerClient, context| async move { client.claim(context, ask).await };
-            match self.peers.call(note.address, call).await {
+                |client: PeerClient, context| async move { client.claim(context, request).await };
+            match self.peers.call(info.address, call).await {
                 Ok(answer) => return answer,
                 Err(_) => answer = ClaimAnswer::Unsure,
             }
@@ -348,7 +351,7 @@
         answer
     }
 
-    /// Tokens of a generation that another host holds; `None` where that host doesn't answer.
+    /// Fetches tokens of a generation from another host; `None` where that host doesn't answer.
     pub async fn fetch(
         &self,
         host: HostKey,
@@ -367,7 +370,7 @@
         self.peers.call(address, call).await.ok()
     }
 
-    /// Makes a change of the configuration and takes it here at once, whence it spreads.
+    /// Makes a change of the configuration, adopts it on this host at once and announces it.
     ///
     /// # Errors
     /// [`PublishError`]
@@ -380,7 +383,7 @@
         Ok(revision)
     }
 
-    /// The revision in force on each present member; `None` where it doesn't answer.
+    /// The active revision on each present member; `None` where it doesn't answer.
     pub async fn revisions(&self) -> Vec<(String, Option<u64>)> {
         let (ping, members) = {
             let members = self.members.lock();
@@ -396,14 +399,14 @@
                 .collect();
             (ping, present)
         };
-        let calls = members.into_iter().map(|note| {
+        let calls = members.into_iter().map(|info| {
             let ping = ping.clone();
             async move {
-                if note.name == self.settings.host {
-                    return (note.name, Some(self.documents.versions().root));
+                if info.name == self.settings.host {
+                    return (info.name, Some(self.documents.versions().root));
                 }
-                let pong = self.ping_once(note.address, ping).await;
-                (note.name, pong.map(|pong| pong.versions.root))
+                let pong = self.ping_once(info.address, ping).await;
+                (info.name, pong.map(|pong| pong.versions.root))
             }
         });
         let mut revisions = join_all(calls).await;
@@ -411,12 +414,12 @@
         revisions
     }
 
-    /// Members that this host believes present, itself with them.
+    /// Number of members that this host considers present, including itself.
     pub fn member_count(&self) -> usize {
         self.members.lock().present().count()
     }
 
-    /// The listed name of an engine; its key in hex where it is listed no longer.
+    /// The listed name of an engine; its key in hexadecimal where it isn't listed.
     pub fn upstream_name(&self, upstream: UpstreamKey) -> String {
         let listing = self.documents.listing();
         match listing.engines.get(&upstream) {
@@ -425,7 +428,7 @@
         }
     }
 
-    /// Closes connections that nothing uses any more.
+    /// Periodically closes idle connections.
     async fn close_idle_connections(self: Arc<Self>) {
         loop {
             tokio::time::sleep(IDLE_CHECK_PERIOD).await;
@@ -436,7 +439,7 @@
 
 const IDLE_CHECK_PERIOD: Duration = Duration::from_millis(1_000);
 
-/// The live entry hosts of a list.
+/// The live entry hosts of a host list.
 pub(crate) fn entry_hosts(listing: &HostListing) -> impl Iterator<Item = MemberInfo> {
     listing
         .hosts
--- a/crates/cluster/src/permits.rs
+++ b/crates/cluster/src/permits.rs
@@ -93,7 +93,7 @@
 #[derive(Debug)]
 pub(crate) struct HeldPermit {
     pub(crate) upstream: UpstreamKey,
-    pub(crate) ask: EnginePermitRequest,
+    pub(crate) engine_request: EnginePermitRequest,
     /// `None` where the generation started without a home; replaced when a new home takes over.
     pub(crate) id: Mutex<Option<PermitId>>,
     pub(crate) out_tokens: AtomicU32,
@@ -147,7 +147,7 @@
         }
         let node = self.node.clone();
         let held = self.held.clone();
-        node.held.lock().remove(&held.ask.id);
+        node.held.lock().remove(&held.engine_request.id);
         let Some(permit) = *held.id.lock() else {
             node.release_without_home(held.upstream);
             return;
@@ -159,8 +159,8 @@
             state,
         };
         tokio::spawn(async move {
-            if let Some((home, note)) = node.engine_homes(held.upstream, 1).pop() {
-                node.send_progress(home, note.address, vec![progress]).await;
+            if let Some((home, info)) = node.engine_homes(held.upstream, 1).pop() {
+                node.send_progress(home, info.address, vec![progress]).await;
             }
         });
     }
@@ -177,7 +177,7 @@
 struct PendingRequest {
     node: Arc<Node>,
     upstream: UpstreamKey,
-    ask: PermitRequestId,
+    request_id: PermitRequestId,
     granted: bool,
 }
 
@@ -186,14 +186,14 @@
         if self.granted {
             return;
         }
-        let (node, upstream, ask) = (self.node.clone(), self.upstream, self.ask);
-        tokio::spawn(async move { node.withdraw(upstream, ask).await });
+        let (node, upstream, request_id) = (self.node.clone(), self.upstream, self.request_id);
+        tokio::spawn(async move { node.withdraw(upstream, request_id).await });
     }
 }
 
 struct Grant {
     upstream: UpstreamKey,
-    ask: EnginePermitRequest,
+    engine_request: EnginePermitRequest,
     id: Option<PermitId>,
     priority: i32,
 }
@@ -242,12 +242,14 @@
         };
         let held = Arc::new(HeldPermit {
             upstream: grant.upstream,
-            ask: grant.ask,
+            engine_request: grant.engine_request,
             id: Mutex::new(grant.id),
-            out_tokens: AtomicU32::new(grant.ask.out_tokens),
+            out_tokens: AtomicU32::new(grant.engine_request.out_tokens),
             move_requested: AtomicBool::new(false),
         });
-        self.held.lock().insert(grant.ask.id, held.clone());
+        self.held
+            .lock()
+            .insert(grant.engine_request.id, held.clone());
         Ok(Permit {
             node: self.clone(),
             held,
@@ -289,14 +291,15 @@
         let mut pending = PendingRequest {
             node: self.clone(),
             upstream,
-            ask: id,
+            request_id: id,
             granted: false,
         };
         let mut failed_calls = 0;
         loop {
             let now_ms = self.clock.now_ms();
-            let ask = self.request_message(id, &request, deadline_ms.saturating_sub(now_ms));
-            let Some(reply) = self.request_from_home(upstream, ask).await else {
+            let engine_request =
+                self.request_message(id, &request, deadline_ms.saturating_sub(now_ms));
+            let Some(reply) = self.request_from_home(upstream, engine_request).await else {
                 failed_calls += 1;
                 if failed_calls >= HOMES_TRIED {
                     return Err(NotGranted::NoHome);
@@ -310,7 +313,7 @@
                     pending.granted = true;
                     return Ok(Grant {
                         upstream,
-                        ask,
+                        engine_request,
                         id: Some(permit),
                         priority,
                     });
@@ -356,19 +359,19 @@
     async fn request_from_home(
         &self,
         upstream: UpstreamKey,
-        ask: EnginePermitRequest,
+        engine_request: EnginePermitRequest,
     ) -> Option<PermitReply> {
-        for (key, note) in self.engine_homes(upstream, HOMES_TRIED) {
+        for (key, info) in self.engine_homes(upstream, HOMES_TRIED) {
             if key == self.key {
-                return self.handle_permit_request(upstream, ask).await;
+                return self.handle_permit_request(upstream, engine_request).await;
             }
             let call = |client: PeerClient, context| async move {
-                client.ask(context, upstream, ask).await
+                client.ask(context, upstream, engine_request).await
             };
-            if let Ok(reply) = self.peers.call(note.address, call).await {
+            if let Ok(reply) = self.peers.call(info.address, call).await {
                 return Some(reply);
             }
-            warn!("permits: {} does not answer for an engine", note.name);
+            warn!("permits: {} does not answer for an engine", info.name);
         }
         None
     }
@@ -377,11 +380,15 @@
     pub(crate) async fn handle_permit_request(
         &self,
         upstream: UpstreamKey,
-        ask: EnginePermitRequest,
+        engine_request: EnginePermitRequest,
     ) -> Option<PermitReply> {
         let settings = self.home_settings_of(upstream)?;
         let now_ms = self.clock.now_ms();
-        Some(self.homes.ask(now_ms, upstream, settings, ask).await)
+        Some(
+            self.homes
+                .request_permit(now_ms, upstream, settings, engine_request)
+                .await,
+        )
     }
 
     /// Grants a start without a home, limited by this host's own share of the engine.
@@ -402,7 +409,7 @@
         info!("permits: started without a home");
         Ok(Grant {
             upstream,
-            ask: self.request_message(PermitRequestId(rand::rng().random()), request, 0),
+            engine_request: self.request_message(PermitRequestId(rand::rng().random()), request, 0),
             id: None,
             priority: 0,
         })
@@ -414,16 +421,17 @@
         }
     }
 
-    async fn withdraw(&self, upstream: UpstreamKey, ask: PermitRequestId) {
-        for (key, note) in self.engine_homes(upstream, HOMES_TRIED) {
+    async fn withdraw(&self, upstream: UpstreamKey, request_id: PermitRequestId) {
+        for (key, info) in self.engine_homes(upstream, HOMES_TRIED) {
             if key == self.key {
-                self.homes.withdraw(self.clock.now_ms(), upstream, ask);
+                self.homes
+                    .withdraw(self.clock.now_ms(), upstream, request_id);
                 return;
             }
             let call = |client: PeerClient, context| async move {
-                client.withdraw(context, upstream, ask).await
+                client.withdraw(context, upstream, request_id).await
             };
-            if self.peers.call(note.address, call).await.is_ok() {
+            if self.peers.call(info.address, call).await.is_ok() {
                 return;
             }
         }
--- a/crates/cluster/src/progress.rs
+++ b/crates/cluster/src/progress.rs
@@ -1,4 +1,4 @@
-//! Reports of how far permits are, to the homes that gave them.
+//! Progress reports of permits to the homes that granted them.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -12,8 +12,8 @@
 
 use crate::node::Node;
 
-/// Between two reports of progress, for each member; a larger fleet reports less often, so that
-/// what a host sends and hears stays bounded.
+/// Time between two progress reports per member of the fleet. A larger fleet reports less often,
+/// which bounds the messages that a host sends and receives.
 const PROGRESS_MS_PER_MEMBER: u64 = 5;
 const PROGRESS_MS: std::ops::RangeInclusive<u64> = 500..=2_000;
 
@@ -23,23 +23,23 @@
         Duration::from_millis(wanted_ms.clamp(*PROGRESS_MS.start(), *PROGRESS_MS.end()))
     }
 
-    /// Reports all permits to their homes once a period, one message to each home.
+    /// Reports all permits to their homes once per period, with one message to each home.
     pub(crate) async fn report_progress(self: Arc<Self>) {
         loop {
             tokio::time::sleep(self.progress_period()).await;
             let running: Vec<Progress> = {
                 let held = self.held.lock();
-                held.values().filter_map(|one| one.progress()).collect()
+                held.values().filter_map(|held| held.progress()).collect()
             };
             let mut by_home: HashMap<HostKey, (SocketAddr, Vec<Progress>)> = HashMap::new();
             for progress in running {
-                let Some((key, note)) = self.engine_homes(progress.upstream, 1).pop() else {
+                let Some((key, info)) = self.engine_homes(progress.upstream, 1).pop() else {
                     continue;
                 };
-                let (_, same) = by_home
+                let (_, group) = by_home
                     .entry(key)
-                    .or_insert_with(|| (note.address, Vec::new()));
-                same.push(progress);
+                    .or_insert_with(|| (info.address, Vec::new()));
+                group.push(progress);
             }
             let sends = by_home
                 .into_iter()
@@ -60,9 +60,9 @@
             reply.moves = self.homes.take_moves(self.key);
             reply
         } else {
-            let mine = self.key;
+            let own = self.key;
             let call = |client: PeerClient, context| async move {
-                client.progress(context, mine, progress).await
+                client.progress(context, own, progress).await
             };
             match self.peers.call(address, call).await {
                 Ok(reply) => reply,
@@ -77,32 +77,32 @@
 
     fn apply_move_requests(&self, moves: &[PermitId]) {
         let held = self.held.lock();
-        for one in held.values() {
-            if one.id.lock().is_some_and(|id| moves.contains(&id)) {
-                one.move_requested.store(true, Ordering::Relaxed);
+        for permit in held.values() {
+            if permit.id.lock().is_some_and(|id| moves.contains(&id)) {
+                permit.move_requested.store(true, Ordering::Relaxed);
             }
         }
     }
 
-    /// Tells a new home of a permit that an earlier one gave.
+    /// Restores at a new home a permit that an earlier home granted.
     async fn restore(&self, home: HostKey, address: SocketAddr, permit: PermitId) {
         let held = {
             let all = self.held.lock();
             let mut all = all.values();
-            all.find(|one| *one.id.lock() == Some(permit)).cloned()
+            all.find(|held| *held.id.lock() == Some(permit)).cloned()
         };
         let Some(held) = held else { return };
         let upstream = held.upstream;
-        let mut ask = held.ask;
-        ask.out_tokens = held.out_tokens.load(Ordering::Relaxed);
+        let mut request = held.engine_request;
+        request.out_tokens = held.out_tokens.load(Ordering::Relaxed);
         let id = if home == self.key {
             self.home_settings_of(upstream).map(|settings| {
                 let now_ms = self.clock.now_ms();
-                self.homes.restore(now_ms, upstream, settings, ask)
+                self.homes.restore(now_ms, upstream, settings, request)
             })
         } else {
             let call = |client: PeerClient, context| async move {
-                client.restore(context, upstream, ask).await
+                client.restore(context, upstream, request).await
             };
             self.peers.call(address, call).await.ok().flatten()
         };
--- a/crates/cluster/src/safeguard.rs
+++ b/crates/cluster/src/safeguard.rs
@@ -1,30 +1,30 @@
-//! The safeguards by name, so that a fault run can show that it notices each one's absence.
+//! The safeguards by name. A fault run disables one and must detect that it is missing.
 
 use std::str::FromStr;
 
-/// A safeguard that a fault run may take away. Settings files can't: a host that serves callers
-/// has all of them.
+/// A safeguard that a fault run may disable. Settings files can't disable one: a host that serves
+/// callers has all of them.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Safeguard {
-    /// Tokens are checked for their generation and attempt.
+    /// Tokens are checked against their generation and attempt.
     TokenOwner,
-    /// Tokens are checked for their index.
+    /// Tokens are checked against the expected index.
     TokenIndex,
-    /// A silent stream is given up and read on over a new connection.
+    /// A silent stream is closed and resumed over a new connection.
     Silence,
     /// A key is claimed before its submission is dispatched.
     Claim,
-    /// A call that may not be repeated is sent once.
+    /// A call that must not be repeated is sent once.
     PlainOnce,
-    /// "Not run" is said only with proof.
+    /// A request is reported as not run only with proof.
     NotRunProof,
     /// A configuration is replaced only by a newer one.
     RevisionGrows,
-    /// Changes are passed on to peers.
+    /// Changes are disseminated to peers.
     Spread,
-    /// A leaving engine gets nothing new.
+    /// A leaving engine gets no new generations.
     Leaving,
-    /// A stop waits for what runs.
+    /// A shutdown waits for running requests.
     Drain,
 }
 
@@ -43,7 +43,7 @@
         Self::Drain,
     ];
 
-    /// Its name on the command line.
+    /// The name on the command line.
     pub fn name(self) -> &'static str {
         match self {
             Self::TokenOwner => "token-owner",
@@ -60,7 +60,7 @@
     }
 }
 
-/// No safeguard has this name.
+/// No safeguard has the given name.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 #[error("could not find safeguard `{name}`")]
 pub struct UnknownSafeguard {
@@ -71,7 +71,9 @@
     type Err = UnknownSafeguard;
 
     fn from_str(name: &str) -> Result<Self, UnknownSafeguard> {
-        let found = Self::ALL.into_iter().find(|one| one.name() == name);
+        let found = Self::ALL
+            .into_iter()
+            .find(|safeguard| safeguard.name() == name);
         found.ok_or_else(|| UnknownSafeguard { name: name.into() })
     }
 }
--- a/crates/cluster/src/server.rs
+++ b/crates/cluster/src/server.rs
@@ -1,4 +1,4 @@
-//! The answering side of the inner protocol.
+//! The server side of the protocol between entry hosts.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -20,7 +20,7 @@
 use crate::node::Node;
 use crate::poison;
 
-/// A client of the peer at the other end of a connection.
+/// Creates a client for the peer at the other end of a connection.
 pub(crate) fn client(socket: TcpStream) -> PeerClient {
     let transport = tarpc::serde_transport::new(framed(socket), Bincode::default());
     PeerClient::new(tarpc::client::Config::default(), transport).spawn()
@@ -83,17 +83,22 @@
             .unwrap_or_default()
     }
 
-    async fn ask(self, _: Context, upstream: UpstreamKey, ask: EnginePermitRequest) -> PermitReply {
-        let reply = self.node.handle_permit_request(upstream, ask).await;
+    async fn ask(
+        self,
+        _: Context,
+        upstream: UpstreamKey,
+        request: EnginePermitRequest,
+    ) -> PermitReply {
+        let reply = self.node.handle_permit_request(upstream, request).await;
         reply.unwrap_or(PermitReply {
             answer: PermitAnswer::NotHome,
             load: Default::default(),
         })
     }
 
-    async fn withdraw(self, _: Context, upstream: UpstreamKey, ask: PermitRequestId) {
+    async fn withdraw(self, _: Context, upstream: UpstreamKey, request: PermitRequestId) {
         let now_ms = self.node.clock.now_ms();
-        self.node.homes.withdraw(now_ms, upstream, ask);
+        self.node.homes.withdraw(now_ms, upstream, request);
     }
 
     async fn progress(self, _: Context, host: HostKey, progress: Vec<Progress>) -> ProgressReply {
@@ -107,16 +112,16 @@
         self,
         _: Context,
         upstream: UpstreamKey,
-        ask: EnginePermitRequest,
+        request: EnginePermitRequest,
     ) -> Option<PermitId> {
         let settings = self.node.home_settings_of(upstream)?;
         let now_ms = self.node.clock.now_ms();
         let homes = &self.node.homes;
-        Some(homes.restore(now_ms, upstream, settings, ask))
+        Some(homes.restore(now_ms, upstream, settings, request))
     }
 
-    async fn take_slot(self, _: Context, ask: SlotRequest) -> LimitAnswer {
-        self.node.acquire_slot(ask)
+    async fn take_slot(self, _: Context, request: SlotRequest) -> LimitAnswer {
+        self.node.acquire_slot(request)
     }
 
     async fn restate_slots(self, _: Context, host: HostKey, slots: Vec<(OrganisationKey, u32)>) {
--- a/crates/cluster/src/swim.rs
+++ b/crates/cluster/src/swim.rs
@@ -1,4 +1,4 @@
-//! The pings that keep the table of members true, at a fixed rate whatever the fleet's size.
+//! The pings that keep the membership table current, at a rate independent of the fleet's size.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -13,11 +13,11 @@
 use crate::node::Node;
 
 const PERIOD: Duration = Duration::from_millis(300);
-/// Members asked to ping one that didn't answer.
+/// Members that send an indirect ping to one that didn't answer.
 const PROBE_RELAYS: usize = 2;
 
 impl Node {
-    /// Pings one member a period.
+    /// Pings one member per period.
     pub(crate) async fn ping_members(self: Arc<Self>) {
         loop {
             tokio::time::sleep(PERIOD).await;
@@ -65,7 +65,7 @@
         self.peers.call(address, call).await.ok()
     }
 
-    /// The versions of what this host holds.
+    /// The versions of the replicated state on this host.
     pub(crate) fn versions(&self) -> Versions {
         Versions {
             circuits: self.circuit_breakers.digest(self.clock.now_ms()),
@@ -95,7 +95,7 @@
         self.compare(address, pong.versions).await;
     }
 
-    /// Answers a ping, and learns from it.
+    /// Answers a ping, and applies its rumours.
     pub(crate) fn handle_ping(self: &Arc<Self>, ping: Ping) -> Pong {
         let now_ms = self.clock.now_ms();
         self.documents.record_contact(now_ms);
@@ -108,10 +108,10 @@
             }
             (members.own_rumour(), members.rumours())
         };
-        let mine = self.versions();
+        let own = self.versions();
         let theirs_are_newer =
-            ping.versions.root > mine.root || ping.versions.host_list > mine.host_list;
-        if theirs_are_newer || ping.versions.circuits != mine.circuits {
+            ping.versions.root > own.root || ping.versions.host_list > own.host_list;
+        if theirs_are_newer || ping.versions.circuits != own.circuits {
             let node = self.clone();
             let theirs = ping.versions;
             tokio::spawn(async move { node.compare(address, theirs).await });
@@ -119,11 +119,11 @@
         Pong {
             from,
             rumours,
-            versions: mine,
+            versions: own,
         }
     }
 
-    /// Tells every present member at once that this host leaves.
+    /// Notifies all live members at once that this host leaves.
     pub async fn leave(self: &Arc<Self>) {
         self.leaving
             .store(true, std::sync::atomic::Ordering::Relaxed);
@@ -138,7 +138,7 @@
             .filter(|rumour| rumour.state == MemberState::Alive)
             .map(|rumour| rumour.member.address)
             .collect();
-        info!("members: leaving, {} members told", targets.len());
+        info!("members: leaving; notifying {} members", targets.len());
         let calls = targets
             .into_iter()
             .map(|address| self.ping_once(address, ping.clone()));
