--- a/crates/gateway/src/events.rs
+++ b/crates/gateway/src/events.rs
@@ -22,8 +22,8 @@
 
     /// Takes what is left after the last complete event.
     pub(crate) fn take_remainder(&mut self) -> Option<Bytes> {
-        let rest = self.buffer.split().freeze();
-        (!rest.is_empty()).then_some(rest)
+        let remainder = self.buffer.split().freeze();
+        (!remainder.is_empty()).then_some(remainder)
     }
 }
 
--- a/crates/gateway/src/instance.rs
+++ b/crates/gateway/src/instance.rs
@@ -20,7 +20,7 @@
 pub(crate) struct Instance {
     pub(crate) upstream: UpstreamKey,
     pub(crate) registration: Registration,
-    pub(crate) gauge: UpstreamStats,
+    pub(crate) stats: UpstreamStats,
     /// The upstream has announced on a connection that it is leaving.
     pub(crate) is_leaving: bool,
     /// Its data centre is evacuated.
@@ -40,7 +40,7 @@
         Self {
             upstream: upstream_key(&registration),
             registration,
-            gauge: UpstreamStats::default(),
+            stats: UpstreamStats::default(),
             is_leaving: false,
             is_evacuated: false,
             cold_until_ms: 0,
@@ -81,7 +81,7 @@
 
     /// Whether all of its slots are in use, as far as this host knows.
     pub(crate) fn is_full(&self, now_ms: Millis) -> bool {
-        self.gauge.occupancy(now_ms) >= self.registration.slots.max(1) as f32
+        self.stats.occupancy(now_ms) >= self.registration.slots.max(1) as f32
     }
 }
 
--- a/crates/gateway/src/instances.rs
+++ b/crates/gateway/src/instances.rs
@@ -113,7 +113,7 @@
             .map(|key| (key, &table.arena[key]))
             .map(|(key, one)| Choice {
                 key,
-                cost: one.gauge.cost(now_ms),
+                cost: one.stats.cost(now_ms),
                 is_local: one.registration.data_centre == self.data_centre,
             })
             .collect();
@@ -252,7 +252,7 @@
     /// Records the end of a request to a chosen upstream.
     pub(crate) fn end(&self, now_ms: Millis, chosen: &Chosen, verdict: Verdict) {
         self.with(chosen.key, |one| {
-            one.gauge.end(now_ms, chosen.flight, verdict)
+            one.stats.end(now_ms, chosen.flight, verdict)
         });
     }
 
@@ -265,14 +265,14 @@
         load: Option<ReportedLoad>,
     ) {
         self.with(key, |one| {
-            one.gauge.record_latency(latency_ms);
+            one.stats.record_latency(latency_ms);
             // An upstream that was unreachable is cold when it returns, and its entry may not say
             // so yet.
             if std::mem::take(&mut one.is_unreachable) {
                 one.mark_cold(now_ms);
             }
             if let Some(load) = load {
-                one.gauge.record_load(now_ms, load);
+                one.stats.record_load(now_ms, load);
             }
         });
     }
@@ -280,14 +280,14 @@
     /// Records that no connection could be made.
     pub(crate) fn unreachable(&self, now_ms: Millis, key: InstanceKey) {
         self.with(key, |one| {
-            one.gauge.record_unreachable(now_ms);
+            one.stats.record_unreachable(now_ms);
             one.is_unreachable = true;
         });
     }
 
     /// Deprioritises the upstream until `until_ms`.
     pub(crate) fn penalise_until(&self, until_ms: Millis, key: InstanceKey) {
-        self.with(key, |one| one.gauge.penalise_until(until_ms));
+        self.with(key, |one| one.stats.penalise_until(until_ms));
     }
 
     /// Marks an upstream as gone for good: another upstream answers at its address.
--- a/crates/gateway/src/recovery.rs
+++ b/crates/gateway/src/recovery.rs
@@ -99,7 +99,7 @@
         }
     }
 
-    /// Regenerates the rest on another engine, if the stream may be resumed.
+    /// Regenerates the remaining output on another engine, if the stream may be resumed.
     async fn regenerate(&mut self) -> bool {
         let gateway = self.gateway.clone();
         self.attempts.mark_lost(gateway.clock.now_ms());
--- a/crates/gateway/src/relay.rs
+++ b/crates/gateway/src/relay.rs
@@ -211,8 +211,8 @@
     }
 
     fn finish(&mut self) -> Option<Result<Bytes, BodyBroken>> {
-        if let Some(rest) = self.events.take_remainder() {
-            return Some(Ok(rest));
+        if let Some(remainder) = self.events.take_remainder() {
+            return Some(Ok(remainder));
         }
         self.stream.in_flight.set_verdict(Verdict::Good);
         if self.tracker.events > 0 {
--- a/crates/gateway/src/start_limits.rs
+++ b/crates/gateway/src/start_limits.rs
@@ -31,7 +31,7 @@
 /// Timeout for connecting to a home and requesting a start: a host that has lost power does not
 /// answer at all.
 const HOME_TIMEOUT: Duration = Duration::from_millis(100);
-/// Upper start_limit on the retry delay if this host's share is used up: the next start of a share may be
+/// Upper bound on the retry delay if this host's share is used up: the next start of a share may be
 /// minutes away, and a home is available again within seconds.
 const MAX_SHARE_WAIT_MS: Millis = 1_000;
 /// Fraction of a limit that all hosts together use without a home. The home may still be reachable
@@ -174,10 +174,10 @@
     /// # Errors
     /// How long to wait for the next start at any of them, in ms.
     async fn start_on_cold(&self, cold: &[UpstreamKey]) -> Result<Chosen, Millis> {
-        let mut least_ms = NO_HOME_RETRY_MS;
+        let mut min_wait_ms = NO_HOME_RETRY_MS;
         // Each host begins at a random upstream, which spreads the requests over the homes.
-        let first = rand::random_range(0..cold.len());
-        let order = cold.iter().cycle().skip(first).take(cold.len());
+        let offset = rand::random_range(0..cold.len());
+        let order = cold.iter().cycle().skip(offset).take(cold.len());
         for upstream in order.take(MAX_COLD_REQUESTS) {
             match self.request_start_if_limited(*upstream).await {
                 Ok(()) => {
@@ -186,10 +186,10 @@
                         return Ok(chosen);
                     }
                 }
-                Err(wait_ms) => least_ms = least_ms.min(wait_ms),
+                Err(wait_ms) => min_wait_ms = min_wait_ms.min(wait_ms),
             }
         }
-        Err(least_ms)
+        Err(min_wait_ms)
     }
 
     /// Adds a retry time to `AllRefused` if the upstreams that accept work have asked this host to
@@ -266,11 +266,11 @@
             client.ask_start(context, upstream, request).await
         };
         let peers = &self.fleet.peers;
-        let asked = peers.call_with_timeout(home.address, REQUEST_TIMEOUT, call);
+        let reply = peers.call_with_timeout(home.address, REQUEST_TIMEOUT, call);
         let no_answer = NoAnswer {
             address: home.address,
         };
-        let answer = timeout(HOME_TIMEOUT, asked).await;
+        let answer = timeout(HOME_TIMEOUT, reply).await;
         match answer.unwrap_or(Err(no_answer)) {
             Ok(answer) => answer,
             Err(error) if request.is_cold => {
--- a/crates/gateway/src/upstream_table.rs
+++ b/crates/gateway/src/upstream_table.rs
@@ -91,7 +91,7 @@
             instance: one.registration.instance.clone(),
             address: one.registration.address,
             lost: one.lost.clone(),
-            flight: one.gauge.start(now_ms),
+            flight: one.stats.start(now_ms),
         }
     }
 }
