--- a/crates/cluster/tests/claims.rs
+++ b/crates/cluster/tests/claims.rs
@@ -1,10 +1,10 @@
-//! The claim log against races, lost answers and writers that were paused for long.
+//! Tests the claim log against races, lost answers and long pauses of a writer.
 
 mod common;
 
 use std::sync::Arc;
 
-use common::Fake;
+use common::FakeObjectApi;
 use fulmarpath_cluster::{ClaimLog, ClaimSettings};
 use fulmarpath_wire::{ClaimAnswer, ClaimRequest};
 use rstest::rstest;
@@ -16,11 +16,11 @@
     fold_segments: 4,
 };
 
-fn log(api: &Arc<Fake>) -> ClaimLog {
+fn claim_log(api: &Arc<FakeObjectApi>) -> ClaimLog {
     ClaimLog::new(api.clone(), SETTINGS)
 }
 
-fn ask(key: u128, generation: &str) -> ClaimRequest {
+fn request(key: u128, generation: &str) -> ClaimRequest {
     ClaimRequest {
         key,
         request_hash: 1,
@@ -36,16 +36,16 @@
     }
 }
 
-/// Two hosts believe to be home of one shard and are asked for the same keys at the same time:
-/// for each key exactly one generation holds the claim, and both say the same one.
+/// Guards against a key that is claimed twice: two hosts both consider themselves the home of a
+/// shard and get concurrent requests for the same keys. Exactly one claim per key succeeds.
 #[tokio::test]
-async fn two_homes_agree_on_each_key() {
-    let api = Arc::new(Fake::default());
-    let (one, other) = (log(&api), log(&api));
+async fn concurrent_homes_claim_each_key_once() {
+    let api = Arc::new(FakeObjectApi::default());
+    let (one, other) = (claim_log(&api), claim_log(&api));
     for key in 0..200 {
         let (first, second) = tokio::join!(
-            one.claim(ask(key, &format!("one-{key}"))),
-            other.claim(ask(key, &format!("other-{key}"))),
+            one.claim(request(key, &format!("one-{key}"))),
+            other.claim(request(key, &format!("other-{key}"))),
         );
         let claims = [&first, &second].map(|answer| *answer == ClaimAnswer::Claimed);
         assert_eq!(
@@ -56,92 +56,104 @@
     }
 }
 
-/// A writer claims one key and is then paused. Another goes on for so long that the segments are
-/// folded into chunks and removed, among them one with the key `7`. When the paused one wakes, the
-/// number it would write next is free again; without a look at the fold it would claim `7` a
-/// second time.
+/// Guards against a key that is claimed twice after a pause. A writer claims one key and is paused,
+/// while another writes until the segments, one of them with the key `7`, are folded into chunks and
+/// deleted. The next number of the paused writer is then free again; without a check of the fold it
+/// would claim `7` a second time.
 #[tokio::test]
-async fn a_writer_paused_past_a_fold_claims_nothing_twice() {
-    let api = Arc::new(Fake::default());
-    let (paused, busy) = (log(&api), log(&api));
-    assert_eq!(paused.claim(ask(1, "first")).await, ClaimAnswer::Claimed);
-    assert_eq!(busy.claim(ask(7, "holder")).await, ClaimAnswer::Claimed);
+async fn writer_paused_past_a_fold_does_not_claim_twice() {
+    let api = Arc::new(FakeObjectApi::default());
+    let (paused, busy) = (claim_log(&api), claim_log(&api));
+    assert_eq!(
+        paused.claim(request(1, "first")).await,
+        ClaimAnswer::Claimed
+    );
+    assert_eq!(busy.claim(request(7, "holder")).await, ClaimAnswer::Claimed);
     for key in 100..140 {
-        assert_eq!(busy.claim(ask(key, "later")).await, ClaimAnswer::Claimed);
+        assert_eq!(
+            busy.claim(request(key, "later")).await,
+            ClaimAnswer::Claimed
+        );
     }
     let second = "fulmarpath/claims/0/00000000000000000002";
     assert!(
         !api.objects.lock().contains_key(second),
-        "the segment is folded away"
+        "the segment should have been folded and deleted"
     );
-    let first_try = paused.claim(ask(7, "intruder")).await;
-    assert_ne!(first_try, ClaimAnswer::Claimed);
-    assert_eq!(paused.claim(ask(7, "intruder")).await, taken("holder"));
+    let first_attempt = paused.claim(request(7, "intruder")).await;
+    assert_ne!(first_attempt, ClaimAnswer::Claimed);
+    assert_eq!(paused.claim(request(7, "intruder")).await, taken("holder"));
 }
 
-/// A host starts and reads the log anew, folded part and all: it knows each claim.
+/// Guards against claims that are lost at a restart: a new writer reads the whole log, including its
+/// folded part, and knows each claim.
 #[tokio::test]
-async fn a_new_writer_knows_all_claims() {
-    let api = Arc::new(Fake::default());
-    let old = log(&api);
+async fn new_writer_reads_all_claims() {
+    let api = Arc::new(FakeObjectApi::default());
+    let old = claim_log(&api);
     for key in 0..30 {
         assert_eq!(
-            old.claim(ask(key, &format!("g-{key}"))).await,
+            old.claim(request(key, &format!("g-{key}"))).await,
             ClaimAnswer::Claimed
         );
     }
-    let new = log(&api);
+    let new = claim_log(&api);
     for key in 0..30 {
         assert_eq!(
-            new.claim(ask(key, "late")).await,
+            new.claim(request(key, "late")).await,
             taken(&format!("g-{key}"))
         );
     }
 }
 
-struct Lost {
+struct LostAnswers {
     answers: u32,
-    first: ClaimAnswer,
+    expected: ClaimAnswer,
 }
 
-/// Writes take effect and their answers are lost: the writer reads back and finds its own records,
-/// or says that it doesn't know; asked again by the same generation, the claim is its own.
+/// Guards against a claim that blocks its own generation: a write takes effect but its answer is
+/// lost. The writer reads the segment back and finds its own records, or reports the outcome as
+/// unknown. A repeated request of the
+/// same generation gets the claim.
 #[rstest]
-#[case(Lost { answers: 1, first: ClaimAnswer::Claimed })]
-#[case(Lost { answers: 2, first: ClaimAnswer::Claimed })]
+#[case(LostAnswers { answers: 1, expected: ClaimAnswer::Claimed })]
+#[case(LostAnswers { answers: 2, expected: ClaimAnswer::Claimed })]
 #[tokio::test]
-async fn a_lost_answer_is_read_back(#[case] case: Lost) {
-    let api = Arc::new(Fake::default());
-    *api.lose_answers.lock() = case.answers;
-    let log = log(&api);
-    assert_eq!(log.claim(ask(5, "mine")).await, case.first);
-    *api.lose_answers.lock() = 0;
-    assert_eq!(log.claim(ask(5, "mine")).await, ClaimAnswer::Claimed);
-    assert_eq!(log.claim(ask(5, "other")).await, taken("mine"));
+async fn lost_answer_is_resolved_by_reading_back(#[case] case: LostAnswers) {
+    let api = Arc::new(FakeObjectApi::default());
+    *api.answers_to_lose.lock() = case.answers;
+    let log = claim_log(&api);
+    assert_eq!(log.claim(request(5, "mine")).await, case.expected);
+    *api.answers_to_lose.lock() = 0;
+    assert_eq!(log.claim(request(5, "mine")).await, ClaimAnswer::Claimed);
+    assert_eq!(log.claim(request(5, "other")).await, taken("mine"));
 }
 
-/// The API is down: the claim is certainly not made, and the key is free afterwards.
+/// While the API is down, a claim is reported as not made, and the key is free afterwards.
 #[tokio::test]
-async fn a_down_api_claims_nothing() {
-    let api = Arc::new(Fake::default());
-    let log = log(&api);
-    *api.down.lock() = true;
-    assert_eq!(log.claim(ask(9, "mine")).await, ClaimAnswer::NotClaimed);
-    *api.down.lock() = false;
-    assert_eq!(log.claim(ask(9, "other")).await, ClaimAnswer::Claimed);
+async fn unavailable_api_makes_no_claim() {
+    let api = Arc::new(FakeObjectApi::default());
+    let log = claim_log(&api);
+    *api.is_down.lock() = true;
+    assert_eq!(log.claim(request(9, "mine")).await, ClaimAnswer::NotClaimed);
+    *api.is_down.lock() = false;
+    assert_eq!(log.claim(request(9, "other")).await, ClaimAnswer::Claimed);
 }
 
-/// The holder declared that its generation never ran: one follower may take its place, a second
-/// that saw the same holder may not.
+/// After a generation was declared as never run, one successor may replace its claim. A second
+/// successor that names the same generation may not.
 #[tokio::test]
-async fn one_follower_takes_the_place_of_what_never_ran() {
-    let api = Arc::new(Fake::default());
-    let log = log(&api);
-    assert_eq!(log.claim(ask(3, "never-ran")).await, ClaimAnswer::Claimed);
-    let follow = |generation: &str| ClaimRequest {
+async fn one_successor_replaces_a_generation_that_never_ran() {
+    let api = Arc::new(FakeObjectApi::default());
+    let log = claim_log(&api);
+    assert_eq!(
+        log.claim(request(3, "never-ran")).await,
+        ClaimAnswer::Claimed
+    );
+    let successor = |generation: &str| ClaimRequest {
         supersedes: Some("never-ran".to_owned()),
-        ..ask(3, generation)
+        ..request(3, generation)
     };
-    assert_eq!(log.claim(follow("one")).await, ClaimAnswer::Claimed);
-    assert_eq!(log.claim(follow("two")).await, taken("one"));
+    assert_eq!(log.claim(successor("one")).await, ClaimAnswer::Claimed);
+    assert_eq!(log.claim(successor("two")).await, taken("one"));
 }
--- a/crates/cluster/tests/common/mod.rs
+++ b/crates/cluster/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! An object API in memory.
+//! An in-memory object API.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -9,38 +9,38 @@
 use fulmarpath_store::{Object, ObjectApi, PlatformError, Version};
 use parking_lot::Mutex;
 
-/// An object API in memory, with answers to lose.
+/// An in-memory object API that can lose answers and be down.
 #[derive(Default)]
-pub(crate) struct Fake {
+pub(crate) struct FakeObjectApi {
     pub(crate) objects: Mutex<HashMap<String, (Version, Bytes)>>,
-    pub(crate) lose_answers: Mutex<u32>,
-    pub(crate) down: Mutex<bool>,
+    pub(crate) answers_to_lose: Mutex<u32>,
+    pub(crate) is_down: Mutex<bool>,
 }
 
 const FAILED: HttpError = HttpError::Unanswered {
     address: std::net::SocketAddr::new(std::net::IpAddr::V4(std::net::Ipv4Addr::LOCALHOST), 1),
 };
 
-impl Fake {
+impl FakeObjectApi {
     fn write(
         &self,
         key: &str,
         value: Bytes,
         expected: Option<Version>,
     ) -> Result<Version, PlatformError> {
-        if *self.down.lock() {
+        if *self.is_down.lock() {
             return Err(PlatformError::NotDone(FAILED));
         }
         let mut objects = self.objects.lock();
-        let held = objects.get(key).map(|(version, _)| *version);
-        if held != expected {
+        let current = objects.get(key).map(|(version, _)| *version);
+        if current != expected {
             return Err(PlatformError::Conflict { key: key.into() });
         }
-        let version = held.unwrap_or(0) + 1;
+        let version = current.unwrap_or(0) + 1;
         objects.insert(key.to_owned(), (version, value));
-        let mut lose = self.lose_answers.lock();
-        if *lose > 0 {
-            *lose -= 1;
+        let mut to_lose = self.answers_to_lose.lock();
+        if *to_lose > 0 {
+            *to_lose -= 1;
             return Err(PlatformError::Unsure(FAILED));
         }
         Ok(version)
@@ -48,9 +48,9 @@
 }
 
 #[async_trait]
-impl ObjectApi for Fake {
+impl ObjectApi for FakeObjectApi {
     async fn read(&self, key: &str) -> Result<Option<Object>, PlatformError> {
-        if *self.down.lock() {
+        if *self.is_down.lock() {
             return Err(PlatformError::NotDone(FAILED));
         }
         let objects = self.objects.lock();
--- a/crates/cluster/tests/orders.rs
+++ b/crates/cluster/tests/orders.rs
@@ -1,4 +1,4 @@
-//! Orders to engines: one holder at a time, whatever the holder's pauses.
+//! Tests that orders to engines come from one lease holder at a time, however long a holder pauses.
 
 mod common;
 
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use async_trait::async_trait;
-use common::Fake;
+use common::FakeObjectApi;
 use fulmarpath_cluster::{
     Clock, DesiredVersion, LEASE_MS, Lease, LeaseAction, LeaseRecord, ORDER_TIMEOUT_MS,
     OrderDispatcher,
@@ -17,11 +17,11 @@
 };
 use parking_lot::Mutex;
 
-/// An engine that only takes orders.
+/// An engine that only accepts orders.
 struct FakeEngine {
-    checks: bool,
-    taken: Mutex<Vec<Order>>,
-    /// The orderer's process is paused for so long while this engine takes an order.
+    checks_fencing: bool,
+    accepted: Mutex<Vec<Order>>,
+    /// How long the dispatcher's process is paused while this engine accepts an order.
     pause_ms: u64,
 }
 
@@ -49,12 +49,16 @@
 
     async fn order(&self, order: &Order) -> Result<bool, EngineError> {
         tokio::time::advance(Duration::from_millis(self.pause_ms)).await;
-        let mut taken = self.taken.lock();
-        let newest = taken.iter().map(|order| order.fencing).max().unwrap_or(0);
-        if self.checks && order.fencing < newest {
+        let mut accepted = self.accepted.lock();
+        let newest = accepted
+            .iter()
+            .map(|order| order.fencing)
+            .max()
+            .unwrap_or(0);
+        if self.checks_fencing && order.fencing < newest {
             return Ok(false);
         }
-        taken.push(order.clone());
+        accepted.push(order.clone());
         Ok(true)
     }
 }
@@ -68,27 +72,27 @@
     }]
 }
 
-fn numbers(engine: &FakeEngine) -> Vec<u64> {
+fn fencing_numbers(engine: &FakeEngine) -> Vec<u64> {
     engine
-        .taken
+        .accepted
         .lock()
         .iter()
         .map(|order| order.fencing)
         .collect()
 }
 
-/// Two hosts believe to be home of a model. The one that holds the lease is paused past it; the
-/// other takes over with a higher number after the lease and an order's way have passed. The
-/// paused one wakes with an order in hand and gives none, to engines that check the number and to
-/// those that ignore it.
+/// Guards against orders from a stale holder. Two hosts consider themselves the home of a model. The
+/// lease holder is paused past its lease, and the other takes over with a higher fencing number after
+/// the lease and the timeout of an order. The paused host resumes with a pending order and sends it
+/// neither to engines that check the number nor to those that ignore it.
 #[tokio::test(start_paused = true)]
-async fn a_holder_paused_past_its_lease_gives_no_order() {
-    for checks in [true, false] {
-        let api = Arc::new(Fake::default());
+async fn holder_paused_past_its_lease_sends_no_order() {
+    for checks_fencing in [true, false] {
+        let api = Arc::new(FakeObjectApi::default());
         let clock = Clock::start();
         let engine = Arc::new(FakeEngine {
-            checks,
-            taken: Mutex::default(),
+            checks_fencing,
+            accepted: Mutex::default(),
             pause_ms: 0,
         });
         let mut paused = OrderDispatcher::new(api.clone(), clock, "host-1", "gutachter-lm");
@@ -98,20 +102,20 @@
         tokio::time::advance(Duration::from_millis(LEASE_MS + ORDER_TIMEOUT_MS)).await;
         assert_eq!(other.run_once(&desired(&engine, "2")).await, Ok(1));
         assert_eq!(paused.run_once(&desired(&engine, "3")).await, Ok(0));
-        assert_eq!(numbers(&engine), [1, 2]);
+        assert_eq!(fencing_numbers(&engine), [1, 2]);
     }
 }
 
-/// The holder is paused in the middle of a turn, after it has read and renewed its lease and given
-/// a first order. When it wakes the lease is over, and the second engine, which ignores the
-/// number, must get no order.
+/// Guards against a pause between two orders: the holder renews its lease, sends a first order and is
+/// paused. When it resumes, the rest of the lease is too short, and the second engine, which ignores
+/// the fencing number, must get no order.
 #[tokio::test(start_paused = true)]
-async fn a_pause_between_two_orders_stops_the_second() {
-    let api = Arc::new(Fake::default());
+async fn pause_between_orders_prevents_the_second() {
+    let api = Arc::new(FakeObjectApi::default());
     let engine = |pause_ms| {
         Arc::new(FakeEngine {
-            checks: false,
-            taken: Mutex::default(),
+            checks_fencing: false,
+            accepted: Mutex::default(),
             pause_ms,
         })
     };
@@ -121,60 +125,63 @@
     desired_of_both[1].engine = "engine-2".to_owned();
     let mut holder = OrderDispatcher::new(api, Clock::start(), "host-1", "gutachter-lm");
     assert_eq!(holder.run_once(&desired_of_both).await, Ok(1));
-    assert_eq!((numbers(&first), numbers(&second)), (vec![1], vec![]));
+    assert_eq!(
+        (fencing_numbers(&first), fencing_numbers(&second)),
+        (vec![1], vec![])
+    );
 }
 
-/// The platform is down: the holder can't read its lease, and gives no order.
+/// While the platform is down, the holder can't read its lease and sends no order.
 #[tokio::test(start_paused = true)]
-async fn without_the_platform_no_order_is_given() {
-    let api = Arc::new(Fake::default());
+async fn no_order_is_sent_without_the_platform() {
+    let api = Arc::new(FakeObjectApi::default());
     let clock = Clock::start();
     let engine = Arc::new(FakeEngine {
-        checks: false,
-        taken: Mutex::default(),
+        checks_fencing: false,
+        accepted: Mutex::default(),
         pause_ms: 0,
     });
     let mut holder = OrderDispatcher::new(api.clone(), clock, "host-1", "gutachter-lm");
     assert_eq!(holder.run_once(&desired(&engine, "1")).await, Ok(1));
-    *api.down.lock() = true;
+    *api.is_down.lock() = true;
     tokio::time::advance(Duration::from_millis(LEASE_MS)).await;
     assert!(holder.run_once(&desired(&engine, "2")).await.is_err());
-    assert_eq!(numbers(&engine), [1]);
+    assert_eq!(fencing_numbers(&engine), [1]);
 }
 
-struct Case {
-    after_ms: u64,
-    waits: bool,
+struct TakeoverCase {
+    elapsed_ms: u64,
+    is_too_early: bool,
 }
 
 #[test]
-fn a_successor_waits_out_the_lease_and_an_orders_way() {
+fn successor_waits_for_lease_and_order_timeout() {
     let record = LeaseRecord {
         holder: "host-1".to_owned(),
         fencing: 4,
         renewal: 9,
     };
     let cases = [
-        Case {
-            after_ms: LEASE_MS,
-            waits: true,
+        TakeoverCase {
+            elapsed_ms: LEASE_MS,
+            is_too_early: true,
         },
-        Case {
-            after_ms: LEASE_MS + ORDER_TIMEOUT_MS - 1,
-            waits: true,
+        TakeoverCase {
+            elapsed_ms: LEASE_MS + ORDER_TIMEOUT_MS - 1,
+            is_too_early: true,
         },
-        Case {
-            after_ms: LEASE_MS + ORDER_TIMEOUT_MS,
-            waits: false,
+        TakeoverCase {
+            elapsed_ms: LEASE_MS + ORDER_TIMEOUT_MS,
+            is_too_early: false,
         },
     ];
     for case in cases {
         let mut lease = Lease::default();
         let read = || Some((7, record.clone()));
         assert_eq!(lease.decide(1_000, "host-2", read()), LeaseAction::Wait);
-        let turn = lease.decide(1_000 + case.after_ms, "host-2", read());
-        assert_eq!(turn == LeaseAction::Wait, case.waits);
-        if let LeaseAction::Write { over, record } = turn {
+        let action = lease.decide(1_000 + case.elapsed_ms, "host-2", read());
+        assert_eq!(action == LeaseAction::Wait, case.is_too_early);
+        if let LeaseAction::Write { over, record } = action {
             assert_eq!((over, record.fencing), (Some(7), 5));
         }
     }
