--- a/crates/bench/src/slopes/bytes.rs
+++ b/crates/bench/src/slopes/bytes.rs
@@ -1,8 +1,8 @@
 //! The bytes of each control message as it goes over the wire.
 
 use fulmarpath_policy::{
-    Bounds, EngineLoad, EnginePermitRequest, HostKey, OrganisationKey, PermitKey, PermitRequestId,
-    ServiceKey, UpstreamKey,
+    EngineLoad, EnginePermitRequest, HostKey, OrganisationKey, PermitKey, PermitRequestId,
+    RequestLimits, ServiceKey, UpstreamKey,
 };
 use fulmarpath_wire::{
     ClaimAnswer, ClaimRequest, LimitAnswer, MemberInfo, MemberState, PermitAnswer, PermitId,
@@ -99,7 +99,7 @@
     let slot = SlotRequest {
         organisation: OrganisationKey(u64::MAX),
         host: HostKey(u64::MAX),
-        bounds: Bounds {
+        bounds: RequestLimits {
             requests_per_s: 40.0,
             concurrent: 400,
         },
--- a/crates/bench/src/slopes/cpu.rs
+++ b/crates/bench/src/slopes/cpu.rs
@@ -4,8 +4,8 @@
 
 use fulmarpath::dev::{Deployment, Size};
 use fulmarpath_policy::{
-    Bounds, EnginePermitRequest, HostKey, OrganisationKey, PermitKey, PermitRequestId, ServiceKey,
-    UpstreamKey,
+    EnginePermitRequest, HostKey, OrganisationKey, PermitKey, PermitRequestId, RequestLimits,
+    ServiceKey, UpstreamKey,
 };
 use fulmarpath_wire::{
     MemberInfo, MemberState, PeerClient, PermitId, Ping, Progress, Rumour, RunState, SlotRequest,
@@ -77,7 +77,7 @@
     let slot = SlotRequest {
         organisation: OrganisationKey(1),
         host: HostKey(1),
-        bounds: Bounds {
+        bounds: RequestLimits {
             requests_per_s: 1e9,
             concurrent: u32::MAX,
         },
--- a/crates/cluster/src/node.rs
+++ b/crates/cluster/src/node.rs
@@ -8,8 +8,8 @@
 
 use async_trait::async_trait;
 use fulmarpath_policy::{
-    Bounds, EngineLoad, HostKey, LimitTable, Millis, OrganisationKey, Over, PermitRequestId,
-    UpstreamKey,
+    EngineLoad, HostKey, LimitExceeded, LimitTable, Millis, OrganisationKey, PermitRequestId,
+    RequestLimits, UpstreamKey,
 };
 use fulmarpath_store::{HostEntry, HostList, HostListing, ListedState, ObjectApi, Role};
 use fulmarpath_upstream::Plain;
@@ -235,8 +235,8 @@
     pub async fn take_slot(
         &self,
         organisation: OrganisationKey,
-        bounds: Bounds,
-    ) -> Result<(), Over> {
+        bounds: RequestLimits,
+    ) -> Result<(), LimitExceeded> {
         let request = SlotRequest {
             organisation,
             host: self.key,
@@ -259,9 +259,9 @@
                 *self.slots.lock().entry(organisation).or_default() += 1;
                 Ok(())
             }
-            LimitAnswer::OverRate { retry_after_ms } => Err(Over::Rate { retry_after_ms }),
+            LimitAnswer::OverRate { retry_after_ms } => Err(LimitExceeded::Rate { retry_after_ms }),
             LimitAnswer::OverConcurrency { retry_after_ms } => {
-                Err(Over::Concurrency { retry_after_ms })
+                Err(LimitExceeded::Concurrency { retry_after_ms })
             }
         }
     }
@@ -276,10 +276,10 @@
     pub(crate) fn acquire_slot(&self, request: SlotRequest) -> LimitAnswer {
         let now_ms = self.clock.now_ms();
         let mut limits = self.limits.lock();
-        match limits.take(now_ms, request.organisation, request.host, request.bounds) {
+        match limits.acquire(now_ms, request.organisation, request.host, request.bounds) {
             Ok(()) => LimitAnswer::Taken,
-            Err(Over::Rate { retry_after_ms }) => LimitAnswer::OverRate { retry_after_ms },
-            Err(Over::Concurrency { retry_after_ms }) => {
+            Err(LimitExceeded::Rate { retry_after_ms }) => LimitAnswer::OverRate { retry_after_ms },
+            Err(LimitExceeded::Concurrency { retry_after_ms }) => {
                 LimitAnswer::OverConcurrency { retry_after_ms }
             }
         }
@@ -320,7 +320,7 @@
         let now_ms = self.clock.now_ms();
         let mut limits = self.limits.lock();
         for (organisation, count) in slots {
-            limits.restate(now_ms, *organisation, host, *count);
+            limits.set_held(now_ms, *organisation, host, *count);
         }
     }
 
--- a/crates/entry/src/outcome.rs
+++ b/crates/entry/src/outcome.rs
@@ -1,7 +1,7 @@
 //! What became of a request, in types that keep "not run" and "outcome unknown" apart.
 
 use fulmarpath_cluster::{NotGranted, Quarantined};
-use fulmarpath_policy::{Millis, Over};
+use fulmarpath_policy::{LimitExceeded, Millis};
 use fulmarpath_upstream::Finish;
 
 /// Proof that nothing of a request has been sent to any upstream.
@@ -30,10 +30,10 @@
     /// No permit to start.
     #[error("{0}")]
     NotGranted(NotGranted),
-    /// Over the organisation's rate limit.
+    /// LimitExceeded the organisation's rate limit.
     #[error("could not accept more requests a second of this organisation")]
     OverRate,
-    /// Over the organisation's limit of requests at once.
+    /// LimitExceeded the organisation's limit of requests at once.
     #[error("could not accept more requests at once of this organisation")]
     OverConcurrency,
     /// This host has too many open streams.
@@ -80,13 +80,13 @@
     }
 
     /// The same for a request over its organisation's limits.
-    pub(crate) fn over(_proof: Unsent, over: Over) -> Self {
+    pub(crate) fn over(_proof: Unsent, over: LimitExceeded) -> Self {
         match over {
-            Over::Rate { retry_after_ms } => Self {
+            LimitExceeded::Rate { retry_after_ms } => Self {
                 reason: NotRunReason::OverRate,
                 retry_after_ms,
             },
-            Over::Concurrency { retry_after_ms } => Self {
+            LimitExceeded::Concurrency { retry_after_ms } => Self {
                 reason: NotRunReason::OverConcurrency,
                 retry_after_ms,
             },
--- a/crates/entry/src/submit.rs
+++ b/crates/entry/src/submit.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 
 use fulmarpath_cluster::{ActiveConfiguration, PermitRequest};
-use fulmarpath_policy::{Bounds, HostKey, OrganisationKey, ServiceKey};
+use fulmarpath_policy::{HostKey, OrganisationKey, RequestLimits, ServiceKey};
 use fulmarpath_settings::{Organisation, ServiceKind};
 use fulmarpath_wire::{ClaimAnswer, ClaimRequest};
 use tracing::Instrument;
@@ -244,7 +244,7 @@
         organisation: &Organisation,
         unsent: Unsent,
     ) -> Result<Unsent, Problem> {
-        let bounds = Bounds {
+        let bounds = RequestLimits {
             requests_per_s: organisation.requests_per_s,
             concurrent: organisation.concurrent_requests,
         };
--- a/crates/gateway/src/cell_layout.rs
+++ b/crates/gateway/src/cell_layout.rs
@@ -2,7 +2,7 @@
 
 use std::collections::{BTreeMap, HashMap};
 
-use fulmarpath_policy::{Division, RunKey, UpstreamKey};
+use fulmarpath_policy::{CellPartitioning, RunKey, UpstreamKey};
 use fulmarpath_wire::CellKey;
 
 use crate::directory::Registration;
@@ -21,16 +21,16 @@
 
 /// Groups engines by cell; a service that is not divided has one cell, also without engines.
 pub(crate) fn divide<'a>(
-    division: &Division,
+    division: &CellPartitioning,
     service: &str,
     registered: &[&'a Registration],
 ) -> HashMap<CellKey, Vec<&'a Registration>> {
     let mut by_cell: HashMap<CellKey, Vec<&Registration>> = HashMap::new();
-    if division == &Division::default() {
+    if division == &CellPartitioning::default() {
         by_cell.insert(cell_key(service, None), Vec::new());
     }
     for one in registered {
-        let part = division.part_with(&one.data_centre, name_key(one));
+        let part = division.partition_of_engine(&one.data_centre, name_key(one));
         by_cell
             .entry(cell_key(service, part))
             .or_default()
@@ -41,10 +41,13 @@
 
 /// The cell for a generation that a host in `data_centre` starts.
 pub(crate) fn cell_for(
-    division: &Division,
+    division: &CellPartitioning,
     service: &str,
     data_centre: &str,
     run: RunKey,
 ) -> CellKey {
-    cell_key(service, division.part_for(data_centre, run.0))
+    cell_key(
+        service,
+        division.partition_for_generation(data_centre, run.0),
+    )
 }
--- a/crates/gateway/src/cells.rs
+++ b/crates/gateway/src/cells.rs
@@ -4,8 +4,8 @@
 use std::collections::HashMap;
 
 use fulmarpath_policy::{
-    Cell, CellEngine, Division, EngineCapacity, HostKey, Migration, MigrationOutcome, Millis,
-    Placement, PlacementRequest, RunEnd, RunKey, UpstreamKey, Verdict,
+    Cell, CellEngine, CellPartitioning, EngineCapacity, HostKey, Migration, MigrationOutcome,
+    Millis, Placement, PlacementRequest, RunEnd, RunKey, UpstreamKey, Verdict,
 };
 use fulmarpath_wire::{CellKey, RelayedRuns};
 use parking_lot::Mutex;
@@ -24,7 +24,7 @@
 
 /// How a service is divided into cells after an update.
 struct DivisionChange {
-    division: Division,
+    division: CellPartitioning,
     /// Whether engines belong to other cells than before.
     is_new: bool,
 }
@@ -36,7 +36,7 @@
 pub(crate) struct Cells {
     tables: Mutex<HashMap<CellKey, Table>>,
     /// The division of each service into cells.
-    divisions: Mutex<HashMap<String, Division>>,
+    divisions: Mutex<HashMap<String, CellPartitioning>>,
     by_engine: Mutex<CellsByEngine>,
 }
 
@@ -99,10 +99,10 @@
     fn update_division(&self, service: &str, registered: &[&Registration]) -> DivisionChange {
         let mut divisions = self.divisions.lock();
         let before = divisions.get(service).cloned().unwrap_or_default();
-        let division = before.next(&cell_layout::count(registered));
+        let division = before.updated(&cell_layout::count(registered));
         divisions.insert(service.to_owned(), division.clone());
         DivisionChange {
-            is_new: !division.has_cells_of(&before),
+            is_new: !division.has_same_cells(&before),
             division,
         }
     }
--- a/crates/gateway/src/dissemination.rs
+++ b/crates/gateway/src/dissemination.rs
@@ -15,7 +15,8 @@
 
 use fulmarpath_cluster::Members;
 use fulmarpath_policy::{
-    HostKey, Listener, Millis, Revision, WatchArea, WatchCandidate, branches, parts,
+    HostKey, Millis, Recipient, Revision, WatchArea, WatchCandidate, broadcast_branches,
+    split_branch,
 };
 use fulmarpath_wire::{Announcement, GatewayPeerClient, ReplicatedState, Rumour};
 use parking_lot::Mutex;
@@ -58,7 +59,7 @@
     /// Whether this host knows enough of the others to determine the watchers.
     fn may_watch(&self) -> bool {
         let now_ms = self.clock.now_ms();
-        self.fleet.join.lock().may_watch(now_ms)
+        self.fleet.join.lock().may_watch_store(now_ms)
     }
 
     /// Whether this host watches for its area.
@@ -76,7 +77,7 @@
             .filter(|(key, note)| *key != me && area.contains(&note.data_centre));
         let others = in_area.map(|(key, _)| WatchCandidate {
             rank: key.0,
-            is_blind: unreadable
+            store_unreadable: unreadable
                 .get(&key)
                 .is_some_and(|until_ms| now_ms < *until_ms),
         });
@@ -200,12 +201,12 @@
         let recipients = members
             .homes()
             .filter(|(key, note)| *key != me && includes(&note.data_centre));
-        let recipients = recipients.map(|(key, note)| Listener {
+        let recipients = recipients.map(|(key, note)| Recipient {
             data_centre: note.data_centre.as_str(),
             rank: key.0,
             address: note.address,
         });
-        branches(&self.settings.host.data_centre, recipients)
+        broadcast_branches(&self.settings.host.data_centre, recipients)
     }
 
     /// Sends an update to the first host of each branch, which forwards it to the rest.
@@ -250,7 +251,7 @@
             warn!(
                 "spread: a host does not answer, its branch is sent the update directly: {error}"
             );
-            self.send_to_branches(holding, &value, parts(&rest));
+            self.send_to_branches(holding, &value, split_branch(&rest));
         }
     }
 
@@ -273,7 +274,7 @@
             warn!("spread: could not decode an update: {error}");
             return;
         }
-        self.send_to_branches(holding, &value, parts(&audience));
+        self.send_to_branches(holding, &value, split_branch(&audience));
     }
 
     fn handle_members(&self, value: &[u8]) -> Result<(), EncodingError> {
--- a/crates/gateway/src/evacuations.rs
+++ b/crates/gateway/src/evacuations.rs
@@ -90,7 +90,7 @@
     pub(crate) fn apply_evacuations(&self, state: EvacuationState, source: &str) {
         self.observe_era(state.revision, source);
         self.change_evacuations(source, |evacuations, now_ms| {
-            evacuations.hear(now_ms, state)
+            evacuations.merge_peer(now_ms, state)
         });
     }
 
--- a/crates/gateway/src/fleet.rs
+++ b/crates/gateway/src/fleet.rs
@@ -115,11 +115,11 @@
     /// recently, or has never met any.
     pub(crate) fn has_recent_contact(&self, now_ms: Millis) -> bool {
         let join = *self.join.lock();
-        if !join.has_met() {
-            return join.may_watch(now_ms);
+        if !join.has_met_peer() {
+            return join.may_watch_store(now_ms);
         }
         let last_contact_ms = self.last_contact_ms.load(Ordering::Relaxed);
-        join.may_watch(now_ms) && now_ms.saturating_sub(last_contact_ms) < CONTACT_TIMEOUT_MS
+        join.may_watch_store(now_ms) && now_ms.saturating_sub(last_contact_ms) < CONTACT_TIMEOUT_MS
     }
 
     /// Number of hosts that are considered present, this one included.
@@ -301,7 +301,7 @@
     fn has_diverged(&self, theirs: MembersDigest) -> bool {
         let own = self.fleet.members.lock().digest();
         let mut drift = self.fleet.drift.lock();
-        drift.hear(self.clock.now_ms(), own == theirs.0)
+        drift.should_exchange(self.clock.now_ms(), own == theirs.0)
     }
 
     /// Exchanges the complete member lists with a peer; returns whether it answered.
@@ -334,7 +334,7 @@
         let now_ms = self.clock.now_ms();
         let own = self.roster.lock().revision();
         let mut lag = self.fleet.lag.lock();
-        lag.hear(now_ms, own, theirs, Directory::PROVISIONAL, FETCH_DELAY_MS)
+        lag.should_fetch(now_ms, own, theirs, Directory::PROVISIONAL, FETCH_DELAY_MS)
     }
 
     async fn fetch_configuration(&self, peer: SocketAddr) -> Option<Configuration> {
--- a/crates/gateway/src/instances.rs
+++ b/crates/gateway/src/instances.rs
@@ -67,7 +67,7 @@
             let key = table.adopt(now_ms, registration);
             let one = &mut table.arena[key];
             one.cold_limit = cold_limits.get(&registration.service);
-            one.is_evacuated = evacuations.covers(&registration.data_centre);
+            one.is_evacuated = evacuations.is_evacuated(&registration.data_centre);
             // When an evacuation ends, the upstreams of the data centre are cold.
             if let Some(ended_ms) = evacuations.ended_ms(&registration.data_centre) {
                 one.mark_cold(ended_ms);
--- a/crates/gateway/src/join.rs
+++ b/crates/gateway/src/join.rs
@@ -11,7 +11,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use fulmarpath_policy::{Absences, HostKey};
+use fulmarpath_policy::{HostKey, UnresponsiveHosts};
 use fulmarpath_wire::{GatewayPeerClient, ReplicatedState, Rumour};
 use parking_lot::Mutex;
 use rand::seq::SliceRandom;
@@ -65,7 +65,7 @@
             sleep(period).await;
             if self.fleet.host_count() > 1 {
                 // Other hosts have found this one.
-                self.fleet.join.lock().meet(self.clock.now_ms());
+                self.fleet.join.lock().record_peer(self.clock.now_ms());
                 break;
             }
         }
@@ -73,7 +73,7 @@
     }
 
     fn is_lonely(&self) -> bool {
-        self.fleet.join.lock().is_lonely(self.clock.now_ms())
+        self.fleet.join.lock().should_discover(self.clock.now_ms())
     }
 
     /// Introduces this host to one of the addresses; returns whether one answered.
@@ -82,13 +82,13 @@
         order.shuffle(&mut rand::rng());
         let sample = self.introduce(order).await;
         let Some(sample) = sample else {
-            self.fleet.join.lock().ask_peers();
+            self.fleet.join.lock().finish_peer_queries();
             return false;
         };
-        self.fleet.join.lock().meet(self.clock.now_ms());
+        self.fleet.join.lock().record_peer(self.clock.now_ms());
         info!("fleet: met, {} members named", sample.len());
         self.sync_with_any(sample).await;
-        self.fleet.join.lock().ask_peers();
+        self.fleet.join.lock().finish_peer_queries();
         true
     }
 
@@ -210,7 +210,7 @@
             return ENTRY_PERIOD;
         };
         if others.is_empty() {
-            self.fleet.join.lock().find_nobody();
+            self.fleet.join.lock().record_no_other_host();
             return NO_HOSTS_PERIOD;
         }
         let mut addresses: Vec<SocketAddr> = others.into_values().collect();
@@ -229,18 +229,18 @@
     /// not know of each other, and each would place generations as if it had all engines to itself.
     /// Each part has a watcher, and both write their entries into the same store.
     async fn keep_entries(self: &Arc<Self>) {
-        let mut absences = Absences::default();
+        let mut absences = UnresponsiveHosts::default();
         loop {
             sleep(ENTRY_CHECK_PERIOD).await;
             if self.is_watcher() {
                 self.check_entries(&mut absences).await;
             } else {
-                absences = Absences::default();
+                absences = UnresponsiveHosts::default();
             }
         }
     }
 
-    async fn check_entries(self: &Arc<Self>, absences: &mut Absences) {
+    async fn check_entries(self: &Arc<Self>, absences: &mut UnresponsiveHosts) {
         if !self.fleet.has_entry() && !self.write_entry().await {
             return;
         }
@@ -252,12 +252,12 @@
             let present: Vec<SocketAddr> = members.homes().map(|(_, note)| note.address).collect();
             others.retain(|_, address| !present.contains(address));
         }
-        absences.keep(|name| others.contains_key(name));
+        absences.retain(|name| others.contains_key(name));
         for (name, address) in others.into_iter().take(MAX_CONTACTED_ENTRIES) {
             if self.contact_any(&[address]).await {
-                absences.answer(&name);
+                absences.record_answer(&name);
                 self.announce_all_known();
-            } else if absences.miss(&name) {
+            } else if absences.record_miss(&name) {
                 info!("fleet: removing the entry of {name}, which does not answer");
                 self.remove_entry(&name).await;
             }
--- a/crates/gateway/src/roster.rs
+++ b/crates/gateway/src/roster.rs
@@ -166,7 +166,7 @@
             return false;
         }
         let received = snapshot.revision;
-        if received.is_return_since(self.revision, Directory::PROVISIONAL) {
+        if received.is_restore_since(self.revision, Directory::PROVISIONAL) {
             // Upstreams that the backup lacks have yet to register again.
             self.grace_until_ms = self.grace_until_ms.max(now_ms + REREGISTRATION_GRACE_MS);
         }
--- a/crates/gateway/src/store_sync.rs
+++ b/crates/gateway/src/store_sync.rs
@@ -162,7 +162,7 @@
     /// Whether this host may read from the store what no peer has provided.
     fn may_read(&self) -> bool {
         let now_ms = self.clock.now_ms();
-        self.fleet.join.lock().may_read(now_ms)
+        self.fleet.join.lock().may_read_store(now_ms)
     }
 
     /// Time until a host that does not watch checks again whether it should.
@@ -272,7 +272,7 @@
 /// Logs the differences to a store that was restored from a backup since a revision.
 pub(crate) fn log_store_restored(before: Revision, roster: &Roster) {
     let revision = roster.revision();
-    if !revision.is_return_since(before, Directory::PROVISIONAL) {
+    if !revision.is_restore_since(before, Directory::PROVISIONAL) {
         return;
     }
     let unconfirmed = roster.unconfirmed();
--- a/crates/policy/src/branches.rs
+++ b/crates/policy/src/broadcast.rs
@@ -11,7 +11,7 @@
 
 /// A host that is to hear news, and where it stands.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Listener<'a, T> {
+pub struct Recipient<'a, T> {
     /// Its data centre.
     pub data_centre: &'a str,
     /// Its rank among all hosts, the same at each host that sends.
@@ -22,11 +22,11 @@
 
 /// Cuts the audience of a host in `here` into branches. The first of each is told, with the rest of
 /// its branch to tell.
-pub fn branches<'a, T: Copy>(
+pub fn broadcast_branches<'a, T: Copy>(
     here: &str,
-    audience: impl IntoIterator<Item = Listener<'a, T>>,
+    audience: impl IntoIterator<Item = Recipient<'a, T>>,
 ) -> Vec<Vec<T>> {
-    let mut by_data_centre: BTreeMap<&str, Vec<Listener<'a, T>>> = BTreeMap::new();
+    let mut by_data_centre: BTreeMap<&str, Vec<Recipient<'a, T>>> = BTreeMap::new();
     for one in audience {
         by_data_centre.entry(one.data_centre).or_default().push(one);
     }
@@ -35,7 +35,7 @@
         hosts.sort_by_key(|one| one.rank);
         let addresses: Vec<T> = hosts.into_iter().map(|one| one.address).collect();
         match data_centre == here {
-            true => all.extend(parts(&addresses)),
+            true => all.extend(split_branch(&addresses)),
             false => all.push(addresses),
         }
     }
@@ -43,7 +43,7 @@
 }
 
 /// Cuts hosts of one data centre into branches.
-pub fn parts<T: Copy>(addresses: &[T]) -> Vec<Vec<T>> {
+pub fn split_branch<T: Copy>(addresses: &[T]) -> Vec<Vec<T>> {
     let size = addresses.len().div_ceil(FANOUT).max(1);
     addresses.chunks(size).map(<[T]>::to_vec).collect()
 }
--- a/crates/policy/src/cell/answer_lengths.rs
+++ b/crates/policy/src/cell/answer_lengths.rs
@@ -9,7 +9,7 @@
 use std::collections::BTreeMap;
 
 use crate::key::Millis;
-use crate::lengths::{Curve, Histogram, LEAST_CHANCE};
+use crate::lengths::{Histogram, LEAST_CHANCE, SurvivalCurve};
 
 /// The length of an answer as stated by its caller.
 #[derive(Debug, Clone, Copy)]
@@ -44,14 +44,14 @@
 #[derive(Debug)]
 pub(super) struct AnswerLengths {
     by_limit: BTreeMap<u32, LimitClass>,
-    prior: Curve,
+    prior: SurvivalCurve,
 }
 
 impl Default for AnswerLengths {
     fn default() -> Self {
         Self {
             by_limit: BTreeMap::new(),
-            prior: Curve::unknown(),
+            prior: SurvivalCurve::unknown(),
         }
     }
 }
@@ -92,7 +92,7 @@
     }
 
     /// The length distribution for answers with this limit and hint.
-    fn curve(&self, stated: StatedLength) -> &Curve {
+    fn curve(&self, stated: StatedLength) -> &SurvivalCurve {
         let Some(limit_class) = self.by_limit.get(&stated.limit_class()) else {
             return &self.prior;
         };
@@ -105,7 +105,9 @@
     /// Expected number of tokens still to come for an answer that has `out_tokens`.
     pub(super) fn remaining_tokens(&self, stated: StatedLength, out_tokens: f32) -> f32 {
         let left_tokens = (stated.limit_tokens as f32 - out_tokens).max(0.0);
-        self.curve(stated).rest(out_tokens).min(left_tokens)
+        self.curve(stated)
+            .expected_remaining(out_tokens)
+            .min(left_tokens)
     }
 
     /// Probability that an answer with `out_tokens` is still running `ahead_tokens` later.
@@ -120,8 +122,8 @@
             return 0.0;
         }
         let curve = self.curve(stated);
-        let reached = curve.survive(out_tokens).max(LEAST_CHANCE);
-        (curve.survive(then_tokens) / reached).min(1.0)
+        let reached = curve.survival(out_tokens).max(LEAST_CHANCE);
+        (curve.survival(then_tokens) / reached).min(1.0)
     }
 
     fn limit_class(&mut self, now_ms: Millis, stated: StatedLength) -> &mut LimitClass {
--- a/crates/policy/src/division.rs
+++ b/crates/policy/src/cell_partitioning.rs
@@ -25,13 +25,13 @@
 /// How one service's engines are divided; by default not at all. Hosts that hold the same list and
 /// history divide alike; others ask a home that knows no such cell, and place by themselves.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
-pub struct Division {
+pub struct CellPartitioning {
     data_centres: BTreeMap<String, DataCentre>,
 }
 
-impl Division {
+impl CellPartitioning {
     /// The division for so many engines in each data centre, after this one.
-    pub fn next(&self, counts: &BTreeMap<String, usize>) -> Self {
+    pub fn updated(&self, counts: &BTreeMap<String, usize>) -> Self {
         let total: usize = counts.values().sum();
         let is_divided = !self.data_centres.is_empty();
         let stays_divided = total as f32 > CELL_ENGINES as f32 * SHRINK_SHARE;
@@ -61,7 +61,7 @@
     }
 
     /// Whether engines are of the same cells as under `other`.
-    pub fn has_cells_of(&self, other: &Self) -> bool {
+    pub fn has_same_cells(&self, other: &Self) -> bool {
         let parts = |one: &Self| -> Vec<(String, u64)> {
             let all = one.data_centres.iter();
             all.map(|(name, one)| (name.clone(), one.parts)).collect()
@@ -71,14 +71,14 @@
 
     /// The data centre and part of an engine; `None` where the service is one cell. `draw` is the
     /// engine's own.
-    pub fn part_with(&self, data_centre: &str, draw: u64) -> Option<(&str, u64)> {
+    pub fn partition_of_engine(&self, data_centre: &str, draw: u64) -> Option<(&str, u64)> {
         let (name, one) = self.data_centres.get_key_value(data_centre)?;
         Some((name, draw % one.parts))
     }
 
     /// The data centre and part for a generation that a host in `data_centre` takes: near, where
     /// there are engines, else wherever there are. `None` where the service is one cell.
-    pub fn part_for(&self, data_centre: &str, draw: u64) -> Option<(&str, u64)> {
+    pub fn partition_for_generation(&self, data_centre: &str, draw: u64) -> Option<(&str, u64)> {
         let open = self.data_centres.iter().filter(|(_, one)| one.is_open);
         let near = open.clone().find(|(name, _)| *name == data_centre);
         let any = || {
--- a/crates/policy/src/drift.rs
+++ b/crates/policy/src/drift.rs
@@ -36,7 +36,7 @@
     }
 
     /// Hears whether a peer believes the same; true where this host is to exchange with it.
-    pub fn hear(&mut self, now_ms: Millis, is_same: bool) -> bool {
+    pub fn should_exchange(&mut self, now_ms: Millis, is_same: bool) -> bool {
         if is_same {
             self.differs_since_ms = None;
             return false;
--- a/crates/policy/src/evacuations.rs
+++ b/crates/policy/src/evacuations.rs
@@ -91,7 +91,7 @@
     }
 
     /// Whether upstreams of a data centre get no work.
-    pub fn covers(&self, data_centre: &str) -> bool {
+    pub fn is_evacuated(&self, data_centre: &str) -> bool {
         self.evacuated.contains_key(data_centre)
     }
 
@@ -126,7 +126,7 @@
             return false;
         }
         let is_first = self.seen <= EvacuationState::PROVISIONAL;
-        let is_return = revision.is_return_since(self.seen, EvacuationState::PROVISIONAL);
+        let is_return = revision.is_restore_since(self.seen, EvacuationState::PROVISIONAL);
         let is_confirmed = self.confirm(&data_centres);
         if is_return {
             self.keep_missing(now_ms, &data_centres);
@@ -171,12 +171,12 @@
     }
 
     /// Takes a peer's state; true where it differs from what was known.
-    pub fn hear(&mut self, now_ms: Millis, told: EvacuationState) -> bool {
+    pub fn merge_peer(&mut self, now_ms: Millis, told: EvacuationState) -> bool {
         if !self.is_behind(told.revision) {
             return false;
         }
         let provisional = EvacuationState::PROVISIONAL;
-        let is_return = told.revision.is_return_since(self.seen, provisional);
+        let is_return = told.revision.is_restore_since(self.seen, provisional);
         self.confirm(&told.data_centres);
         if is_return {
             self.keep_missing(now_ms, &told.data_centres);
--- a/crates/policy/src/fit.rs
+++ b/crates/policy/src/fit.rs
@@ -5,7 +5,7 @@
 //! under the engine's memory. (Peak of future memory over estimated remaining lengths: Gong et al.,
 //! "Past-Future Scheduler for LLM Serving under SLA Guarantees", ASPLOS 2025.)
 
-use crate::lengths::Curve;
+use crate::lengths::SurvivalCurve;
 
 /// The steps ahead at which the batch's memory is predicted.
 const HORIZONS_TOKENS: [f32; 12] = [
@@ -46,7 +46,7 @@
     /// The answer's bound.
     pub limit_tokens: f32,
     /// How long such answers are.
-    pub curve: &'a Curve,
+    pub curve: &'a SurvivalCurve,
     /// The whole length, where it is known (the bench's oracle).
     pub known_tokens: Option<f32>,
     /// This generation's own draw between 0 and 1, for [`FitRule::Sampled`].
@@ -56,7 +56,7 @@
 impl Footprint<'_> {
     /// The chance of having reached the tokens that are out.
     fn reached(&self) -> f32 {
-        self.curve.survive(self.out_tokens).max(1e-6)
+        self.curve.survival(self.out_tokens).max(1e-6)
     }
 
     /// The chance of still running `ahead_tokens` later, given the chance of having come so far.
@@ -67,7 +67,7 @@
         }
         match self.known_tokens {
             Some(known) => f32::from(u8::from(then <= known)),
-            None => (self.curve.survive(then) / reached).min(1.0),
+            None => (self.curve.survival(then) / reached).min(1.0),
         }
     }
 
--- a/crates/policy/src/home.rs
+++ b/crates/policy/src/home.rs
@@ -15,7 +15,7 @@
     EnginePermitRequest, Outcome, PermitKey, PermitRequestId, RefusalReason,
 };
 use crate::queue::{Waiting, next};
-use crate::unexplained::Unexplained;
+use crate::unaccounted_memory::UnaccountedMemory;
 
 /// A home's own count of its engine.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
@@ -43,7 +43,7 @@
     permits: SlotMap<PermitKey, Permit>,
     queue: Vec<Waiting>,
     fairness: Fairness,
-    unexplained: Unexplained,
+    unaccounted: UnaccountedMemory,
     held_tokens: u64,
     next_prompt_at_ms: f64,
     next_move_at_ms: Millis,
@@ -61,7 +61,7 @@
             permits: SlotMap::with_key(),
             queue: Vec::new(),
             fairness: Fairness::default(),
-            unexplained: Unexplained::default(),
+            unaccounted: UnaccountedMemory::default(),
             held_tokens: 0,
             next_prompt_at_ms: 0.0,
             next_move_at_ms: 0,
@@ -178,8 +178,8 @@
 
     /// Takes in the engine's late report.
     pub fn report(&mut self, now_ms: Millis, load: EngineLoad) {
-        self.unexplained.note(now_ms, self.held_tokens as f32);
-        self.unexplained.report(load.used_tokens as f32);
+        self.unaccounted.note(now_ms, self.held_tokens as f32);
+        self.unaccounted.report(load.used_tokens as f32);
         if load.memory_tokens > 0 {
             self.settings.memory_tokens = load.memory_tokens;
         }
@@ -198,7 +198,7 @@
     pub fn step(&mut self, now_ms: Millis, lengths: &Lengths, outcomes: &mut Vec<Outcome>) {
         self.lapse(now_ms);
         self.backlog.pass(now_ms, self.queue.is_empty());
-        self.unexplained.note(now_ms, self.held_tokens as f32);
+        self.unaccounted.note(now_ms, self.held_tokens as f32);
         self.refuse(now_ms, outcomes);
         if !self.queue.is_empty() {
             self.grant(now_ms, lengths, outcomes);
@@ -307,7 +307,7 @@
             let out_tokens = permit.likely_out_tokens(now_ms, self.tokens_per_ms);
             forecast.add(&permit.footprint(out_tokens, lengths), settings.fit);
         }
-        let memory = settings.memory_tokens as f32 - self.unexplained.tokens();
+        let memory = settings.memory_tokens as f32 - self.unaccounted.tokens();
         loop {
             let chosen = next(
                 &self.queue,
@@ -331,7 +331,7 @@
             let wanted = wanted(&ask, lengths);
             // An empty engine takes anything that isn't too large, or a careful rule would leave
             // a caller waiting before an idle engine.
-            let idle = self.permits.is_empty() && self.unexplained.tokens() < 1.0;
+            let idle = self.permits.is_empty() && self.unaccounted.tokens() < 1.0;
             if !idle && !forecast.fits(&wanted, settings.fit, usable) {
                 break;
             }
@@ -392,7 +392,7 @@
                 permit.ask.prompt_tokens + out_tokens + FILLING_STEPS
             })
             .sum();
-        let soon = likely as f32 + self.unexplained.tokens();
+        let soon = likely as f32 + self.unaccounted.tokens();
         if soon <= self.settings.memory_tokens as f32 || now_ms < self.next_move_at_ms {
             return;
         }
--- a/crates/policy/src/home_settings.rs
+++ b/crates/policy/src/home_settings.rs
@@ -50,7 +50,7 @@
         Self {
             memory_tokens,
             fit: FitRule::Normal {
-                z: weights.caution(),
+                z: weights.reserve_deviations(),
                 share: 1.0,
             },
             order: OrderRule::SmallestFirst {
--- a/crates/policy/src/join.rs
+++ b/crates/policy/src/join.rs
@@ -49,27 +49,27 @@
     }
 
     /// Another host has answered.
-    pub fn meet(&mut self, now_ms: Millis) {
+    pub fn record_peer(&mut self, now_ms: Millis) {
         self.met_ms.get_or_insert(now_ms);
     }
 
     /// Peers were asked for what they hold, and have told it or have nothing to tell.
-    pub fn ask_peers(&mut self) {
+    pub fn finish_peer_queries(&mut self) {
         self.has_asked_peers = true;
     }
 
     /// The store names no other host.
-    pub fn find_nobody(&mut self) {
+    pub fn record_no_other_host(&mut self) {
         self.is_alone = true;
     }
 
     /// Whether another host has answered.
-    pub fn has_met(&self) -> bool {
+    pub fn has_met_peer(&self) -> bool {
         self.met_ms.is_some()
     }
 
     /// Whether what no peer has told may be read from the store.
-    pub fn may_read(&self, now_ms: Millis) -> bool {
+    pub fn may_read_store(&self, now_ms: Millis) -> bool {
         if self.has_asked_peers {
             return true;
         }
@@ -80,7 +80,7 @@
     }
 
     /// Whether this host knows enough of the others to tell who watches the store.
-    pub fn may_watch(&self, now_ms: Millis) -> bool {
+    pub fn may_watch_store(&self, now_ms: Millis) -> bool {
         match self.met_ms {
             Some(met_ms) => now_ms.saturating_sub(met_ms) >= SETTLE_MS,
             None => self.is_alone || self.age_ms(now_ms) >= ALONE_MS,
@@ -88,8 +88,8 @@
     }
 
     /// Whether this host looks for others by their entries in the store.
-    pub fn is_lonely(&self, now_ms: Millis) -> bool {
-        !self.has_met() && (!self.has_seeds || self.age_ms(now_ms) >= LONELY_MS)
+    pub fn should_discover(&self, now_ms: Millis) -> bool {
+        !self.has_met_peer() && (!self.has_seeds || self.age_ms(now_ms) >= LONELY_MS)
     }
 
     fn age_ms(&self, now_ms: Millis) -> Millis {
--- a/crates/policy/src/lag.rs
+++ b/crates/policy/src/lag.rs
@@ -25,7 +25,7 @@
     /// Hears which revision a peer holds; true where this host is to ask it for all, which is not
     /// said again before `bound_ms` have passed. Up to the revision `provisional` this host holds
     /// nothing that it can count on, and asks at once.
-    pub fn hear(
+    pub fn should_fetch(
         &mut self,
         now_ms: Millis,
         own: Revision,
--- a/crates/policy/src/lengths.rs
+++ b/crates/policy/src/lengths.rs
@@ -25,7 +25,7 @@
 
 /// The chance that an answer is at least so long.
 #[derive(Debug, Clone)]
-pub struct Curve {
+pub struct SurvivalCurve {
     /// `survival[i]` is the chance of at least `2^(i/4)` tokens.
     survival: [f32; BUCKETS + 1],
     /// `rest_tokens[i]` is how much longer an answer of `2^(i/4)` tokens is expected to go on.
@@ -56,7 +56,7 @@
     rest_tokens
 }
 
-impl Curve {
+impl SurvivalCurve {
     /// Of answers of which nothing is known: each doubling from 4 to 4,096 tokens is held equally
     /// likely.
     pub(crate) fn unknown() -> Self {
@@ -99,7 +99,7 @@
     }
 
     /// The chance of an answer of at least `length_tokens`.
-    pub fn survive(&self, length_tokens: f32) -> f32 {
+    pub fn survival(&self, length_tokens: f32) -> f32 {
         if length_tokens <= 1.0 {
             return 1.0;
         }
@@ -111,7 +111,7 @@
     }
 
     /// How much longer an answer is expected to go on that has reached `out_tokens`.
-    pub fn rest(&self, out_tokens: f32) -> f32 {
+    pub fn expected_remaining(&self, out_tokens: f32) -> f32 {
         let at = position(out_tokens);
         let index = at as usize;
         let part = at - index as f32;
@@ -122,7 +122,7 @@
     /// The whole length that a share `chance` of the answers exceed, of those that have reached
     /// `out_tokens` already.
     pub fn length_at(&self, out_tokens: f32, chance: f32) -> f32 {
-        let target = self.survive(out_tokens) * chance;
+        let target = self.survival(out_tokens) * chance;
         let start = position(out_tokens) as usize;
         for index in start..BUCKETS {
             let (high, low) = (self.survival[index], self.survival[index + 1]);
@@ -158,13 +158,13 @@
     ended: [f32; BUCKETS],
     weight: f32,
     faded_at_ms: Millis,
-    curve: Curve,
+    curve: SurvivalCurve,
     expected_tokens: f32,
     unseen: u32,
 }
 
 impl Histogram {
-    pub(crate) fn new(now_ms: Millis, parent: &Curve) -> Self {
+    pub(crate) fn new(now_ms: Millis, parent: &SurvivalCurve) -> Self {
         Self {
             reached: [0.0; BUCKETS],
             ended: [0.0; BUCKETS],
@@ -177,7 +177,7 @@
     }
 
     /// What is known so far, by itself and by its parent.
-    pub(crate) fn curve(&self) -> &Curve {
+    pub(crate) fn curve(&self) -> &SurvivalCurve {
         &self.curve
     }
 
@@ -207,7 +207,7 @@
         now_ms: Millis,
         from_tokens: u32,
         length_tokens: u32,
-        parent: &Curve,
+        parent: &SurvivalCurve,
     ) {
         self.fade(now_ms);
         self.advance(from_tokens, length_tokens);
@@ -222,9 +222,9 @@
         }
     }
 
-    fn refresh(&mut self, parent: &Curve) {
+    fn refresh(&mut self, parent: &SurvivalCurve) {
         let of_parent = parent.density();
-        self.curve = Curve::from_ends(|index| {
+        self.curve = SurvivalCurve::from_ends(|index| {
             let ended = self.ended[index] + PARENT_WEIGHT * of_parent[index];
             let reached = self.reached[index] + PARENT_WEIGHT * parent.survival[index];
             (ended / reached.max(LEAST_CHANCE)).min(1.0)
@@ -240,7 +240,7 @@
     all: Histogram,
     by_service: HashMap<ServiceKey, Histogram>,
     by_caller: HashMap<(OrganisationKey, ServiceKey), Histogram>,
-    start: Curve,
+    start: SurvivalCurve,
 }
 
 impl Default for Lengths {
@@ -252,7 +252,7 @@
 impl Lengths {
     /// No history.
     pub fn new() -> Self {
-        let start = Curve::unknown();
+        let start = SurvivalCurve::unknown();
         Self {
             all: Histogram::new(0, &start),
             by_service: HashMap::new(),
@@ -283,7 +283,7 @@
     }
 
     /// The best known curve for a caller.
-    pub fn curve(&self, organisation: OrganisationKey, service: ServiceKey) -> &Curve {
+    pub fn curve(&self, organisation: OrganisationKey, service: ServiceKey) -> &SurvivalCurve {
         &self.histogram(organisation, service).curve
     }
 
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -3,15 +3,14 @@
 //! Nothing here performs input or output or reads a clock: the present time is an argument, in
 //! milliseconds since a start that the caller chooses.
 
-mod absences;
 mod backlog;
 mod backpressure;
-mod branches;
+mod broadcast;
 mod cell;
+mod cell_partitioning;
 mod choose;
 mod circuit;
 mod cold;
-mod division;
 mod drift;
 mod evacuations;
 mod failures;
@@ -35,25 +34,25 @@
 mod retry;
 mod retry_window;
 mod revision;
-mod unexplained;
+mod unaccounted_memory;
+mod unresponsive_hosts;
 mod upstream_stats;
 mod watchers;
 mod weights;
 
-pub use absences::Absences;
 pub use backpressure::{Backpressure, Signals};
-pub use branches::{Listener, branches, parts};
+pub use broadcast::{Recipient, broadcast_branches, split_branch};
 pub use cell::{
     Cell, CellEngine, EngineCapacity, EngineSnapshot, Migration, MigrationOutcome, Placement,
     PlacementRequest, RunEnd, RunKey, RunStatement,
 };
+pub use cell_partitioning::CellPartitioning;
 pub use choose::{Choice, choose};
 pub use circuit::{
     Admission, Circuit, CircuitState, Circuits, CrashRecord, RecentSuccesses, Restoration,
     is_crash_suspect,
 };
 pub use cold::{Cold, ColdBound, ColdStarts};
-pub use division::Division;
 pub use drift::Drift;
 pub use evacuations::{EvacuationChange, EvacuationState, Evacuations};
 pub use fair::Fairness;
@@ -64,8 +63,8 @@
 pub use join::Join;
 pub use key::{ContentKey, HostKey, Millis, ModelKey, OrganisationKey, ServiceKey, UpstreamKey};
 pub use lag::Lag;
-pub use lengths::{Curve, Lengths};
-pub use limits::{Bounds, LimitTable, Over};
+pub use lengths::{Lengths, SurvivalCurve};
+pub use limits::{LimitExceeded, LimitTable, RequestLimits};
 pub use load::EngineLoad;
 pub use pacer::Pacer;
 pub use permit_request::{EnginePermitRequest, Outcome, PermitKey, PermitRequestId, RefusalReason};
@@ -75,6 +74,7 @@
 pub use retry::RetryBudget;
 pub use retry_window::{RetryBound, RetryWindow};
 pub use revision::Revision;
+pub use unresponsive_hosts::UnresponsiveHosts;
 pub use upstream_stats::{InFlightId, ReportedLoad, UpstreamStats, Verdict};
 pub use watchers::{WatchArea, WatchCandidate};
 pub use weights::Weights;
--- a/crates/policy/src/limits.rs
+++ b/crates/policy/src/limits.rs
@@ -11,7 +11,7 @@
 
 /// An organisation's declared limits.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
-pub struct Bounds {
+pub struct RequestLimits {
     /// Requests a second, also the burst.
     pub requests_per_s: f32,
     /// Requests at once.
@@ -20,7 +20,7 @@
 
 /// Why a request is over its limit, and when to come back.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Over {
+pub enum LimitExceeded {
     /// Too many requests a second.
     Rate {
         /// Time until the next is allowed.
@@ -57,13 +57,13 @@
 
 impl LimitTable {
     /// Takes a slot for one request of `organisation` at `host`.
-    pub fn take(
+    pub fn acquire(
         &mut self,
         now_ms: Millis,
         organisation: OrganisationKey,
         host: HostKey,
-        bounds: Bounds,
-    ) -> Result<(), Over> {
+        bounds: RequestLimits,
+    ) -> Result<(), LimitExceeded> {
         let usage = self.usage.entry(organisation).or_insert(Usage {
             allowance: bounds.requests_per_s,
             refilled_at_ms: now_ms,
@@ -81,11 +81,11 @@
         if usage.allowance < 1.0 {
             let wait_s = (1.0 - usage.allowance) / bounds.requests_per_s.max(0.001);
             let retry_after_ms = (wait_s * 1_000.0).ceil() as Millis;
-            return Err(Over::Rate { retry_after_ms });
+            return Err(LimitExceeded::Rate { retry_after_ms });
         }
         let at_once: u32 = usage.held.values().map(|held| held.slots).sum();
         if at_once >= bounds.concurrent {
-            return Err(Over::Concurrency {
+            return Err(LimitExceeded::Concurrency {
                 retry_after_ms: CONCURRENCY_RETRY_MS,
             });
         }
@@ -97,7 +97,7 @@
     }
 
     /// States how many requests of `organisation` run at `host`.
-    pub fn restate(
+    pub fn set_held(
         &mut self,
         now_ms: Millis,
         organisation: OrganisationKey,
--- a/crates/policy/src/revision.rs
+++ b/crates/policy/src/revision.rs
@@ -32,7 +32,7 @@
     }
 
     /// Whether the store has come back from a copy since an earlier revision that was known for certain.
-    pub const fn is_return_since(self, earlier: Self, provisional: Self) -> bool {
+    pub const fn is_restore_since(self, earlier: Self, provisional: Self) -> bool {
         let is_certain = earlier.era > provisional.era || earlier.number > provisional.number;
         is_certain && self.era > earlier.era
     }
--- a/crates/policy/src/unexplained.rs
+++ b/crates/policy/src/unaccounted_memory.rs
@@ -11,12 +11,12 @@
 /// Another host that also believes to be home starts generations this home can't count. Their
 /// symptom is a report above everything this home held lately; that excess is kept free.
 #[derive(Debug, Default)]
-pub(crate) struct Unexplained {
+pub(crate) struct UnaccountedMemory {
     known: VecDeque<(Millis, f32)>,
     tokens: f32,
 }
 
-impl Unexplained {
+impl UnaccountedMemory {
     /// Notes what the home's own permits hold now.
     pub(crate) fn note(&mut self, now_ms: Millis, held_tokens: f32) {
         while let Some((at_ms, _)) = self.known.front() {
--- a/crates/policy/src/absences.rs
+++ b/crates/policy/src/unresponsive_hosts.rs
@@ -12,23 +12,23 @@
 
 /// Named hosts that did not answer, and how often in a row.
 #[derive(Debug, Clone, Default)]
-pub struct Absences {
+pub struct UnresponsiveHosts {
     misses: HashMap<String, u32>,
 }
 
-impl Absences {
+impl UnresponsiveHosts {
     /// Forgets all hosts but those that are still named and not known to be present.
-    pub fn keep(&mut self, is_absent: impl Fn(&str) -> bool) {
+    pub fn retain(&mut self, is_absent: impl Fn(&str) -> bool) {
         self.misses.retain(|name, _| is_absent(name));
     }
 
     /// A host has answered.
-    pub fn answer(&mut self, name: &str) {
+    pub fn record_answer(&mut self, name: &str) {
         self.misses.remove(name);
     }
 
     /// A host did not answer; true where its entry is to be removed.
-    pub fn miss(&mut self, name: &str) -> bool {
+    pub fn record_miss(&mut self, name: &str) -> bool {
         let misses = self.misses.entry(name.to_owned()).or_default();
         *misses += 1;
         *misses >= MISSES
--- a/crates/policy/src/watchers.rs
+++ b/crates/policy/src/watchers.rs
@@ -74,7 +74,7 @@
     /// Whether a host of this rank watches, beside the others of its area.
     pub fn is_watcher(&self, rank: u64, others: impl IntoIterator<Item = WatchCandidate>) -> bool {
         let better = others.into_iter().filter(|other| other.rank > rank);
-        let (blind, well): (Vec<_>, Vec<_>) = better.partition(|other| other.is_blind);
+        let (blind, well): (Vec<_>, Vec<_>) = better.partition(|other| other.store_unreadable);
         let wanted = match blind.is_empty() {
             true => self.watchers,
             false => SUBSTITUTES,
@@ -89,5 +89,5 @@
     /// Its rank among all hosts; the highest goes first.
     pub rank: u64,
     /// It can't read the store.
-    pub is_blind: bool,
+    pub store_unreadable: bool,
 }
--- a/crates/policy/src/weights.rs
+++ b/crates/policy/src/weights.rs
@@ -31,7 +31,7 @@
     ///
     /// Waiting costs stall, filling up costs preemptions and the tail: the more stall weighs, the
     /// less is kept free. The two ends were measured; docs/POLICY.md has the figures.
-    pub fn caution(&self) -> f32 {
+    pub fn reserve_deviations(&self) -> f32 {
         let others = (self.preemptions + self.between_tokens) / 2.0;
         let total = self.stall + others;
         if total <= 0.0 {
--- a/crates/policy/tests/branches.rs
+++ b/crates/policy/tests/broadcast.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeSet;
 
-use fulmarpath_policy::{Listener, branches, parts};
+use fulmarpath_policy::{Recipient, broadcast_branches, split_branch};
 use rstest::rstest;
 
 struct Case {
@@ -13,10 +13,10 @@
     far: usize,
 }
 
-fn audience(case: &Case) -> Vec<Listener<'static, (usize, usize)>> {
+fn audience(case: &Case) -> Vec<Recipient<'static, (usize, usize)>> {
     let all = case.data_centres.iter().enumerate();
     let listeners = all.flat_map(|(place, (data_centre, count))| {
-        (0..*count).map(move |number| Listener {
+        (0..*count).map(move |number| Recipient {
             data_centre,
             rank: (number as u64 * 7_919) % 1_009,
             address: (place, number),
@@ -35,7 +35,7 @@
 #[case::nobody_near(Case { data_centres: &[("b", 40), ("c", 40)], sent: 2, far: 2 })]
 fn all_hear_once_and_near_before_far(#[case] case: Case) {
     let audience = audience(&case);
-    let first = branches("a", audience.clone());
+    let first = broadcast_branches("a", audience.clone());
     assert_eq!(first.len(), case.sent);
     let is_far = |branch: &&Vec<(usize, usize)>| case.data_centres[branch[0].0].0 != "a";
     assert_eq!(first.iter().filter(is_far).count(), case.far);
@@ -45,7 +45,7 @@
         let (teller, rest) = branch.split_first().expect("no branch is empty");
         assert!(heard.insert(*teller), "{teller:?} hears twice");
         assert!(rest.iter().all(|one| one.0 == teller.0), "a second way far");
-        let onward = parts(rest);
+        let onward = split_branch(rest);
         assert!(onward.len() <= 3);
         telling.extend(onward);
     }
@@ -62,8 +62,8 @@
         far: 1,
     };
     let mut shuffled = audience(&case);
-    let once = branches("a", shuffled.clone());
+    let once = broadcast_branches("a", shuffled.clone());
     shuffled.reverse();
     shuffled.swap(3, 17);
-    assert_eq!(branches("a", shuffled), once);
+    assert_eq!(broadcast_branches("a", shuffled), once);
 }
--- a/crates/policy/tests/division.rs
+++ b/crates/policy/tests/cell_partitioning.rs
@@ -2,7 +2,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use fulmarpath_policy::Division;
+use fulmarpath_policy::CellPartitioning;
 use rstest::rstest;
 
 fn counts(near: usize, far: usize) -> BTreeMap<String, usize> {
@@ -10,12 +10,12 @@
 }
 
 /// Cells that generations of a host in `near` and of one in `far` go to.
-fn cells(division: &Division) -> usize {
+fn cells(division: &CellPartitioning) -> usize {
     let mut cells = BTreeSet::new();
     for host in ["near", "far"] {
         for draw in 0..4_096_u64 {
             let draw = draw.wrapping_mul(0x9e37_79b9_7f4a_7c15);
-            cells.insert(division.part_for(host, draw));
+            cells.insert(division.partition_for_generation(host, draw));
         }
     }
     cells.len()
@@ -39,9 +39,9 @@
 #[case::keeps_its_parts(Case { lists: &[(130, 40), (110, 40)], cells: 5 })]
 #[case::loses_parts(Case { lists: &[(130, 40), (60, 40)], cells: 2 })]
 fn divides_by_size(#[case] case: Case) {
-    let mut division = Division::default();
+    let mut division = CellPartitioning::default();
     for (near, far) in case.lists {
-        division = division.next(&counts(*near, *far));
+        division = division.updated(&counts(*near, *far));
     }
     assert_eq!(cells(&division), case.cells);
 }
@@ -50,9 +50,11 @@
 /// others stay as they are.
 #[test]
 fn a_data_centre_without_engines_is_left_out() {
-    let before = Division::default().next(&counts(70, 70));
-    let after = before.next(&counts(0, 70));
-    assert!(after.has_cells_of(&before));
-    let (data_centre, _) = after.part_for("near", 12_345).expect("a part");
+    let before = CellPartitioning::default().updated(&counts(70, 70));
+    let after = before.updated(&counts(0, 70));
+    assert!(after.has_same_cells(&before));
+    let (data_centre, _) = after
+        .partition_for_generation("near", 12_345)
+        .expect("a part");
     assert_eq!(data_centre, "far");
 }
--- a/crates/policy/tests/drift.rs
+++ b/crates/policy/tests/drift.rs
@@ -35,7 +35,7 @@
     let mut drift = Drift::new(0);
     let heard = case.heard.iter();
     let exchanges: Vec<u64> = heard
-        .filter(|(now_ms, is_same)| drift.hear(*now_ms, *is_same))
+        .filter(|(now_ms, is_same)| drift.should_exchange(*now_ms, *is_same))
         .map(|(now_ms, _)| *now_ms)
         .collect();
     assert_eq!(exchanges, case.exchanges_ms);
--- a/crates/policy/tests/evacuations.rs
+++ b/crates/policy/tests/evacuations.rs
@@ -84,7 +84,7 @@
             Watches(revision, changes) => evacuations.apply(0, revision, changes),
             Tells(revision, all) => {
                 let data_centres = names(all);
-                evacuations.hear(
+                evacuations.merge_peer(
                     0,
                     EvacuationState {
                         revision,
@@ -197,7 +197,7 @@
                     data_centres: names(all),
                     ..EvacuationState::default()
                 };
-                evacuations.hear(now_ms, told);
+                evacuations.merge_peer(now_ms, told);
             }
             Later(ms) => now_ms += ms,
         }
@@ -216,7 +216,7 @@
     first.replace(0, Revision::new(1, 50), names(&["a"]));
     first.replace(1_000, Revision::new(2, 40), names(&[]));
     let mut second = Evacuations::default();
-    second.hear(500, first.state(11_000));
+    second.merge_peer(500, first.state(11_000));
     assert!(!second.expire(20_000));
     assert!(second.expire(20_500));
     assert_eq!(second.count(), 0);
@@ -231,13 +231,13 @@
     watcher.replace(0, Revision::new(1, 50), names(&["a"]));
     watcher.replace(1_000, Revision::new(2, 40), names(&[]));
     let mut peer = Evacuations::default();
-    peer.hear(1_000, watcher.state(1_000));
+    peer.merge_peer(1_000, watcher.state(1_000));
     match is_listed {
         true => watcher.replace(2_000, Revision::new(2, 41), names(&["a"])),
         false => watcher.apply(2_000, Revision::new(2, 41), [begins("a")]),
     };
     assert!(peer.is_behind(watcher.revision()));
-    peer.hear(3_000, watcher.state(3_000));
+    peer.merge_peer(3_000, watcher.state(3_000));
     assert!(!peer.expire(60_000));
-    assert!(peer.covers("a"));
+    assert!(peer.is_evacuated("a"));
 }
--- a/crates/policy/tests/home.rs
+++ b/crates/policy/tests/home.rs
@@ -1,9 +1,9 @@
 //! The decisions of one home, with the time as an argument.
 
 use fulmarpath_policy::{
-    Bounds, Candidate, EngineLoad, EnginePermitRequest, Home, HomeSettings, HostKey, Lengths,
-    LimitTable, OrganisationKey, Outcome, Over, PermitRequestId, RefusalReason, RetryBudget,
-    ServiceKey, UpstreamKey, Weights, pick,
+    Candidate, EngineLoad, EnginePermitRequest, Home, HomeSettings, HostKey, Lengths,
+    LimitExceeded, LimitTable, OrganisationKey, Outcome, PermitRequestId, RefusalReason,
+    RequestLimits, RetryBudget, ServiceKey, UpstreamKey, Weights, pick,
 };
 
 const MEMORY_TOKENS: u32 = 10_000;
@@ -197,28 +197,28 @@
 #[test]
 fn limits_hold_and_lapse() {
     let mut limits = LimitTable::default();
-    let bounds = Bounds {
+    let bounds = RequestLimits {
         requests_per_s: 10.0,
         concurrent: 2,
     };
     let (one, host) = (OrganisationKey(1), HostKey(1));
-    assert!(limits.take(1_000, one, host, bounds).is_ok());
-    assert!(limits.take(1_000, one, HostKey(2), bounds).is_ok());
-    let over = limits.take(1_100, one, host, bounds);
-    assert!(matches!(over, Err(Over::Concurrency { .. })));
+    assert!(limits.acquire(1_000, one, host, bounds).is_ok());
+    assert!(limits.acquire(1_000, one, HostKey(2), bounds).is_ok());
+    let over = limits.acquire(1_100, one, host, bounds);
+    assert!(matches!(over, Err(LimitExceeded::Concurrency { .. })));
     // The first host restates that nothing runs any more; the second has died.
-    limits.restate(4_000, one, host, 0);
-    assert!(limits.take(8_000, one, host, bounds).is_ok());
-    let quick = Bounds {
+    limits.set_held(4_000, one, host, 0);
+    assert!(limits.acquire(8_000, one, host, bounds).is_ok());
+    let quick = RequestLimits {
         requests_per_s: 1.0,
         concurrent: 100,
     };
     let two = OrganisationKey(2);
-    assert!(limits.take(1_000, two, host, quick).is_ok());
-    let over = limits.take(1_250, two, host, quick);
+    assert!(limits.acquire(1_000, two, host, quick).is_ok());
+    let over = limits.acquire(1_250, two, host, quick);
     assert_eq!(
         over,
-        Err(Over::Rate {
+        Err(LimitExceeded::Rate {
             retry_after_ms: 750
         })
     );
@@ -229,14 +229,14 @@
 #[test]
 fn a_new_home_of_an_organisation_refuses_nobody_for_nothing() {
     let mut limits = LimitTable::default();
-    let bounds = Bounds {
+    let bounds = RequestLimits {
         requests_per_s: 10.0,
         concurrent: 5,
     };
-    limits.restate(1_000, OrganisationKey(1), HostKey(1), 2);
+    limits.set_held(1_000, OrganisationKey(1), HostKey(1), 2);
     assert!(
         limits
-            .take(1_000, OrganisationKey(1), HostKey(2), bounds)
+            .acquire(1_000, OrganisationKey(1), HostKey(2), bounds)
             .is_ok()
     );
 }
--- a/crates/policy/tests/join.rs
+++ b/crates/policy/tests/join.rs
@@ -28,9 +28,9 @@
         for (at_ms, what) in case.happens {
             match what {
                 _ if *at_ms != now_ms => {}
-                Meets => join.meet(now_ms),
-                HasAskedPeers => join.ask_peers(),
-                FindsNobody => join.find_nobody(),
+                Meets => join.record_peer(now_ms),
+                HasAskedPeers => join.finish_peer_queries(),
+                FindsNobody => join.record_no_other_host(),
             }
         }
         if holds(&join, now_ms) {
@@ -81,7 +81,15 @@
     reads_ms: Some(0), watches_ms: Some(1_500), lonely_ms: Some(0),
 })]
 fn asks_peers_before_the_store(#[case] case: Case) {
-    assert_eq!(since(&case, Join::may_read), case.reads_ms, "reads");
-    assert_eq!(since(&case, Join::may_watch), case.watches_ms, "watches");
-    assert_eq!(since(&case, Join::is_lonely), case.lonely_ms, "is lonely");
+    assert_eq!(since(&case, Join::may_read_store), case.reads_ms, "reads");
+    assert_eq!(
+        since(&case, Join::may_watch_store),
+        case.watches_ms,
+        "watches"
+    );
+    assert_eq!(
+        since(&case, Join::should_discover),
+        case.lonely_ms,
+        "is lonely"
+    );
 }
--- a/crates/policy/tests/lag.rs
+++ b/crates/policy/tests/lag.rs
@@ -37,7 +37,7 @@
     let mut lag = Lag::default();
     let mut asks = false;
     for (now_ms, own, theirs) in case.heard {
-        asks = lag.hear(*now_ms, at(*own), at(*theirs), Revision::new(0, 1), 300);
+        asks = lag.should_fetch(*now_ms, at(*own), at(*theirs), Revision::new(0, 1), 300);
     }
     assert_eq!(asks, case.asks);
 }
--- a/crates/policy/tests/revision.rs
+++ b/crates/policy/tests/revision.rs
@@ -21,6 +21,6 @@
 #[case::a_store_that_begins_to_tell(Case { earlier: Revision::new(0, 9), later: Revision::new(1, 2), is_return: true })]
 fn an_era_goes_before_a_number(#[case] case: Case) {
     assert!(case.earlier < case.later);
-    let is_return = case.later.is_return_since(case.earlier, PROVISIONAL);
+    let is_return = case.later.is_restore_since(case.earlier, PROVISIONAL);
     assert_eq!(is_return, case.is_return);
 }
--- a/crates/policy/tests/absences.rs
+++ b/crates/policy/tests/unresponsive_hosts.rs
@@ -1,6 +1,6 @@
 //! When the entry of a host that doesn't answer is removed.
 
-use fulmarpath_policy::Absences;
+use fulmarpath_policy::UnresponsiveHosts;
 use rstest::rstest;
 
 #[derive(Clone, Copy)]
@@ -20,13 +20,13 @@
 #[case::found_by_others(&[Silent, Silent, Silent, Silent, Silent, NotAbsent, Silent], false)]
 #[case::silent_for_a_while(&[Silent; 5], false)]
 fn only_the_gone_lose_their_entry(#[case] looks: &[Look], #[case] is_removed: bool) {
-    let mut absences = Absences::default();
+    let mut absences = UnresponsiveHosts::default();
     let mut removed = false;
     for look in looks {
         match look {
-            Silent => removed = absences.miss("h1"),
-            Answers => absences.answer("h1"),
-            NotAbsent => absences.keep(|name| name != "h1"),
+            Silent => removed = absences.record_miss("h1"),
+            Answers => absences.record_answer("h1"),
+            NotAbsent => absences.retain(|name| name != "h1"),
         }
     }
     assert_eq!(removed, is_removed);
--- a/crates/policy/tests/watchers.rs
+++ b/crates/policy/tests/watchers.rs
@@ -9,7 +9,7 @@
 fn watchers(area: &WatchArea, blind: &[u64]) -> Vec<u64> {
     let host = |rank| WatchCandidate {
         rank,
-        is_blind: blind.contains(&rank),
+        store_unreadable: blind.contains(&rank),
     };
     let watches = |rank: &u64| {
         let others = (1..=10).filter(|one| one != rank);
--- a/crates/wire/src/message.rs
+++ b/crates/wire/src/message.rs
@@ -3,8 +3,8 @@
 use std::net::SocketAddr;
 
 use fulmarpath_policy::{
-    Bounds, EngineLoad, HostKey, Millis, OrganisationKey, PermitKey, RefusalReason, Revision,
-    UpstreamKey,
+    EngineLoad, HostKey, Millis, OrganisationKey, PermitKey, RefusalReason, RequestLimits,
+    Revision, UpstreamKey,
 };
 use serde::{Deserialize, Serialize};
 
@@ -173,7 +173,7 @@
     /// The requesting host.
     pub host: HostKey,
     /// The organisation's declared limits.
-    pub bounds: Bounds,
+    pub bounds: RequestLimits,
 }
 
 /// The answer to a request for a slot.
