--- a/crates/gateway/src/instances.rs
+++ b/crates/gateway/src/instances.rs
@@ -77,8 +77,8 @@
             let same = by_service.entry(registration.service.clone()).or_default();
             same.push(key);
         }
-        let gone = std::mem::take(&mut table.by_name);
-        for key in gone.into_values() {
+        let removed = std::mem::take(&mut table.by_name);
+        for key in removed.into_values() {
             table.arena.remove(key);
         }
         table.by_name = by_name;
--- a/crates/gateway/src/metrics.rs
+++ b/crates/gateway/src/metrics.rs
@@ -138,7 +138,8 @@
         registry.register("store_failures", help, store_failures.clone());
         let help = "Version of the active configuration";
         registry.register("configuration_version", help, configuration_version.clone());
-        let help = "Latest known era of the store, which increases when the store is restored from a backup";
+        let help =
+            "Latest known era of the store, which increases when it is restored from a backup";
         registry.register("store_era", help, store_era.clone());
         let help = "Time from a request to the first byte of its response";
         registry.register("first_byte_ms", help, first_byte_ms.clone());
--- a/crates/gateway/src/relay.rs
+++ b/crates/gateway/src/relay.rs
@@ -161,7 +161,9 @@
             read = self.stream.read(&mut self.events, until_ms, &self.gateway), if reads => read,
             () = sleep(Duration::from_millis(left_ms)), if !reads => StreamRead::Overdue,
             () = lost.cancelled(), if reads => StreamRead::Broken,
-            () = sleep(silence.unwrap_or_default()), if silence.is_some() => self.confirm_silence().await,
+            () = sleep(silence.unwrap_or_default()), if silence.is_some() => {
+                self.confirm_silence().await
+            }
             Some(order) = self.orders.recv(), if self.handover.can_begin_migration() => {
                 self.begin_migration(order);
                 StreamRead::Bytes
--- a/crates/gateway/src/start.rs
+++ b/crates/gateway/src/start.rs
@@ -275,7 +275,7 @@
                     backup,
                     seen,
                 } => {
-                    tracker.set_seen(seen);
+                    tracker.set_engine_snapshot(seen);
                     if self.is_throttled(engine).await {
                         // Other hosts may take every start of this engine, and this request has no
                         // time left to retry.
--- a/crates/gateway/src/tracker.rs
+++ b/crates/gateway/src/tracker.rs
@@ -38,7 +38,7 @@
     pub(crate) events: u32,
     placed_ms: Option<Millis>,
     size: Option<Size>,
-    seen: Option<EngineSnapshot>,
+    engine_snapshot: Option<EngineSnapshot>,
     first_event_ms: Option<Millis>,
     longest_pause_ms: Millis,
     event_at_ms: Millis,
@@ -60,7 +60,7 @@
             events: 0,
             placed_ms: None,
             size: None,
-            seen: None,
+            engine_snapshot: None,
             first_event_ms: None,
             longest_pause_ms: 0,
             event_at_ms: 0,
@@ -92,8 +92,8 @@
     }
 
     /// Sets the state of the engine on which the cell's home based its selection.
-    pub(crate) fn set_seen(&mut self, seen: EngineSnapshot) {
-        self.seen = Some(seen);
+    pub(crate) fn set_engine_snapshot(&mut self, snapshot: EngineSnapshot) {
+        self.engine_snapshot = Some(snapshot);
     }
 
     /// Records when an upstream was first selected for the request.
@@ -176,7 +176,7 @@
             took_ms: self.gateway.clock.now_ms().saturating_sub(self.arrived_ms),
             placed_ms: self.placed_ms,
             size: self.size,
-            seen: self.seen,
+            seen: self.engine_snapshot,
             first_event_ms: self.first_event_ms,
             longest_pause_ms: self.longest_pause_ms,
             events: self.events,
