--- a/crates/gateway/src/cells.rs
+++ b/crates/gateway/src/cells.rs
@@ -41,7 +41,7 @@
 }
 
 impl Cells {
-    /// Applies the registered engines; returns whether homes have to learn anew which generations
+    /// Applies the registered engines; returns whether homes have to learn again which generations
     /// run.
     pub(crate) fn apply_directory(
         &self,
@@ -230,11 +230,11 @@
         &self,
         now_ms: Millis,
         cell: CellKey,
-        carry: Migration,
-        end: MigrationOutcome,
+        migration: Migration,
+        outcome: MigrationOutcome,
     ) {
         if let Some(table) = self.tables.lock().get_mut(&cell) {
-            table.cell.finish_migration(now_ms, carry, end);
+            table.cell.finish_migration(now_ms, migration, outcome);
         }
     }
 }
--- a/crates/gateway/src/dissemination.rs
+++ b/crates/gateway/src/dissemination.rs
@@ -74,7 +74,7 @@
         let area = self.area(&members);
         let in_area = members
             .homes()
-            .filter(|(key, note)| *key != me && area.contains(&note.data_centre));
+            .filter(|(key, member)| *key != me && area.contains(&member.data_centre));
         let others = in_area.map(|(key, _)| WatchCandidate {
             rank: key.0,
             store_unreadable: unreadable
@@ -87,8 +87,8 @@
     /// The data centres with which this host exchanges updates.
     fn area(&self, members: &Members) -> WatchArea {
         let mut hosts: BTreeMap<String, usize> = BTreeMap::new();
-        for (_, note) in members.homes() {
-            *hosts.entry(note.data_centre.clone()).or_default() += 1;
+        for (_, member) in members.homes() {
+            *hosts.entry(member.data_centre.clone()).or_default() += 1;
         }
         WatchArea::of(&self.settings.host.data_centre, &hosts)
     }
@@ -126,7 +126,7 @@
         }
     }
 
-    /// Marks the present revision as announced, before this host reads the upstreams anew.
+    /// Marks the present revision as announced, before this host reads the upstreams again.
     pub(crate) fn reset_announced_revision(&self) {
         let held = self.roster.lock().revision();
         *self.dissemination.announced.lock() = held;
@@ -174,12 +174,12 @@
     /// Sends an update to an audience along its branches.
     pub(crate) fn announce<T: Serialize>(
         self: &Arc<Self>,
-        holding: ReplicatedState,
+        kind: ReplicatedState,
         update: &T,
         audience: Vec<Vec<SocketAddr>>,
     ) {
-        match encode(holding, update) {
-            Ok(value) => self.send_to_branches(holding, &value, audience),
+        match encode(kind, update) {
+            Ok(value) => self.send_to_branches(kind, &value, audience),
             Err(error) => warn!("spread: could not encode an update: {error}"),
         }
     }
@@ -200,11 +200,11 @@
         let me = members.own_key();
         let recipients = members
             .homes()
-            .filter(|(key, note)| *key != me && includes(&note.data_centre));
-        let recipients = recipients.map(|(key, note)| Recipient {
-            data_centre: note.data_centre.as_str(),
+            .filter(|(key, member)| *key != me && includes(&member.data_centre));
+        let recipients = recipients.map(|(key, member)| Recipient {
+            data_centre: member.data_centre.as_str(),
             rank: key.0,
-            address: note.address,
+            address: member.address,
         });
         broadcast_branches(&self.settings.host.data_centre, recipients)
     }
@@ -212,7 +212,7 @@
     /// Sends an update to the first host of each branch, which forwards it to the rest.
     fn send_to_branches(
         self: &Arc<Self>,
-        holding: ReplicatedState,
+        kind: ReplicatedState,
         value: &[u8],
         branches: Vec<Vec<SocketAddr>>,
     ) {
@@ -222,9 +222,7 @@
             };
             let (gateway, first, rest) = (self.clone(), *first, rest.to_vec());
             let value = value.to_vec();
-            tokio::spawn(
-                async move { gateway.send_announcement(first, holding, value, rest).await },
-            );
+            tokio::spawn(async move { gateway.send_announcement(first, kind, value, rest).await });
         }
     }
 
@@ -235,12 +233,12 @@
     async fn send_announcement(
         self: Arc<Self>,
         host: SocketAddr,
-        holding: ReplicatedState,
+        kind: ReplicatedState,
         value: Vec<u8>,
         rest: Vec<SocketAddr>,
     ) {
         let announcement = Announcement {
-            holding,
+            holding: kind,
             value: value.clone(),
             audience: rest.clone(),
         };
@@ -251,18 +249,18 @@
             warn!(
                 "spread: a host does not answer, its branch is sent the update directly: {error}"
             );
-            self.send_to_branches(holding, &value, split_branch(&rest));
+            self.send_to_branches(kind, &value, split_branch(&rest));
         }
     }
 
     /// Applies an announcement and forwards it.
     pub(crate) fn handle_announcement(self: &Arc<Self>, announcement: Announcement) {
         let Announcement {
-            holding,
+            holding: kind,
             value,
             audience,
         } = announcement;
-        let applied = match holding {
+        let applied = match kind {
             ReplicatedState::Configuration => self.handle_configuration(&value),
             ReplicatedState::Upstreams => self.handle_directory_change(&value),
             ReplicatedState::StoreUnreadable => self.handle_store_unreadable(&value),
@@ -274,7 +272,7 @@
             warn!("spread: could not decode an update: {error}");
             return;
         }
-        self.send_to_branches(holding, &value, split_branch(&audience));
+        self.send_to_branches(kind, &value, split_branch(&audience));
     }
 
     fn handle_members(&self, value: &[u8]) -> Result<(), EncodingError> {
--- a/crates/gateway/src/encoding.rs
+++ b/crates/gateway/src/encoding.rs
@@ -21,8 +21,8 @@
     Binary(#[from] bincode::Error),
 }
 
-fn is_binary(holding: ReplicatedState) -> bool {
-    match holding {
+fn is_binary(kind: ReplicatedState) -> bool {
+    match kind {
         ReplicatedState::Upstreams
         | ReplicatedState::Configuration
         | ReplicatedState::Members
@@ -33,20 +33,20 @@
 }
 
 pub(crate) fn encode<T: Serialize>(
-    holding: ReplicatedState,
+    kind: ReplicatedState,
     value: &T,
 ) -> Result<Vec<u8>, EncodingError> {
-    match is_binary(holding) {
+    match is_binary(kind) {
         true => Ok(bincode::DefaultOptions::new().serialize(value)?),
         false => Ok(serde_json::to_vec(value)?),
     }
 }
 
 pub(crate) fn decode<T: DeserializeOwned>(
-    holding: ReplicatedState,
+    kind: ReplicatedState,
     bytes: &[u8],
 ) -> Result<T, EncodingError> {
-    match is_binary(holding) {
+    match is_binary(kind) {
         true => Ok(bincode::DefaultOptions::new().deserialize(bytes)?),
         false => Ok(serde_json::from_slice(bytes)?),
     }
--- a/crates/gateway/src/fleet.rs
+++ b/crates/gateway/src/fleet.rs
@@ -71,13 +71,13 @@
     /// start a rumour is about, and clocks jump.
     pub(crate) fn new(now_ms: Millis, host: &HostRegistration, has_seeds: bool) -> Self {
         let start: u64 = rand::random();
-        let note = MemberInfo {
+        let member = MemberInfo {
             name: format!("{}/{start:016x}", host.name),
             data_centre: host.data_centre.clone(),
             address: host.address,
         };
         Self {
-            members: Mutex::new(Members::new(note, 1)),
+            members: Mutex::new(Members::new(member, 1)),
             peers: Peers::new(crate::peer::client),
             join: Mutex::new(Join::new(now_ms, has_seeds)),
             joining: JoiningHosts::default(),
@@ -143,7 +143,9 @@
             let members = self.members.lock();
             let me = members.own_key();
             let others = members.homes().filter(|(key, _)| *key != me);
-            others.map(|(key, note)| (key, note.name.clone())).collect()
+            others
+                .map(|(key, member)| (key, member.name.clone()))
+                .collect()
         };
         self.presence.lock().update(now_ms, present)
     }
@@ -205,10 +207,10 @@
         }
     }
 
-    fn mark_dead(&self, gone: &MemberInfo) {
+    fn mark_dead(&self, member: &MemberInfo) {
         let now_ms = self.clock.now_ms();
         let mut members = self.fleet.members.lock();
-        let Some(known) = members.find(HostKey::of(&gone.name)).cloned() else {
+        let Some(known) = members.find(HostKey::of(&member.name)).cloned() else {
             return;
         };
         let rumour = Rumour {
@@ -306,9 +308,9 @@
 
     /// Exchanges the complete member lists with a peer; returns whether it answered.
     pub(crate) async fn exchange_members(&self, peer: SocketAddr) -> bool {
-        let beliefs = self.fleet.members.lock().snapshot();
+        let own = self.fleet.members.lock().snapshot();
         let call = |client: GatewayPeerClient, context| async move {
-            client.exchange_members(context, beliefs).await
+            client.exchange_members(context, own).await
         };
         match self.fleet.peers.call(peer, call).await {
             Ok(theirs) => {
@@ -324,9 +326,9 @@
 
     /// Merges a peer's member list and answers with this host's.
     pub(crate) fn handle_member_exchange(&self, theirs: &[Rumour]) -> Vec<Rumour> {
-        let beliefs = self.fleet.members.lock().snapshot();
+        let own = self.fleet.members.lock().snapshot();
         self.merge_rumours(theirs);
-        beliefs
+        own
     }
 
     /// Whether this host lacks changes of the upstreams that a peer has.
@@ -338,19 +340,17 @@
     }
 
     async fn fetch_configuration(&self, peer: SocketAddr) -> Option<Configuration> {
-        let holding = ReplicatedState::Configuration;
-        let call = |client: GatewayPeerClient, context| async move {
-            client.holding(context, holding).await
-        };
-        self.fetch(peer, holding, call).await
+        let kind = ReplicatedState::Configuration;
+        let call =
+            |client: GatewayPeerClient, context| async move { client.holding(context, kind).await };
+        self.fetch(peer, kind, call).await
     }
 
     async fn fetch_evacuations(&self, peer: SocketAddr) {
-        let holding = ReplicatedState::Evacuations;
-        let call = |client: GatewayPeerClient, context| async move {
-            client.holding(context, holding).await
-        };
-        if let Some(state) = self.fetch(peer, holding, call).await {
+        let kind = ReplicatedState::Evacuations;
+        let call =
+            |client: GatewayPeerClient, context| async move { client.holding(context, kind).await };
+        if let Some(state) = self.fetch(peer, kind, call).await {
             self.apply_evacuations(state, "a peer");
         }
     }
@@ -368,19 +368,19 @@
     async fn fetch<T, F>(
         &self,
         peer: SocketAddr,
-        holding: ReplicatedState,
+        kind: ReplicatedState,
         call: impl FnOnce(GatewayPeerClient, Context) -> F,
     ) -> Option<T>
     where
         T: DeserializeOwned,
         F: Future<Output = Result<Vec<u8>, RpcError>>,
     {
-        if !self.fleet.fetching.lock().insert(holding) {
+        if !self.fleet.fetching.lock().insert(kind) {
             return None;
         }
         let value = self.fleet.peers.call(peer, call).await;
-        self.fleet.fetching.lock().remove(&holding);
-        match decode(holding, &value.ok()?) {
+        self.fleet.fetching.lock().remove(&kind);
+        match decode(kind, &value.ok()?) {
             Ok(held) => Some(held),
             Err(error) => {
                 warn!("fleet: could not decode the state of {peer}: {error}");
--- a/crates/gateway/src/homes.rs
+++ b/crates/gateway/src/homes.rs
@@ -58,7 +58,7 @@
     /// decides by its own table, which covers only its own generations; that is better than no
     /// answer.
     pub(crate) async fn place(&self, cell: CellKey, request: PlacementRequest) -> Placement {
-        if let Some((key, note)) = self.home_of(cell)
+        if let Some((key, member)) = self.home_of(cell)
             && key != self.host_key()
         {
             let request_copy = request.clone();
@@ -67,7 +67,7 @@
             };
             let peers = &self.fleet.peers;
             match peers
-                .call_with_timeout(note.address, PLACE_TIMEOUT, call)
+                .call_with_timeout(member.address, PLACE_TIMEOUT, call)
                 .await
             {
                 Ok(Some(placement)) => return placement,
@@ -113,7 +113,7 @@
     /// Reports the end of a generation to the cell's home.
     pub(crate) fn report_end(self: &Arc<Self>, cell: CellKey, run: RunKey, end: RunEnd) {
         self.cells.end(self.clock.now_ms(), cell, run, end);
-        let Some((key, note)) = self.home_of(cell) else {
+        let Some((key, member)) = self.home_of(cell) else {
             return;
         };
         if key == self.host_key() {
@@ -124,7 +124,13 @@
             let call = |client: GatewayPeerClient, context| async move {
                 client.ended(context, cell, run, end).await
             };
-            if gateway.fleet.peers.call(note.address, call).await.is_err() {
+            if gateway
+                .fleet
+                .peers
+                .call(member.address, call)
+                .await
+                .is_err()
+            {
                 // The next statement conveys the end as well.
                 warn!("cells: could not report the end of a generation to the home");
             }
@@ -142,16 +148,16 @@
             };
             self.cells.retain_hosts(|host| present.contains(&host));
             let cell_of_engine = |engine| self.cells.cell_of_engine(engine);
-            for restatement in self.runs.restatements(self.host_key(), cell_of_engine) {
-                self.restate(restatement).await;
+            for relayed_runs in self.runs.restatements(self.host_key(), cell_of_engine) {
+                self.restate(relayed_runs).await;
             }
         }
     }
 
-    async fn restate(&self, restatement: RelayedRuns) {
-        let cell = restatement.cell;
-        self.cells.restate(self.clock.now_ms(), &restatement);
-        let Some((key, note)) = self.home_of(cell) else {
+    async fn restate(&self, relayed_runs: RelayedRuns) {
+        let cell = relayed_runs.cell;
+        self.cells.restate(self.clock.now_ms(), &relayed_runs);
+        let Some((key, member)) = self.home_of(cell) else {
             return;
         };
         if key == self.host_key() {
@@ -159,16 +165,19 @@
             return;
         }
         let call = |client: GatewayPeerClient, context| async move {
-            client.restate(context, restatement).await
+            client.restate(context, relayed_runs).await
         };
-        let stated = self.fleet.peers.call(note.address, call).await;
+        let stated = self.fleet.peers.call(member.address, call).await;
         let mut unreachable_homes = self.cell_duties.unreachable_homes.lock();
         let changed = match stated {
             Ok(()) => unreachable_homes.remove(&cell),
             Err(_) => unreachable_homes.insert(cell),
         };
         if changed && stated.is_err() {
-            warn!("cells: {} is home of a cell and does not answer", note.name);
+            warn!(
+                "cells: {} is home of a cell and does not answer",
+                member.name
+            );
         }
     }
 
@@ -205,21 +214,22 @@
                 tokio::time::sleep(MIGRATION_CHECK_PERIOD).await;
                 continue;
             };
-            let end = self.request_migration(migration).await;
+            let outcome = self.request_migration(migration).await;
             info!(
-                "cells: {:016x} from {:016x} to {:016x}: {end:?} after {} ms",
+                "cells: {:016x} from {:016x} to {:016x}: {} after {} ms",
                 migration.run.0,
                 migration.from.0,
                 migration.to.0,
+                log_name(outcome),
                 self.clock.now_ms().saturating_sub(now_ms)
             );
             let labels = TransferLabels {
-                end: metric_label(end),
+                end: metric_label(outcome),
             };
             self.metrics.transfers.get_or_create(&labels).inc();
-            moved += u32::from(end == MigrationOutcome::Moved);
+            moved += u32::from(outcome == MigrationOutcome::Moved);
             self.cells
-                .finish_migration(self.clock.now_ms(), cell, migration, end);
+                .finish_migration(self.clock.now_ms(), cell, migration, outcome);
         }
         info!("cells: {moved} generations carried off {:016x}", engine.0);
     }
@@ -227,13 +237,13 @@
     async fn request_migration(self: &Arc<Self>, migration: Migration) -> MigrationOutcome {
         let Migration { run, to, host, .. } = migration;
         if host == self.host_key() {
-            return end(self.migrate_here(run, to).await);
+            return migration_outcome(self.migrate_here(run, to).await);
         }
-        let note = {
+        let member = {
             let members = self.fleet.members.lock();
             members.find(host).map(|rumour| rumour.member.clone())
         };
-        let Some(note) = note else {
+        let Some(member) = member else {
             return MigrationOutcome::Ended;
         };
         let call = |client: GatewayPeerClient, context| async move {
@@ -241,10 +251,10 @@
         };
         let peers = &self.fleet.peers;
         match peers
-            .call_with_timeout(note.address, MIGRATION_TIMEOUT, call)
+            .call_with_timeout(member.address, MIGRATION_TIMEOUT, call)
             .await
         {
-            Ok(answer) => end(answer),
+            Ok(answer) => migration_outcome(answer),
             Err(error) => {
                 warn!("cells: could not confirm a migration: {error}");
                 MigrationOutcome::Orphaned
@@ -261,8 +271,8 @@
     }
 }
 
-fn metric_label(end: MigrationOutcome) -> &'static str {
-    match end {
+fn metric_label(outcome: MigrationOutcome) -> &'static str {
+    match outcome {
         MigrationOutcome::Moved => "moved",
         MigrationOutcome::NotMoved => "stayed",
         MigrationOutcome::Refused => "refused",
@@ -271,7 +281,18 @@
     }
 }
 
-fn end(answer: MigrationAnswer) -> MigrationOutcome {
+/// The name in log lines, which operators match.
+fn log_name(outcome: MigrationOutcome) -> &'static str {
+    match outcome {
+        MigrationOutcome::Moved => "Moved",
+        MigrationOutcome::NotMoved => "Stayed",
+        MigrationOutcome::Refused => "Refused",
+        MigrationOutcome::Orphaned => "LeftBehind",
+        MigrationOutcome::Ended => "Over",
+    }
+}
+
+fn migration_outcome(answer: MigrationAnswer) -> MigrationOutcome {
     match answer {
         MigrationAnswer::Moved => MigrationOutcome::Moved,
         MigrationAnswer::Stayed => MigrationOutcome::NotMoved,
--- a/crates/gateway/src/instances.rs
+++ b/crates/gateway/src/instances.rs
@@ -64,7 +64,7 @@
         let mut by_upstream = HashMap::new();
         let mut by_service: HashMap<String, Vec<InstanceKey>> = HashMap::new();
         for registration in &directory.registrations {
-            let key = table.adopt(now_ms, registration);
+            let key = table.apply_registration(now_ms, registration);
             let one = &mut table.arena[key];
             one.cold_limit = cold_limits.get(&registration.service);
             one.is_evacuated = evacuations.is_evacuated(&registration.data_centre);
--- a/crates/gateway/src/join.rs
+++ b/crates/gateway/src/join.rs
@@ -249,7 +249,8 @@
         };
         {
             let members = self.fleet.members.lock();
-            let present: Vec<SocketAddr> = members.homes().map(|(_, note)| note.address).collect();
+            let present: Vec<SocketAddr> =
+                members.homes().map(|(_, member)| member.address).collect();
             others.retain(|_, address| !present.contains(address));
         }
         absences.retain(|name| others.contains_key(name));
--- a/crates/gateway/src/metadata.rs
+++ b/crates/gateway/src/metadata.rs
@@ -17,13 +17,13 @@
         /// The failure that was seen.
         detail: String,
     },
-    /// The revision to watch from is no longer kept, or never existed in this era: list anew.
+    /// The revision to watch from is no longer kept, or never existed in this era: list again.
     #[error("could not watch from revision {revision}: its history is no longer kept")]
     HistoryGone {
         /// The revision.
         revision: Revision,
     },
-    /// A watch from a revision was answered in another era: list anew. The answer does not include
+    /// A watch from a revision was answered in another era: list again. The answer does not include
     /// the changes between the eras.
     #[error(
         "could not continue from revision {known}: the answer is of revision {received} in another era"
--- a/crates/gateway/src/peer.rs
+++ b/crates/gateway/src/peer.rs
@@ -77,21 +77,21 @@
         self.gateway.handle_join(joining_host)
     }
 
-    async fn exchange_members(self, _: Context, beliefs: Vec<Rumour>) -> Vec<Rumour> {
+    async fn exchange_members(self, _: Context, rumours: Vec<Rumour>) -> Vec<Rumour> {
         self.count("exchange_members");
-        self.gateway.handle_member_exchange(&beliefs)
+        self.gateway.handle_member_exchange(&rumours)
     }
 
-    async fn holding(self, _: Context, holding: ReplicatedState) -> Vec<u8> {
+    async fn holding(self, _: Context, kind: ReplicatedState) -> Vec<u8> {
         self.count("holding");
-        let held = match holding {
+        let held = match kind {
             ReplicatedState::Configuration => {
                 let held = self.gateway.in_force();
-                held.map_or(Ok(Vec::new()), |held| encode(holding, &held.configuration))
+                held.map_or(Ok(Vec::new()), |held| encode(kind, &held.configuration))
             }
             ReplicatedState::Evacuations => {
                 let now_ms = self.gateway.clock.now_ms();
-                encode(holding, &self.gateway.evacuations.lock().state(now_ms))
+                encode(kind, &self.gateway.evacuations.lock().state(now_ms))
             }
             ReplicatedState::Upstreams
             | ReplicatedState::StoreUnreadable
@@ -148,9 +148,14 @@
         self.gateway.migrate_here(run, to).await
     }
 
-    async fn ask_start(self, _: Context, upstream: UpstreamKey, ask: StartRequest) -> StartAnswer {
+    async fn ask_start(
+        self,
+        _: Context,
+        upstream: UpstreamKey,
+        request: StartRequest,
+    ) -> StartAnswer {
         self.count("ask_start");
-        self.gateway.grant_start(upstream, ask)
+        self.gateway.grant_start(upstream, request)
     }
 
     async fn report_crash(self, _: Context, content: ContentKey, upstream: UpstreamKey) {
--- a/crates/gateway/src/probe.rs
+++ b/crates/gateway/src/probe.rs
@@ -54,7 +54,7 @@
         engine: UpstreamKey,
         verdict: Verdict,
     ) {
-        let Some((key, note)) = self.home_of(cell) else {
+        let Some((key, member)) = self.home_of(cell) else {
             return;
         };
         let gateway = self.clone();
@@ -66,7 +66,7 @@
             let call = |client: GatewayPeerClient, context| async move {
                 client.doubt(context, cell, engine, verdict).await
             };
-            if let Err(error) = gateway.fleet.peers.call(note.address, call).await {
+            if let Err(error) = gateway.fleet.peers.call(member.address, call).await {
                 warn!("cells: could not report a failing engine to the home: {error}");
             }
         });
--- a/crates/gateway/src/roster.rs
+++ b/crates/gateway/src/roster.rs
@@ -10,7 +10,7 @@
 //!
 //! A store restored from a backup has lost its latest changes. Upstreams that registered after the
 //! backup get the same grace period to register again. An upstream that had left and is listed
-//! again only because of the backup gets no work until it writes its entry anew, or until its entry
+//! again only because of the backup gets no work until it writes its entry again, or until its entry
 //! has outlived the time after which the store removes a silent upstream.
 
 use std::collections::{HashMap, HashSet};
@@ -155,7 +155,7 @@
     /// Counts the upstreams for which this host's view differs from the store.
     pub(crate) fn unconfirmed(&self) -> Unconfirmed {
         Unconfirmed {
-            missing: self.lapsed().len(),
+            missing: self.missing_names().len(),
             restored: self.restored.len(),
         }
     }
@@ -241,7 +241,7 @@
                 changed |= self.drop_entry(now_ms, &departure.instance, self.revision);
             }
         }
-        self.mark_lapsed(now_ms, &change.lapsed);
+        self.mark_missing(now_ms, &change.lapsed);
         changed
     }
 
@@ -270,11 +270,11 @@
             revision: self.revision,
             put: put.map(|one| one.registration.clone()).collect(),
             gone: self.departures.since(from_revision),
-            lapsed: self.lapsed(),
+            lapsed: self.missing_names(),
         }
     }
 
-    fn lapsed(&self) -> Vec<String> {
+    fn missing_names(&self) -> Vec<String> {
         let missing = self.entries.values().filter(|entry| entry.is_missing);
         missing
             .map(|entry| entry.registration.instance.clone())
@@ -292,7 +292,7 @@
         true
     }
 
-    fn mark_lapsed(&mut self, now_ms: Millis, lapsed: &[String]) {
+    fn mark_missing(&mut self, now_ms: Millis, lapsed: &[String]) {
         for name in lapsed {
             if let Some(entry) = self.entries.get_mut(name) {
                 entry.is_missing = true;
@@ -346,7 +346,7 @@
         if now_ms < self.grace_until_ms || self.unavailable_since_ms.is_some() {
             return false;
         }
-        let missing = self.lapsed();
+        let missing = self.missing_names();
         for name in &missing {
             // This is this host's own conclusion: it is passed on with the next revision.
             self.drop_entry(now_ms, name, self.revision.next());
@@ -360,7 +360,7 @@
         Directory {
             revision: self.revision,
             registrations: entries.map(|entry| entry.registration.clone()).collect(),
-            lapsed: self.lapsed(),
+            lapsed: self.missing_names(),
         }
     }
 
--- a/crates/gateway/src/upstream_table.rs
+++ b/crates/gateway/src/upstream_table.rs
@@ -30,7 +30,11 @@
     ///
     /// Requests to the previous start would otherwise wait on connections that may never end: an
     /// upstream that restarts behind a network partition resets none of them.
-    pub(crate) fn adopt(&mut self, now_ms: Millis, registration: &Registration) -> InstanceKey {
+    pub(crate) fn apply_registration(
+        &mut self,
+        now_ms: Millis,
+        registration: &Registration,
+    ) -> InstanceKey {
         let known = self.by_name.remove(&registration.instance);
         if let Some(key) = known {
             let one = &mut self.arena[key];
