--- a/crates/cluster/src/circuit_breakers.rs
+++ b/crates/cluster/src/circuit_breakers.rs
@@ -45,7 +45,8 @@
 }
 
 impl CircuitBreakers {
-    /// Records a crash as a home; true where the caller has to schedule [`evaluate`](Self::evaluate).
+    /// Records a crash as a home; true where the caller has to schedule
+    /// [`evaluate`](Self::evaluate).
     pub fn report(&self, now_ms: Millis, content: ContentKey, upstream: UpstreamKey) -> bool {
         let mut crashes = self.crashes.lock();
         crashes.record.report(now_ms, content, upstream);
--- a/crates/cluster/src/claims.rs
+++ b/crates/cluster/src/claims.rs
@@ -23,7 +23,7 @@
 /// Settings of the claim log.
 #[derive(Debug, Clone, Copy)]
 pub struct ClaimSettings {
-    /// Number of shards; replaces from the platform's write budget, not from the fleet's size.
+    /// Number of shards; follows from the platform's write budget, not from the fleet's size.
     pub shards: u32,
     /// Writes per second over all shards together.
     pub writes_per_s: u32,
@@ -56,7 +56,7 @@
     }
 }
 
-/// Why a claim has no known outcome.
+/// Why a claim was not confirmed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub enum ClaimError {
     /// The claim was certainly not made.
--- a/crates/cluster/src/members.rs
+++ b/crates/cluster/src/members.rs
@@ -14,9 +14,9 @@
 const DEAD_RETENTION_MS: Millis = 60_000;
 /// Limit on the rumours in one message.
 const MAX_RUMOURS: usize = 8;
-/// Size of a data centre from which on most pings stay within it, since traffic between data centres
-/// is paid for. With a dozen hosts, a data centre still pings the others several times per second,
-/// and the loss of a whole data centre is detected within a second.
+/// Size of a data centre from which on most pings stay within it, since traffic between data
+/// centres is paid for. With a dozen hosts, a data centre still pings the others several times per
+/// second, and the loss of a whole data centre is detected within a second.
 const LOCAL_PING_MIN_MEMBERS: usize = 12;
 /// One ping in this many may then go to any data centre.
 const REMOTE_PING_PERIOD: u32 = 3;
@@ -31,8 +31,8 @@
 /// The membership table of one host, which includes the host itself.
 #[derive(Debug)]
 pub struct Members {
-    own: HostKey,
-    known: HashMap<HostKey, MemberRecord>,
+    own_key: HostKey,
+    records: HashMap<HostKey, MemberRecord>,
     /// Members of this host's data centre that remain to be pinged in the current local round.
     local: Vec<HostKey>,
     /// Members of all data centres that remain to be pinged in the current global round.
@@ -52,7 +52,7 @@
             state: MemberState::Alive,
             incarnation,
         };
-        let known = HashMap::from([(
+        let records = HashMap::from([(
             key,
             MemberRecord {
                 rumour,
@@ -61,8 +61,8 @@
             },
         )]);
         Self {
-            own: key,
-            known,
+            own_key: key,
+            records,
             local: Vec::new(),
             all: Vec::new(),
             pings: 0,
@@ -71,18 +71,18 @@
 
     /// This host's own rumour.
     pub fn own_rumour(&self) -> Rumour {
-        self.known[&self.own].rumour.clone()
+        self.records[&self.own_key].rumour.clone()
     }
 
     /// This host's key.
     pub fn own_key(&self) -> HostKey {
-        self.own
+        self.own_key
     }
 
     /// Adds a member from the host list if it is unknown.
     pub fn seed(&mut self, now_ms: Millis, member: MemberInfo) {
         let key = HostKey::of(&member.name);
-        if self.known.contains_key(&key) {
+        if self.records.contains_key(&key) {
             return;
         }
         let rumour = Rumour {
@@ -96,7 +96,7 @@
     /// Applies a rumour and schedules it for gossip if it is an update.
     pub fn apply(&mut self, now_ms: Millis, rumour: Rumour) {
         let key = HostKey::of(&rumour.member.name);
-        if key == self.own {
+        if key == self.own_key {
             self.refute(now_ms, &rumour);
             return;
         }
@@ -113,7 +113,7 @@
     /// for long after all hosts have started, and suspicions would queue behind them.
     pub fn apply_unrelayed(&mut self, now_ms: Millis, rumour: Rumour) -> bool {
         let key = HostKey::of(&rumour.member.name);
-        if key == self.own {
+        if key == self.own_key {
             self.refute(now_ms, &rumour);
             return false;
         }
@@ -125,19 +125,19 @@
     }
 
     fn is_update(&self, key: HostKey, rumour: &Rumour) -> bool {
-        self.known.get(&key).is_none_or(|known| {
-            let held = (known.rumour.incarnation, known.rumour.state);
+        self.records.get(&key).is_none_or(|record| {
+            let held = (record.rumour.incarnation, record.rumour.state);
             (rumour.incarnation, rumour.state) > held
         })
     }
 
     /// Marks a member as suspect that answered neither direct nor indirect pings.
     pub fn suspect(&mut self, now_ms: Millis, key: HostKey) {
-        let Some(known) = self.known.get(&key) else {
+        let Some(record) = self.records.get(&key) else {
             return;
         };
-        if known.rumour.state == MemberState::Alive {
-            let mut rumour = known.rumour.clone();
+        if record.rumour.state == MemberState::Alive {
+            let mut rumour = record.rumour.clone();
             rumour.state = MemberState::Suspect;
             self.apply(now_ms, rumour);
         }
@@ -146,13 +146,13 @@
     /// Records an answer of a member, which clears any suspicion of that incarnation.
     pub fn record_answer(&mut self, now_ms: Millis, rumour: &Rumour) {
         let key = HostKey::of(&rumour.member.name);
-        if let Some(known) = self.known.get_mut(&key)
-            && known.rumour.state == MemberState::Suspect
-            && rumour.incarnation == known.rumour.incarnation
+        if let Some(record) = self.records.get_mut(&key)
+            && record.rumour.state == MemberState::Suspect
+            && rumour.incarnation == record.rumour.incarnation
             && rumour.state == MemberState::Alive
         {
-            known.rumour.state = MemberState::Alive;
-            known.since_ms = now_ms;
+            record.rumour.state = MemberState::Alive;
+            record.since_ms = now_ms;
         }
         self.apply(now_ms, rumour.clone());
     }
@@ -160,29 +160,29 @@
     /// Marks this host as leaving; it is no home from then on.
     pub fn leave(&mut self) {
         let sends = self.send_count();
-        if let Some(known) = self.known.get_mut(&self.own) {
-            known.rumour.state = MemberState::Leaving;
-            known.rumour.incarnation += 1;
-            known.sends_left = sends;
+        if let Some(record) = self.records.get_mut(&self.own_key) {
+            record.rumour.state = MemberState::Leaving;
+            record.rumour.incarnation += 1;
+            record.sends_left = sends;
         }
     }
 
     /// Marks suspects that did not refute in time as dead, and forgets members dead for 60 s.
     pub fn expire(&mut self, now_ms: Millis) {
         let overdue: Vec<Rumour> = self
-            .known
+            .records
             .values()
-            .filter(|known| known.rumour.state == MemberState::Suspect)
-            .filter(|known| now_ms.saturating_sub(known.since_ms) >= SUSPICION_MS)
-            .map(|known| known.rumour.clone())
+            .filter(|record| record.rumour.state == MemberState::Suspect)
+            .filter(|record| now_ms.saturating_sub(record.since_ms) >= SUSPICION_MS)
+            .map(|record| record.rumour.clone())
             .collect();
         for mut rumour in overdue {
             rumour.state = MemberState::Dead;
             self.apply(now_ms, rumour);
         }
-        self.known.retain(|_, known| {
-            known.rumour.state != MemberState::Dead
-                || now_ms.saturating_sub(known.since_ms) < DEAD_RETENTION_MS
+        self.records.retain(|_, record| {
+            record.rumour.state != MemberState::Dead
+                || now_ms.saturating_sub(record.since_ms) < DEAD_RETENTION_MS
         });
     }
 
@@ -190,28 +190,32 @@
     /// with the logarithm of the number of members.
     pub fn rumours(&mut self) -> Vec<Rumour> {
         let mut pending: Vec<&mut MemberRecord> = self
-            .known
+            .records
             .values_mut()
-            .filter(|known| known.sends_left > 0)
+            .filter(|record| record.sends_left > 0)
             .collect();
-        pending.sort_by_key(|known| std::cmp::Reverse(known.sends_left));
+        pending.sort_by_key(|record| std::cmp::Reverse(record.sends_left));
         let selected = pending.into_iter().take(MAX_RUMOURS);
         selected
-            .map(|known| {
-                known.sends_left -= 1;
-                known.rumour.clone()
+            .map(|record| {
+                record.sends_left -= 1;
+                record.rumour.clone()
             })
             .collect()
     }
 
-    /// The next member to ping. Each member is pinged once per round, in an order shuffled by `draw`.
-    /// In a large data centre most pings stay local.
+    /// The next member to ping. Each member is pinged once per round, in an order shuffled by
+    /// `draw`. In a large data centre most pings stay local.
     pub fn next_target(&mut self, draw: u64) -> Option<MemberInfo> {
         self.pings = self.pings.wrapping_add(1);
         let is_remote = self.pings.is_multiple_of(REMOTE_PING_PERIOD);
-        let data_centre = self.known[&self.own].rumour.member.data_centre.clone();
-        let is_local = |known: &MemberRecord| known.rumour.member.data_centre == data_centre;
-        let local = self.others().filter(|(_, known)| is_local(known)).count();
+        let data_centre = self.records[&self.own_key]
+            .rumour
+            .member
+            .data_centre
+            .clone();
+        let is_local = |record: &MemberRecord| record.rumour.member.data_centre == data_centre;
+        let local = self.others().filter(|(_, record)| is_local(record)).count();
         if local < LOCAL_PING_MIN_MEMBERS || is_remote {
             let mut round = std::mem::take(&mut self.all);
             let target = self.take_target(&mut round, draw, |_| true);
@@ -232,41 +236,41 @@
     ) -> Option<MemberInfo> {
         loop {
             if round.is_empty() {
-                let others = self.others().filter(|(_, known)| is_in_round(known));
+                let others = self.others().filter(|(_, record)| is_in_round(record));
                 *round = others.map(|(key, _)| key).collect();
                 round.sort_by_key(|key| rank(draw, key.0));
             }
             let key = round.pop()?;
-            if let Some(known) = self.known.get(&key)
-                && known.rumour.state != MemberState::Dead
+            if let Some(record) = self.records.get(&key)
+                && record.rumour.state != MemberState::Dead
             {
-                return Some(known.rumour.member.clone());
+                return Some(record.rumour.member.clone());
             }
         }
     }
 
     /// A random sample of live members for a joining host to query, those of its data centre first.
-    /// This host may be in the sample. A member with the address of the joining host is left out: it is
-    /// an earlier instance whose end may be undetected, and the host would query itself.
+    /// This host may be in the sample. A member with the address of the joining host is left out:
+    /// it is an earlier instance whose end may be undetected, and the host would query itself.
     pub fn sample(&self, joining: &MemberInfo, draw: u64, count: usize) -> Vec<Rumour> {
-        let alive = self.known.iter();
+        let alive = self.records.iter();
         let mut alive: Vec<((bool, u64), &MemberRecord)> = alive
-            .filter(|(_, known)| known.rumour.state == MemberState::Alive)
-            .filter(|(_, known)| known.rumour.member.address != joining.address)
-            .map(|(key, known)| {
-                let is_remote = known.rumour.member.data_centre != joining.data_centre;
-                ((is_remote, rank(draw, key.0)), known)
+            .filter(|(_, record)| record.rumour.state == MemberState::Alive)
+            .filter(|(_, record)| record.rumour.member.address != joining.address)
+            .map(|(key, record)| {
+                let is_remote = record.rumour.member.data_centre != joining.data_centre;
+                ((is_remote, rank(draw, key.0)), record)
             })
             .collect();
         alive.sort_by_key(|(order, _)| *order);
         let selected = alive.into_iter().take(count);
-        selected.map(|(_, known)| known.rumour.clone()).collect()
+        selected.map(|(_, record)| record.rumour.clone()).collect()
     }
 
     /// The rumours of all known members, including dead ones.
     pub fn snapshot(&self) -> Vec<Rumour> {
-        let all = self.known.values();
-        all.map(|known| known.rumour.clone()).collect()
+        let all = self.records.values();
+        all.map(|record| record.rumour.clone()).collect()
     }
 
     /// A digest of the present members, equal on hosts that agree on them. Suspects count as
@@ -280,27 +284,27 @@
     pub fn probe_relays(&self, target: HostKey, draw: u64, count: usize) -> Vec<MemberInfo> {
         let mut others: Vec<(HostKey, &MemberRecord)> = self
             .others()
-            .filter(|(key, known)| *key != target && known.rumour.state == MemberState::Alive)
+            .filter(|(key, record)| *key != target && record.rumour.state == MemberState::Alive)
             .collect();
         others.sort_by_key(|(key, _)| rank(draw, key.0));
         let selected = others.into_iter().take(count);
         selected
-            .map(|(_, known)| known.rumour.member.clone())
+            .map(|(_, record)| record.rumour.member.clone())
             .collect()
     }
 
     /// Members eligible as homes. Suspects still count; otherwise homes would move at each missed
     /// ping.
     pub fn homes(&self) -> impl Iterator<Item = (HostKey, &MemberInfo)> {
-        self.known
+        self.records
             .iter()
-            .filter(|(_, known)| {
+            .filter(|(_, record)| {
                 matches!(
-                    known.rumour.state,
+                    record.rumour.state,
                     MemberState::Alive | MemberState::Suspect
                 )
             })
-            .map(|(key, known)| (*key, &known.rumour.member))
+            .map(|(key, record)| (*key, &record.rumour.member))
     }
 
     /// The homes of a resource by rendezvous hashing, best first.
@@ -330,33 +334,33 @@
 
     /// Every member that isn't dead, including this host.
     pub fn present(&self) -> impl Iterator<Item = &Rumour> {
-        self.known
+        self.records
             .values()
-            .map(|known| &known.rumour)
+            .map(|record| &record.rumour)
             .filter(|rumour| rumour.state != MemberState::Dead)
     }
 
     /// A present member by key.
     pub fn find(&self, key: HostKey) -> Option<&Rumour> {
-        self.known
+        self.records
             .get(&key)
-            .map(|known| &known.rumour)
+            .map(|record| &record.rumour)
             .filter(|rumour| rumour.state != MemberState::Dead)
     }
 
     fn others(&self) -> impl Iterator<Item = (HostKey, &MemberRecord)> {
-        let own = self.own;
-        self.known
+        let own = self.own_key;
+        self.records
             .iter()
-            .filter(move |(key, known)| **key != own && known.rumour.state != MemberState::Dead)
-            .map(|(key, known)| (*key, known))
+            .filter(move |(key, record)| **key != own && record.rumour.state != MemberState::Dead)
+            .map(|(key, record)| (*key, record))
     }
 
     /// Refutes a rumour against this host with a higher incarnation. Without this, a host that was
     /// paused for some seconds would stay dead to all others.
     fn refute(&mut self, now_ms: Millis, rumour: &Rumour) {
         let sends = self.send_count();
-        let Some(own_record) = self.known.get_mut(&self.own) else {
+        let Some(own_record) = self.records.get_mut(&self.own_key) else {
             return;
         };
         let is_against = (rumour.incarnation, rumour.state)
@@ -369,7 +373,7 @@
     }
 
     fn insert(&mut self, now_ms: Millis, key: HostKey, rumour: Rumour, sends_left: u32) {
-        self.known.insert(
+        self.records.insert(
             key,
             MemberRecord {
                 rumour,
@@ -380,7 +384,7 @@
     }
 
     fn send_count(&self) -> u32 {
-        3 * (self.known.len() as u32 + 1).ilog2().max(1)
+        3 * (self.records.len() as u32 + 1).ilog2().max(1)
     }
 }
 
--- a/crates/cluster/src/node.rs
+++ b/crates/cluster/src/node.rs
@@ -74,8 +74,8 @@
 
 /// The cluster node of one entry host.
 ///
-/// Lock order: members, loads, held, homeless permits, limits, slots, fetched, then the home tables; none is held
-/// across an await.
+/// Lock order: members, loads, held, homeless permits, limits, slots, fetched, then the home
+/// tables; none is held across an await.
 pub struct Node {
     pub(crate) settings: NodeSettings,
     pub(crate) clock: Clock,
@@ -230,8 +230,8 @@
 
     /// Takes a slot under an organisation's limits, at the organisation's home.
     ///
-    /// If no home answers, the request proceeds. Limits protect organisations from each other, and an
-    /// unreachable counter must not block all of them.
+    /// If no home answers, the request proceeds. Limits protect organisations from each other, and
+    /// an unreachable counter must not block all of them.
     pub async fn take_slot(
         &self,
         organisation: OrganisationKey,
@@ -326,8 +326,8 @@
 
     /// Claims an idempotency key at the home of its shard.
     ///
-    /// Which host writes is only an optimisation: a second host that considers itself the home races
-    /// on the conditional create, and one of the two loses.
+    /// Which host writes is only an optimisation: a second host that considers itself the home
+    /// races on the conditional create, and one of the two loses.
     pub async fn claim(&self, request: ClaimRequest) -> ClaimAnswer {
         if !self.has(Safeguard::Claim) {
             return ClaimAnswer::Claimed;
--- a/crates/cluster/src/poison.rs
+++ b/crates/cluster/src/poison.rs
@@ -1,9 +1,9 @@
 //! Quarantine of poison requests, which crash every upstream that runs them, across all hosts.
 //!
-//! Two hosts are the homes of a service's crash reports. Each run that had just begun on an upstream
-//! that crashed costs one message to each home. Each change of a circuit, which is rare, reaches
-//! every host. The traffic therefore doesn't grow with the square of the fleet, however many
-//! upstreams crash at once. Entry hosts and gateways implement [`CircuitHost`] with their own
+//! Two hosts are the homes of a service's crash reports. Each run that had just begun on an
+//! upstream that crashed costs one message to each home. Each change of a circuit, which is rare,
+//! reaches every host. The traffic therefore doesn't grow with the square of the fleet, however
+//! many upstreams crash at once. Entry hosts and gateways implement [`CircuitHost`] with their own
 //! transport.
 
 use std::net::SocketAddr;
@@ -162,7 +162,8 @@
 }
 
 /// Records that an upstream answered a request completely, which shows that its content crashes no
-/// upstream. A failure shows nothing, since a failing upstream rejects requests without running them.
+/// upstream. A failure shows nothing, since a failing upstream rejects requests without running
+/// them.
 pub fn note_success(host: &Arc<dyn CircuitHost>, service: ServiceKey, content: ContentKey) {
     if !host.breakers().note_success(host.now_ms(), content) {
         return;
--- a/crates/cluster/src/spread.rs
+++ b/crates/cluster/src/spread.rs
@@ -1,4 +1,4 @@
-//! Dissemination of the documents: a few watchers per data data_centre, announcements, and a comparison
+//! Dissemination of the documents: a few watchers per data centre, announcements, and a comparison
 //! of versions with each pinged peer.
 
 use std::collections::HashMap;
@@ -19,7 +19,7 @@
 use crate::poison::exchange_circuits;
 use crate::safeguard::Safeguard;
 
-/// Watchers per data data_centre, a number that doesn't grow with the fleet.
+/// Watchers per data centre, a number that doesn't grow with the fleet.
 const WATCHERS: usize = 2;
 const WATCH_TIMEOUT: Duration = Duration::from_millis(1_000);
 const HOST_LIST_PERIOD: Duration = Duration::from_millis(1_000);
--- a/crates/cluster/tests/claims.rs
+++ b/crates/cluster/tests/claims.rs
@@ -57,9 +57,9 @@
 }
 
 /// Guards against a key that is claimed twice after a pause. A writer claims one key and is paused,
-/// while another writes until the segments, one of them with the key `7`, are folded into chunks and
-/// deleted. The next number of the paused writer is then free again; without a check of the fold it
-/// would claim `7` a second time.
+/// while another writes until the segments, one of them with the key `7`, are folded into chunks
+/// and deleted. The next number of the paused writer is then free again; without a check of the
+/// fold it would claim `7` a second time.
 #[tokio::test]
 async fn writer_paused_past_a_fold_does_not_claim_twice() {
     let api = Arc::new(FakeObjectApi::default());
@@ -85,8 +85,8 @@
     assert_eq!(paused.claim(request(7, "intruder")).await, taken("holder"));
 }
 
-/// Guards against claims that are lost at a restart: a new writer reads the whole log, including its
-/// folded part, and knows each claim.
+/// Guards against claims that are lost at a restart: a new writer reads the whole log, including
+/// its folded part, and knows each claim.
 #[tokio::test]
 async fn new_writer_reads_all_claims() {
     let api = Arc::new(FakeObjectApi::default());
@@ -113,8 +113,7 @@
 
 /// Guards against a claim that blocks its own generation: a write takes effect but its answer is
 /// lost. The writer reads the segment back and finds its own records, or reports the outcome as
-/// unknown. A repeated request of the
-/// same generation gets the claim.
+/// unknown. A repeated request of the same generation gets the claim.
 #[rstest]
 #[case(LostAnswers { answers: 1, expected: ClaimAnswer::Claimed })]
 #[case(LostAnswers { answers: 2, expected: ClaimAnswer::Claimed })]
--- a/crates/cluster/tests/members.rs
+++ b/crates/cluster/tests/members.rs
@@ -121,8 +121,8 @@
     assert_eq!(members.homes_in(5, "zrh-c", 3).len(), 3);
 }
 
-/// Guards against pings full of stale rumours after all hosts have started: members that reach every
-/// host by announcement are not gossiped as well. A suspicion raised by this host is.
+/// Guards against pings full of stale rumours after all hosts have started: members that reach
+/// every host by announcement are not gossiped as well. A suspicion raised by this host is.
 #[test]
 fn announced_members_are_not_gossiped() {
     let mut members = Members::new(info("zrh-a/me"), 1);
@@ -179,8 +179,8 @@
     sent_remote: std::ops::RangeInclusive<usize>,
 }
 
-/// In a large data centre most pings stay local, but no member goes without pings for long. A host in
-/// a small data centre pings all members equally often.
+/// In a large data centre most pings stay local, but no member goes without pings for long. A host
+/// in a small data centre pings all members equally often.
 #[test]
 fn most_pings_stay_local() {
     let cases = [
--- a/crates/cluster/tests/orders.rs
+++ b/crates/cluster/tests/orders.rs
@@ -81,10 +81,10 @@
         .collect()
 }
 
-/// Guards against orders from a stale holder. Two hosts consider themselves the home of a model. The
-/// lease holder is paused past its lease, and the other takes over with a higher fencing number after
-/// the lease and the timeout of an order. The paused host resumes with a pending order and sends it
-/// neither to engines that check the number nor to those that ignore it.
+/// Guards against orders from a stale holder. Two hosts consider themselves the home of a model.
+/// The lease holder is paused past its lease, and the other takes over with a higher fencing number
+/// after the lease and the timeout of an order. The paused host resumes with a pending order and
+/// sends it neither to engines that check the number nor to those that ignore it.
 #[tokio::test(start_paused = true)]
 async fn holder_paused_past_its_lease_sends_no_order() {
     for checks_fencing in [true, false] {
@@ -106,9 +106,9 @@
     }
 }
 
-/// Guards against a pause between two orders: the holder renews its lease, sends a first order and is
-/// paused. When it resumes, the rest of the lease is too short, and the second engine, which ignores
-/// the fencing number, must get no order.
+/// Guards against a pause between two orders: the holder renews its lease, sends a first order and
+/// is paused. When it resumes, the rest of the lease is too short, and the second engine, which
+/// ignores the fencing number, must get no order.
 #[tokio::test(start_paused = true)]
 async fn pause_between_orders_prevents_the_second() {
     let api = Arc::new(FakeObjectApi::default());
