--- a/crates/policy/src/backpressure.rs
+++ b/crates/policy/src/backpressure.rs
@@ -1,108 +1,108 @@
-//! What an upstream asks of its callers in the heads of its answers.
+//! Backpressure that an upstream signals in its response heads.
 //!
-//! An upstream in need knows sooner than the hosts what it bears. What it asks for holds for its start,
-//! whatever becomes of its registration meanwhile.
+//! An overloaded upstream knows its capacity sooner than the hosts do. Its signals apply to this
+//! start of the upstream, whatever happens to its registration.
 
 use crate::key::Millis;
 
-/// Generations that may go on in one rest: each is lost otherwise, and an upstream that rests can be
-/// expected to bear one.
-const CONTINUATIONS_A_REST: u32 = 1;
+/// Generations that may continue at an upstream during one backoff period. Each would be lost
+/// otherwise, and an upstream can be expected to take one while it asks for backoff.
+const CONTINUATIONS_PER_BACKOFF: u32 = 1;
 
-/// What the head of one answer asks for.
+/// The signals of one response head.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct Signals {
-    /// Requests a second that the upstream takes from all hosts together; `None` where it bears
-    /// whatever comes.
+    /// Requests per second that the upstream accepts from all hosts together; `None` for no limit.
     pub limit_per_s: Option<f32>,
-    /// It leaves, and wants nothing new.
+    /// The upstream is leaving and accepts no new requests.
     pub is_leaving: bool,
-    /// It has turned this host away, and wants nothing from it for so long.
+    /// The upstream rejected the request and asks this host to send nothing for this long.
     pub backoff_ms: Option<Millis>,
 }
 
-/// What one upstream asks of its callers, as far as this host has heard.
+/// Backpressure state of one upstream, as this host knows it.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct Backpressure {
     limit_per_s: Option<f32>,
-    /// When it was heard that it names this limit, or none.
-    heard_ms: Millis,
-    /// Until when its limit leaves no start for this host.
-    held_until_ms: Millis,
+    /// When the limit, or its absence, was last reported.
+    updated_ms: Millis,
+    /// Until when the limit allows no request of this host.
+    throttled_until_ms: Millis,
     is_leaving: bool,
-    /// Until when it wants nothing from this host.
-    rest_until_ms: Millis,
-    /// Generations that went on there since it asked for rest.
+    /// Until when this host must send nothing.
+    backoff_until_ms: Millis,
+    /// Generations that have continued there in the current backoff period.
     continued: u32,
 }
 
 impl Backpressure {
-    /// Takes what an answer asks for. A limit that it doesn't name any more is over; one that leaves
-    /// doesn't come back.
+    /// Takes in the signals of a response. A limit that is missing from them ends. An upstream that
+    /// is leaving stays so.
     pub fn update(&mut self, now_ms: Millis, signals: Signals) {
         self.limit_per_s = signals.limit_per_s;
-        self.heard_ms = now_ms;
+        self.updated_ms = now_ms;
         self.is_leaving |= signals.is_leaving;
         if let Some(rest_ms) = signals.backoff_ms {
             if !self.is_backing_off(now_ms) {
                 self.continued = 0;
             }
-            self.rest_until_ms = self.rest_until_ms.max(now_ms.saturating_add(rest_ms));
+            self.backoff_until_ms = self.backoff_until_ms.max(now_ms.saturating_add(rest_ms));
         }
         if self.limit_per_s.is_none() {
-            self.held_until_ms = 0;
+            self.throttled_until_ms = 0;
         }
     }
 
-    /// Takes a limit that another host was told at a moment, unless more has been heard since.
-    pub fn merge_limit(&mut self, per_s: f32, heard_ms: Millis) {
-        if heard_ms > self.heard_ms {
+    /// Takes in a limit that another host received at `updated_ms`, unless a later one is known.
+    pub fn merge_limit(&mut self, per_s: f32, updated_ms: Millis) {
+        if updated_ms > self.updated_ms {
             self.limit_per_s = Some(per_s);
-            self.heard_ms = heard_ms;
+            self.updated_ms = updated_ms;
         }
     }
 
-    /// Its limit leaves no start for this host before `until_ms`.
+    /// Sends the upstream nothing before `until_ms`, because of its limit.
     pub fn throttle_until(&mut self, until_ms: Millis) {
-        self.held_until_ms = until_ms;
+        self.throttled_until_ms = until_ms;
     }
 
-    /// Requests a second that it takes from all hosts together.
+    /// Requests per second that the upstream accepts from all hosts together.
     pub fn limit_per_s(&self) -> Option<f32> {
         self.limit_per_s
     }
 
-    /// Whether it has said that it leaves.
+    /// Whether the upstream has signalled that it is leaving.
     pub fn is_leaving(&self) -> bool {
         self.is_leaving
     }
 
-    /// Whether it wants nothing from this host now.
+    /// Whether the upstream has asked this host to back off.
     pub fn is_backing_off(&self, now_ms: Millis) -> bool {
-        now_ms < self.rest_until_ms
+        now_ms < self.backoff_until_ms
     }
 
-    /// Whether a generation may go on there; counted where it rests.
+    /// Whether a generation may continue at the upstream. Counted during a backoff period.
     pub fn may_continue(&mut self, now_ms: Millis) -> bool {
         if !self.is_backing_off(now_ms) {
             return true;
         }
         self.continued += 1;
-        self.continued <= CONTINUATIONS_A_REST
+        self.continued <= CONTINUATIONS_PER_BACKOFF
     }
 
-    /// Whether it wants nothing new of this host now.
+    /// Whether this host must not send new requests to the upstream now.
     pub fn is_blocked(&self, now_ms: Millis) -> bool {
         self.is_leaving || now_ms < self.blocked_until_ms()
     }
 
-    /// When it was last heard.
+    /// When the limit was last reported.
     pub fn updated_ms(&self) -> Millis {
-        self.heard_ms
+        self.updated_ms
     }
 
-    /// From when on this host may send to it, unless it leaves; now or before where it may at once.
+    /// When this host may send again, unless the upstream is leaving. Not later than the current
+    /// time if it may send now.
     pub fn blocked_until_ms(&self) -> Millis {
-        self.held_until_ms.max(self.rest_until_ms)
+        self.throttled_until_ms.max(self.backoff_until_ms)
     }
 }
--- a/crates/policy/src/cell/answer_lengths.rs
+++ b/crates/policy/src/cell/answer_lengths.rs
@@ -9,7 +9,7 @@
 use std::collections::BTreeMap;
 
 use crate::key::Millis;
-use crate::lengths::{Histogram, LEAST_CHANCE, SurvivalCurve};
+use crate::lengths::{Histogram, MIN_PROBABILITY, SurvivalCurve};
 
 /// The length of an answer as stated by its caller.
 #[derive(Debug, Clone, Copy)]
@@ -122,7 +122,7 @@
             return 0.0;
         }
         let curve = self.curve(stated);
-        let reached = curve.survival(out_tokens).max(LEAST_CHANCE);
+        let reached = curve.survival(out_tokens).max(MIN_PROBABILITY);
         (curve.survival(then_tokens) / reached).min(1.0)
     }
 
--- a/crates/policy/src/cell/mod.rs
+++ b/crates/policy/src/cell/mod.rs
@@ -139,8 +139,8 @@
             return;
         };
         match verdict {
-            Verdict::Failed => engine.failures.learn(now_ms, 1.0),
-            Verdict::Shed => engine.failures.learn(now_ms, 0.5),
+            Verdict::Failed => engine.failures.record(now_ms, 1.0),
+            Verdict::Shed => engine.failures.record(now_ms, 0.5),
             Verdict::Good | Verdict::Unheard => {}
         }
     }
@@ -158,7 +158,7 @@
         }
         if end.is_complete {
             if let Some(engine) = self.engines.get_mut(&run.engine()) {
-                engine.failures.learn(now_ms, 0.0);
+                engine.failures.record(now_ms, 0.0);
             }
             let relayed_tokens = run.relayed_tokens();
             self.answer_lengths
--- a/crates/policy/src/evacuations.rs
+++ b/crates/policy/src/evacuations.rs
@@ -1,11 +1,12 @@
-//! Which data centres are evacuated: their upstreams get no work until the operator takes it back.
+//! Evacuated data centres: their upstreams get no work until the operator ends the evacuation.
 //!
-//! A few hosts read the operator's word from the store, the others have it from peers, in any order.
-//! All entries together are one state, which has the store's revision by which it was last seen to
-//! change; a state of a later revision replaces an earlier one, so no host falls back.
+//! A few hosts read the evacuations from the store. The others receive them from peers, in any
+//! order. All entries together form one state with the store's revision of its last change. A
+//! state of a later revision replaces an earlier one, so no host reverts to an older state.
 //!
-//! A store that comes back from a copy may lack what the operator had written last and writes again in
-//! its own time. Until then what a host has heard binds on: it keeps such an evacuation for a while.
+//! A store that was restored from a backup may lack the operator's latest changes until the
+//! operator writes them again. Meanwhile a host keeps the evacuations that it knows for a limited
+//! time.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -14,66 +15,67 @@
 use crate::key::Millis;
 use crate::revision::Revision;
 
-/// After so long the end of an evacuation is forgotten: its upstreams are cold for seconds. Other writers
-/// may leave names without end in the store.
-const REMEMBERED_MS: Millis = 600_000;
-/// How long an evacuation is kept that a store lacks which came back from a copy. An operator who still wants
-/// it writes it again sooner; one that was taken back unheard costs its data centre's work for so long.
-const UNCONFIRMED_MS: Millis = 30_000;
+/// How long the end of an evacuation is remembered. Its upstreams are cold only for seconds, and
+/// other writers may leave an unbounded number of names in the store.
+const ENDED_RETENTION_MS: Millis = 600_000;
+/// How long an evacuation is kept that is missing from a restored store. An operator who still
+/// wants it writes it again sooner. If it had been ended meanwhile, its data centre gets no work
+/// for this time.
+const UNCONFIRMED_TTL_MS: Millis = 30_000;
 
-/// The evacuated data centres at one revision, as hosts tell each other.
+/// The evacuated data centres at one revision, as hosts exchange them.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EvacuationState {
-    /// The revision of the store by which it was seen to be so.
+    /// The revision of the store at which this state was read.
     pub revision: Revision,
-    /// Names, in order.
+    /// Names of the evacuated data centres.
     pub data_centres: BTreeSet<String>,
-    /// Those among them that the store lacks since it came back from a copy, and how much longer each is
-    /// kept.
+    /// Those among them that are missing from the restored store, and how much longer each is kept,
+    /// in ms.
     pub unconfirmed: BTreeMap<String, Millis>,
 }
 
-/// A change of one data centre, as the store tells it.
+/// A change of one data centre, as reported by the store.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum EvacuationChange {
-    /// It is to get nothing more.
+    /// The evacuation of the named data centre begins.
     Begins(String),
-    /// It may get work again.
+    /// The named data centre may get work again.
     Ends(String),
 }
 
-/// What one host believes of evacuations.
+/// The evacuations known to one host.
 #[derive(Debug, Clone, Default)]
 pub struct Evacuations {
     /// The revision of the last change.
     changed: Revision,
-    /// The revision up to which this host knows of every change.
-    seen: Revision,
-    /// Since when each is evacuated, as this host heard it.
+    /// The revision up to which this host knows every change.
+    known: Revision,
+    /// When this host learned of each evacuation.
     evacuated: BTreeMap<String, Millis>,
-    /// When each data centre was taken back, as this host heard it.
+    /// When this host learned that each evacuation had ended.
     ended_ms: BTreeMap<String, Millis>,
-    /// Evacuated ones that the store lacks since it came back from a copy, and until when each is kept.
+    /// Evacuations that are missing from the restored store, and until when each is kept.
     unconfirmed: BTreeMap<String, Millis>,
 }
 
 impl EvacuationState {
-    /// The revision of a list that may be old: any other that is heard replaces it.
+    /// Revision of a list that may be stale. Any other state replaces it.
     pub const PROVISIONAL: Revision = Revision::new(0, 1);
 }
 
 impl Evacuations {
-    /// The revision of the last change; the first of all where nothing was ever heard.
+    /// The revision of the last change, or the default if none is known.
     pub fn revision(&self) -> Revision {
         self.changed
     }
 
-    /// Whether a peer's state is later than all that this host knows.
+    /// Whether a peer's revision is later than all that this host knows.
     pub fn is_behind(&self, theirs: Revision) -> bool {
-        theirs > self.seen
+        theirs > self.known
     }
 
-    /// What this host tells others.
+    /// The state to send to peers.
     pub fn state(&self, now_ms: Millis) -> EvacuationState {
         let unconfirmed = self.unconfirmed.iter();
         let left = unconfirmed.map(|(name, until_ms)| (name, until_ms.saturating_sub(now_ms)));
@@ -95,64 +97,66 @@
         self.evacuated.contains_key(data_centre)
     }
 
-    /// Evacuated data centres.
+    /// Number of evacuated data centres.
     pub fn count(&self) -> usize {
         self.evacuated.len()
     }
 
-    /// Evacuated ones that the store lacks since it came back from a copy.
+    /// Number of evacuations that are missing from the restored store.
     pub fn unconfirmed_count(&self) -> usize {
         self.unconfirmed.len()
     }
 
-    /// When a data centre was taken back.
+    /// When the evacuation of a data centre ended.
     pub fn ended_ms(&self, data_centre: &str) -> Option<Millis> {
         self.ended_ms.get(data_centre).copied()
     }
 
-    /// Since when the longest of the evacuations lasts.
+    /// When the oldest current evacuation began.
     pub fn oldest_ms(&self) -> Option<Millis> {
         self.evacuated.values().min().copied()
     }
 
-    /// Takes all entries that the store has at a revision; true where they differ from what was known.
+    /// Replaces the state with all entries of the store at a revision. Returns whether the
+    /// evacuated data centres changed.
     pub fn replace(
         &mut self,
         now_ms: Millis,
         revision: Revision,
         data_centres: BTreeSet<String>,
     ) -> bool {
-        if revision < self.seen {
+        if revision < self.known {
             return false;
         }
-        let is_first = self.seen <= EvacuationState::PROVISIONAL;
-        let is_return = revision.is_restore_since(self.seen, EvacuationState::PROVISIONAL);
+        let is_first = self.known <= EvacuationState::PROVISIONAL;
+        let is_restore = revision.is_restore_since(self.known, EvacuationState::PROVISIONAL);
         let is_confirmed = self.confirm(&data_centres);
-        if is_return {
+        if is_restore {
             self.keep_missing(now_ms, &data_centres);
         }
-        self.seen = revision;
+        self.known = revision;
         let is_new = self.set(now_ms, data_centres);
-        // A first list without entries is news as well: a peer that was cut off may hold older ones. So is
-        // the first of an era, which no peer can compare with what it holds, and an entry that was written
-        // again, which peers would end in a while.
-        if is_new || is_first || is_return || is_confirmed {
+        // Announce an empty first list too, since a peer that was partitioned may hold older entries.
+        // The same applies to the first list of an era, because revisions of different eras are not
+        // comparable, and to an entry that was written again, because peers would let it expire.
+        if is_new || is_first || is_restore || is_confirmed {
             self.changed = revision;
         }
         is_new
     }
 
-    /// Takes the store's changes up to a revision, in order; true where something differs in the end.
+    /// Applies the store's changes up to a revision, in order. Returns whether the evacuated data
+    /// centres changed.
     pub fn apply(
         &mut self,
         now_ms: Millis,
         revision: Revision,
         changes: impl IntoIterator<Item = EvacuationChange>,
     ) -> bool {
-        if revision < self.seen {
+        if revision < self.known {
             return false;
         }
-        self.seen = revision;
+        self.known = revision;
         let mut data_centres = self.names();
         let mut is_confirmed = false;
         for change in changes {
@@ -170,26 +174,27 @@
         is_new
     }
 
-    /// Takes a peer's state; true where it differs from what was known.
-    pub fn merge_peer(&mut self, now_ms: Millis, told: EvacuationState) -> bool {
-        if !self.is_behind(told.revision) {
+    /// Merges a peer's state. Returns whether the evacuated data centres changed.
+    pub fn merge_peer(&mut self, now_ms: Millis, peer: EvacuationState) -> bool {
+        if !self.is_behind(peer.revision) {
             return false;
         }
         let provisional = EvacuationState::PROVISIONAL;
-        let is_return = told.revision.is_restore_since(self.seen, provisional);
-        self.confirm(&told.data_centres);
-        if is_return {
-            self.keep_missing(now_ms, &told.data_centres);
+        let is_restore = peer.revision.is_restore_since(self.known, provisional);
+        self.confirm(&peer.data_centres);
+        if is_restore {
+            self.keep_missing(now_ms, &peer.data_centres);
         }
-        let theirs = told.unconfirmed.into_iter();
-        let theirs = theirs.map(|(name, left_ms)| (name, now_ms + left_ms));
-        self.unconfirmed.extend(theirs);
-        self.seen = told.revision;
-        self.changed = told.revision;
-        self.set(now_ms, told.data_centres)
+        let unconfirmed = peer.unconfirmed.into_iter();
+        let unconfirmed = unconfirmed.map(|(name, left_ms)| (name, now_ms + left_ms));
+        self.unconfirmed.extend(unconfirmed);
+        self.known = peer.revision;
+        self.changed = peer.revision;
+        self.set(now_ms, peer.data_centres)
     }
 
-    /// Ends what the operator has not written again in time; true where there was any.
+    /// Ends unconfirmed evacuations that the operator has not written again in time. Returns
+    /// whether there were any.
     pub fn expire(&mut self, now_ms: Millis) -> bool {
         let before = self.unconfirmed.len();
         if before == 0 {
@@ -206,7 +211,7 @@
         self.unconfirmed.len() < before && self.set(now_ms, data_centres)
     }
 
-    /// Keeps for good what is there again; true where there was any.
+    /// Marks evacuations as confirmed that the store has again. Returns whether there were any.
     fn confirm(&mut self, data_centres: &BTreeSet<String>) -> bool {
         let before = self.unconfirmed.len();
         self.unconfirmed
@@ -214,11 +219,12 @@
         self.unconfirmed.len() < before
     }
 
-    /// Keeps for a while what the operator may still want and the store lacks.
+    /// Keeps evacuations that are missing from a restored store for a limited time, because the
+    /// operator may still want them.
     fn keep_missing(&mut self, now_ms: Millis, data_centres: &BTreeSet<String>) {
         let missing = self.evacuated.keys();
         for name in missing.filter(|name| !data_centres.contains(*name)) {
-            let until_ms = now_ms + UNCONFIRMED_MS;
+            let until_ms = now_ms + UNCONFIRMED_TTL_MS;
             self.unconfirmed.entry(name.clone()).or_insert(until_ms);
         }
     }
@@ -226,7 +232,7 @@
     fn set(&mut self, now_ms: Millis, mut data_centres: BTreeSet<String>) -> bool {
         data_centres.extend(self.unconfirmed.keys().cloned());
         self.ended_ms
-            .retain(|_, ended_ms| now_ms.saturating_sub(*ended_ms) < REMEMBERED_MS);
+            .retain(|_, ended_ms| now_ms.saturating_sub(*ended_ms) < ENDED_RETENTION_MS);
         let ended: Vec<String> = self
             .evacuated
             .keys()
--- a/crates/policy/src/fair.rs
+++ b/crates/policy/src/fair.rs
@@ -1,8 +1,8 @@
-//! Whose turn it is: virtual token counters by organisation.
+//! Fair queueing between organisations by virtual token counters.
 //!
-//! Each organisation is charged its tokens divided by its weight; the one charged least is served
-//! first, and none may run ahead of a waiting one by more than a bound. (Virtual token counters:
-//! Sheng et al., "Fairness in Serving Large Language Models", OSDI 2024.)
+//! Each organisation is charged its tokens divided by its weight. The one charged least is served
+//! first, and none may run ahead of a waiting one by more than a bound. (Sheng et al., "Fairness
+//! in Serving Large Language Models", OSDI 2024.)
 
 use std::collections::HashMap;
 
@@ -18,7 +18,7 @@
     running: u32,
 }
 
-/// The accounts of the organisations at one engine.
+/// The counters of all active organisations at one engine.
 #[derive(Debug, Default)]
 pub struct Fairness {
     accounts: HashMap<OrganisationKey, Account>,
@@ -26,10 +26,10 @@
 }
 
 impl Fairness {
-    /// An ask has come.
+    /// Counts a queued request.
     ///
-    /// An organisation that was away starts at the floor: credit from idle times would let it
-    /// block everybody for as long as it had been away.
+    /// An organisation that was idle starts at the floor. Credit from idle time would let it block
+    /// all others for as long as it had been idle.
     pub fn enqueue(&mut self, organisation: OrganisationKey, weight: f32) {
         let floor = self.floor;
         let account = self.accounts.entry(organisation).or_insert(Account {
@@ -46,7 +46,7 @@
         account.queued += 1;
     }
 
-    /// An ask has left the queue without a grant.
+    /// Counts a request that left the queue without a permit.
     pub fn dequeue(&mut self, organisation: OrganisationKey) {
         if let Some(account) = self.accounts.get_mut(&organisation) {
             account.queued = account.queued.saturating_sub(1);
@@ -54,7 +54,7 @@
         self.forget(organisation);
     }
 
-    /// An ask was granted, holding `tokens`.
+    /// Counts a granted request that holds `tokens`.
     pub fn start(&mut self, organisation: OrganisationKey, tokens: u32) {
         if let Some(account) = self.accounts.get_mut(&organisation) {
             account.queued = account.queued.saturating_sub(1);
@@ -63,7 +63,7 @@
         self.charge(organisation, tokens);
     }
 
-    /// A generation holds `tokens` more.
+    /// Charges `tokens` that a generation holds in addition.
     pub fn charge(&mut self, organisation: OrganisationKey, tokens: u32) {
         if let Some(account) = self.accounts.get_mut(&organisation) {
             account.charged += f64::from(tokens) / account.weight;
@@ -71,7 +71,7 @@
         }
     }
 
-    /// A generation that held `tokens` has ended.
+    /// Counts the end of a generation that held `tokens`.
     pub fn end(&mut self, organisation: OrganisationKey, tokens: u32) {
         if let Some(account) = self.accounts.get_mut(&organisation) {
             account.running = account.running.saturating_sub(1);
@@ -81,7 +81,7 @@
         self.forget(organisation);
     }
 
-    /// How far an organisation is ahead of the least served one that waits, in tokens a weight.
+    /// How far an organisation is ahead of the least served waiting one, in tokens per weight.
     pub fn lead(&self, organisation: OrganisationKey) -> f64 {
         let Some(account) = self.accounts.get(&organisation) else {
             return 0.0;
@@ -89,7 +89,7 @@
         account.charged - self.least_waiting()
     }
 
-    /// The charge of the least served organisation that waits.
+    /// The charge of the least served waiting organisation, in tokens per weight.
     pub fn least_waiting(&self) -> f64 {
         let waiting = self.accounts.values().filter(|other| other.queued > 0);
         waiting
@@ -97,21 +97,21 @@
             .fold(f64::INFINITY, f64::min)
     }
 
-    /// The charge of one organisation.
+    /// The charge of an organisation, in tokens per weight.
     pub fn charged(&self, organisation: OrganisationKey) -> f64 {
         self.accounts
             .get(&organisation)
             .map_or(self.floor, |account| account.charged)
     }
 
-    /// The engine memory that an organisation holds.
+    /// Engine memory held by an organisation.
     pub fn held_tokens(&self, organisation: OrganisationKey) -> u64 {
         self.accounts
             .get(&organisation)
             .map_or(0, |account| account.held_tokens)
     }
 
-    /// How many organisations wait or run.
+    /// Number of organisations with a counter.
     pub fn active(&self) -> usize {
         self.accounts.len()
     }
@@ -127,8 +127,8 @@
         }
     }
 
-    /// Drops an account that says no more than the floor does, so that the table stays as small
-    /// as the set of active organisations.
+    /// Drops an idle account whose charge is not above the floor, which bounds the table by the
+    /// number of active organisations.
     fn forget(&mut self, organisation: OrganisationKey) {
         let Some(account) = self.accounts.get(&organisation) else {
             return;
--- a/crates/policy/src/fit.rs
+++ b/crates/policy/src/fit.rs
@@ -1,65 +1,66 @@
-//! Whether one more generation fits into an engine's memory.
+//! Admission by predicted engine memory.
 //!
-//! Generations in one batch advance together, a token a step, so the batch's memory `h` steps from
-//! now is the sum of what each holds then, if it still runs. The peak over `h` is what has to stay
-//! under the engine's memory. (Peak of future memory over estimated remaining lengths: Gong et al.,
+//! All generations of a batch advance by one token per step, so the memory of the batch `h` steps
+//! ahead is the sum over the generations that still run then. The peak over `h` must stay below
+//! the engine's memory. (Peak of future memory over estimated remaining lengths: Gong et al.,
 //! "Past-Future Scheduler for LLM Serving under SLA Guarantees", ASPLOS 2025.)
 
 use crate::lengths::SurvivalCurve;
 
-/// The steps ahead at which the batch's memory is predicted.
+/// Steps ahead at which the memory of the batch is predicted.
 const HORIZONS_TOKENS: [f32; 12] = [
     1.0, 16.0, 32.0, 64.0, 128.0, 256.0, 384.0, 512.0, 1024.0, 2048.0, 4096.0, 8192.0,
 ];
 
-/// How an engine's memory is kept from filling up.
+/// Admission rule for an engine's memory.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum FitRule {
-    /// No admission: everything starts at once.
+    /// No admission control: everything starts at once.
     Open,
-    /// At most so many generations.
+    /// A fixed limit on concurrent generations.
     Cap {
-        /// The bound.
+        /// Maximum number of running generations.
         running: u32,
     },
-    /// Mean and deviation of the predicted memory at several horizons.
+    /// Mean and standard deviation of the predicted memory at several horizons.
     Normal {
-        /// Standard deviations to keep free.
+        /// Number of standard deviations to keep free.
         z: f32,
         /// Share of the memory to use.
         share: f32,
     },
-    /// The peak over sorted remaining lengths, one draw for each generation.
+    /// The peak over sorted remaining lengths, sampled once for each generation.
     Sampled {
         /// Share of the memory to use.
         share: f32,
     },
 }
 
-/// One generation as the prediction sees it.
+/// One generation as input to the memory prediction.
 #[derive(Debug, Clone, Copy)]
 pub struct Footprint<'a> {
     /// Prompt tokens.
     pub prompt_tokens: f32,
-    /// Tokens that are out.
+    /// Tokens produced so far.
     pub out_tokens: f32,
-    /// The answer's bound.
+    /// Maximum number of output tokens.
     pub limit_tokens: f32,
-    /// How long such answers are.
+    /// Distribution of the output length.
     pub curve: &'a SurvivalCurve,
-    /// The whole length, where it is known (the bench's oracle).
+    /// The final output length, if known (only in the benchmark's oracle policy).
     pub known_tokens: Option<f32>,
-    /// This generation's own draw between 0 and 1, for [`FitRule::Sampled`].
+    /// Random draw of this generation between 0 and 1, for [`FitRule::Sampled`].
     pub draw: f32,
 }
 
 impl Footprint<'_> {
-    /// The chance of having reached the tokens that are out.
+    /// Probability of an output at least as long as what has been produced.
     fn reached(&self) -> f32 {
         self.curve.survival(self.out_tokens).max(1e-6)
     }
 
-    /// The chance of still running `ahead_tokens` later, given the chance of having come so far.
+    /// Probability of still running `ahead_tokens` later, given the probability `reached` of the
+    /// output so far.
     fn still_runs(&self, ahead_tokens: f32, reached: f32) -> f32 {
         let then = self.out_tokens + ahead_tokens;
         if then > self.limit_tokens {
@@ -71,7 +72,7 @@
         }
     }
 
-    fn whole_length(&self) -> f32 {
+    fn total_length(&self) -> f32 {
         let length = match self.known_tokens {
             Some(known) => known,
             None => self.curve.length_at(self.out_tokens, self.draw),
@@ -80,7 +81,7 @@
     }
 }
 
-/// Predicted memory of a batch, to which candidates are tried.
+/// Predicted memory of a batch, against which candidates are checked.
 #[derive(Debug, Default, Clone)]
 pub(crate) struct Forecast {
     mean: [f32; HORIZONS_TOKENS.len()],
@@ -90,7 +91,7 @@
 }
 
 impl Forecast {
-    /// Adds a generation.
+    /// Adds a generation to the batch.
     pub(crate) fn add(&mut self, footprint: &Footprint<'_>, rule: FitRule) {
         self.count += 1;
         match rule {
@@ -111,7 +112,7 @@
         }
     }
 
-    /// Whether the batch with `footprint` stays within `memory_tokens`.
+    /// Whether the batch including `footprint` stays within `memory_tokens`.
     pub(crate) fn fits(
         &self,
         footprint: &Footprint<'_>,
@@ -150,24 +151,24 @@
     (chance * size, chance * (1.0 - chance) * size * size)
 }
 
-/// Remaining tokens and memory at the end.
+/// Sampled remaining tokens, and memory at the end of the generation.
 fn sampled(footprint: &Footprint<'_>) -> (f32, f32) {
-    let length = footprint.whole_length();
+    let length = footprint.total_length();
     (
         length - footprint.out_tokens,
         footprint.prompt_tokens + length,
     )
 }
 
-/// The peak of a batch whose remaining lengths are sorted, longest first.
+/// Peak memory of a batch whose remaining lengths are sorted, longest first.
 ///
-/// When the generation at place `i` ends, those before it still run, each short of its end by the
-/// difference of remaining lengths.
+/// When the generation at index `i` ends, those before it still run, each short of its end by the
+/// difference between the remaining lengths.
 fn sorted_peak(remaining: &[(f32, f32)]) -> f32 {
     let mut peak = 0.0f32;
     let mut at_end = 0.0f32;
-    for (index, (left, whole)) in remaining.iter().enumerate() {
-        at_end += whole - left;
+    for (index, (left, total)) in remaining.iter().enumerate() {
+        at_end += total - left;
         peak = peak.max(at_end + left * (index as f32 + 1.0));
     }
     peak
--- a/crates/policy/src/home.rs
+++ b/crates/policy/src/home.rs
@@ -1,4 +1,4 @@
-//! The home of an engine: its permits, its queue, and who starts next.
+//! The home of an engine: its permits, its queue, and which request starts next.
 
 use serde::{Deserialize, Serialize};
 use slotmap::SlotMap;
@@ -10,33 +10,33 @@
 use crate::key::Millis;
 use crate::lengths::Lengths;
 use crate::load::EngineLoad;
-use crate::permit::{Permit, wanted};
+use crate::permit::{Permit, footprint_at_start};
 use crate::permit_request::{
     EnginePermitRequest, Outcome, PermitKey, PermitRequestId, RefusalReason,
 };
 use crate::queue::{Waiting, next};
 use crate::unaccounted_memory::UnaccountedMemory;
 
-/// A home's own count of its engine.
+/// The load of an engine as its home counts it.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HomeLoad {
-    /// Permits out.
+    /// Permits granted and not yet released.
     pub running: u32,
-    /// Asks in the queue.
+    /// Requests in the queue.
     pub queued: u32,
-    /// Memory that the permits hold now.
+    /// Engine memory held by the permits.
     pub held_tokens: u32,
 }
 
-/// Steps ahead at which an engine counts as about to fill.
-const FILLING_STEPS: u32 = 24;
-const PACE_GAIN: f32 = 0.05;
-const MOVE_PAUSE_MS: Millis = 200;
-const MOVE_AGAIN_MS: Millis = 2_000;
-/// A prompt shorter than this starts without waiting for the pace.
+/// Decode steps to look ahead when checking whether the engine is about to run out of memory.
+const MEMORY_LOOKAHEAD_STEPS: u32 = 24;
+const DECODE_RATE_GAIN: f32 = 0.05;
+const MOVE_INTERVAL_MS: Millis = 200;
+const MOVE_SAME_PERMIT_INTERVAL_MS: Millis = 2_000;
+/// Prompts shorter than this bypass prefill pacing.
 const UNPACED_TOKENS: u32 = 64;
 
-/// The home of one engine.
+/// Grants permits for one engine and queues the requests that don't fit yet.
 #[derive(Debug)]
 pub struct Home {
     settings: HomeSettings,
@@ -48,13 +48,13 @@
     next_prompt_at_ms: f64,
     next_move_at_ms: Millis,
     leaving: bool,
-    /// Tokens a millisecond of one generation in the batch, smoothed.
+    /// Smoothed decode rate of one generation in the batch.
     tokens_per_ms: f32,
     backlog: Backlog,
 }
 
 impl Home {
-    /// A home without permits.
+    /// Creates a home without permits.
     pub fn new(settings: HomeSettings) -> Self {
         Self {
             settings,
@@ -71,89 +71,100 @@
         }
     }
 
-    /// Changes how the home decides; what runs stays.
+    /// Replaces the settings. Running generations are not affected.
     pub fn set_settings(&mut self, settings: HomeSettings) {
         self.settings = settings;
     }
 
-    /// The engine takes nothing new from now on, or takes work again.
+    /// Sets whether the engine is leaving and refuses all new requests.
     pub fn set_leaving(&mut self, leaving: bool) {
         self.leaving = leaving;
     }
 
-    /// Takes in an ask. Its outcome comes from this or a later [`Home::step`].
+    /// Queues a request. The next or a later [`Home::step`] decides it.
     ///
-    /// An ask that comes again changes nothing: the answer to the first may have been lost.
-    pub fn request_permit(&mut self, now_ms: Millis, ask: EnginePermitRequest, lengths: &Lengths) {
-        if self.is_queued(ask.id) || self.granted_permit(ask.id).is_some() {
+    /// A repeated request is ignored, because the answer to the first may have been lost.
+    pub fn request_permit(
+        &mut self,
+        now_ms: Millis,
+        request: EnginePermitRequest,
+        lengths: &Lengths,
+    ) {
+        if self.is_queued(request.id) || self.granted_permit(request.id).is_some() {
             return;
         }
-        let expected = match ask.known_tokens {
+        let expected = match request.known_tokens {
             Some(known) => known as f32,
-            None => lengths.expected(ask.organisation, ask.service),
+            None => lengths.expected(request.organisation, request.service),
         };
-        self.fairness.enqueue(ask.organisation, ask.weight);
+        self.fairness.enqueue(request.organisation, request.weight);
         self.queue.push(Waiting {
-            ask,
+            request,
             since_ms: now_ms,
-            footprint_tokens: ask.prompt_tokens as f32 + expected,
+            footprint_tokens: request.prompt_tokens as f32 + expected,
         });
     }
 
-    /// The permit that an ask was granted, and its priority; an ask may come twice.
-    pub fn granted_permit(&self, ask: PermitRequestId) -> Option<(PermitKey, i32)> {
+    /// The permit granted to a request, and its priority. Answers a request that is sent twice.
+    pub fn granted_permit(&self, request: PermitRequestId) -> Option<(PermitKey, i32)> {
         let mut permits = self.permits.iter();
-        let (key, permit) = permits.find(|(_, permit)| permit.ask.id == ask)?;
+        let (key, permit) = permits.find(|(_, permit)| permit.request.id == request)?;
         Some((key, permit.priority))
     }
 
-    /// Whether an ask is in the queue.
-    pub fn is_queued(&self, ask: PermitRequestId) -> bool {
-        self.queue.iter().any(|waiting| waiting.ask.id == ask)
+    /// Whether a request is in the queue.
+    pub fn is_queued(&self, request: PermitRequestId) -> bool {
+        self.queue
+            .iter()
+            .any(|waiting| waiting.request.id == request)
     }
 
-    /// Whether a permit is known.
+    /// Whether this home holds a permit.
     pub fn has_permit(&self, permit: PermitKey) -> bool {
         self.permits.contains_key(permit)
     }
 
-    /// Counts a generation that already runs, which an earlier home had permitted.
-    pub fn restore(&mut self, now_ms: Millis, ask: EnginePermitRequest) -> PermitKey {
-        if let Some((known, _)) = self.granted_permit(ask.id) {
+    /// Registers a running generation whose permit an earlier home granted.
+    pub fn restore(&mut self, now_ms: Millis, request: EnginePermitRequest) -> PermitKey {
+        if let Some((known, _)) = self.granted_permit(request.id) {
             return known;
         }
-        self.fairness.enqueue(ask.organisation, ask.weight);
-        self.insert(now_ms, ask, 0)
+        self.fairness.enqueue(request.organisation, request.weight);
+        self.insert(now_ms, request, 0)
     }
 
-    /// Takes back an ask that is no longer wanted.
-    pub fn withdraw(&mut self, ask: PermitRequestId) {
-        if let Some(index) = self.queue.iter().position(|waiting| waiting.ask.id == ask) {
+    /// Removes a request from the queue, or releases its permit.
+    pub fn withdraw(&mut self, request: PermitRequestId) {
+        if let Some(index) = self
+            .queue
+            .iter()
+            .position(|waiting| waiting.request.id == request)
+        {
             self.drop_waiting(index);
-        } else if let Some((permit, _)) = self.granted_permit(ask) {
+        } else if let Some((permit, _)) = self.granted_permit(request) {
             self.release(permit);
         }
     }
 
-    /// A generation has so many tokens out.
+    /// Records how many tokens a generation has produced so far.
     pub fn progress(&mut self, now_ms: Millis, permit: PermitKey, out_tokens: u32) {
         let Some(entry) = self.permits.get_mut(permit) else {
             return;
         };
-        let since_ms = now_ms.saturating_sub(entry.heard_at_ms);
-        entry.heard_at_ms = now_ms;
+        let since_ms = now_ms.saturating_sub(entry.updated_at_ms);
+        entry.updated_at_ms = now_ms;
         let grown = out_tokens.saturating_sub(entry.out_tokens);
         entry.out_tokens += grown;
         if since_ms > 0 && grown > 0 {
-            let pace = grown as f32 / since_ms as f32;
-            self.tokens_per_ms += (pace - self.tokens_per_ms) * PACE_GAIN;
+            let rate = grown as f32 / since_ms as f32;
+            self.tokens_per_ms += (rate - self.tokens_per_ms) * DECODE_RATE_GAIN;
         }
-        let organisation = entry.ask.organisation;
+        let organisation = entry.request.organisation;
         self.held_tokens += u64::from(grown);
         self.fairness.charge(organisation, grown);
     }
 
-    /// A generation is whole, with so many tokens.
+    /// Releases the permit of a completed generation and records its length.
     pub fn finish(
         &mut self,
         now_ms: Millis,
@@ -166,17 +177,17 @@
                 organisation,
                 service,
                 ..
-            } = entry.ask;
+            } = entry.request;
             lengths.record(now_ms, organisation, service, length_tokens);
         }
     }
 
-    /// A generation has left the engine without being whole.
+    /// Releases the permit of a generation that ended before it was complete.
     pub fn cancel(&mut self, permit: PermitKey) {
         self.release(permit);
     }
 
-    /// Takes in the engine's late report.
+    /// Takes in a load report of the engine, which lags behind this home's own count.
     pub fn report(&mut self, now_ms: Millis, load: EngineLoad) {
         self.unaccounted.note(now_ms, self.held_tokens as f32);
         self.unaccounted.report(load.used_tokens as f32);
@@ -185,7 +196,7 @@
         }
     }
 
-    /// The home's own count.
+    /// The current load as this home counts it.
     pub fn load(&self) -> HomeLoad {
         HomeLoad {
             running: self.permits.len() as u32,
@@ -194,16 +205,16 @@
         }
     }
 
-    /// Decides what can be decided now.
+    /// Expires permits, then refuses, grants and moves what can be decided now.
     pub fn step(&mut self, now_ms: Millis, lengths: &Lengths, outcomes: &mut Vec<Outcome>) {
-        self.lapse(now_ms);
-        self.backlog.pass(now_ms, self.queue.is_empty());
+        self.expire_permits(now_ms);
+        self.backlog.advance(now_ms, self.queue.is_empty());
         self.unaccounted.note(now_ms, self.held_tokens as f32);
         self.refuse(now_ms, outcomes);
         if !self.queue.is_empty() {
             self.grant(now_ms, lengths, outcomes);
-            self.refuse_hurried(outcomes);
-            self.refuse_hopeless(now_ms, outcomes);
+            self.refuse_unqueueable(outcomes);
+            self.refuse_unservable(now_ms, outcomes);
         }
         if self.settings.moves {
             self.choose_move(now_ms, lengths, outcomes);
@@ -211,22 +222,22 @@
         debug_assert!(self.is_consistent(), "held tokens don't add up");
     }
 
-    /// When the next step is due, if nothing else happens.
+    /// When to call [`Home::step`] next if no event comes before.
     pub fn due_ms(&self) -> Millis {
         self.next_prompt_at_ms.ceil() as Millis
     }
 
-    /// Drops permits whose host has gone silent. Without this the memory that a dead host's
-    /// permits hold would never be given out again.
-    fn lapse(&mut self, now_ms: Millis) {
-        let lapse_ms = self.settings.permit_ttl_ms;
-        let gone: Vec<PermitKey> = self
+    /// Releases permits whose host has sent no update in time. Otherwise the memory held by the
+    /// permits of a dead host would never be freed.
+    fn expire_permits(&mut self, now_ms: Millis) {
+        let permit_ttl_ms = self.settings.permit_ttl_ms;
+        let expired: Vec<PermitKey> = self
             .permits
             .iter()
-            .filter(|(_, permit)| now_ms.saturating_sub(permit.heard_at_ms) > lapse_ms)
+            .filter(|(_, permit)| now_ms.saturating_sub(permit.updated_at_ms) > permit_ttl_ms)
             .map(|(key, _)| key)
             .collect();
-        for key in gone {
+        for key in expired {
             self.release(key);
         }
     }
@@ -234,10 +245,10 @@
     fn refuse(&mut self, now_ms: Millis, outcomes: &mut Vec<Outcome>) {
         let mut index = 0;
         while index < self.queue.len() {
-            match self.refusal_of(now_ms, index) {
+            match self.refusal_reason(now_ms, index) {
                 Some(reason) => {
                     if reason == RefusalReason::TooLate {
-                        self.backlog.too_late();
+                        self.backlog.record_timeout();
                     }
                     self.refuse_at(index, reason, outcomes);
                 }
@@ -246,55 +257,55 @@
         }
     }
 
-    fn refusal_of(&self, now_ms: Millis, index: usize) -> Option<RefusalReason> {
+    fn refusal_reason(&self, now_ms: Millis, index: usize) -> Option<RefusalReason> {
         let waiting = &self.queue[index];
         let waited_ms = now_ms.saturating_sub(waiting.since_ms);
-        let tokens = waiting.ask.prompt_tokens + waiting.ask.out_tokens;
+        let tokens = waiting.request.prompt_tokens + waiting.request.out_tokens;
         if self.leaving {
             Some(RefusalReason::Leaving)
         } else if tokens >= self.settings.memory_tokens {
             Some(RefusalReason::TooLarge)
-        } else if index >= self.settings.queue_limit && !waiting.ask.is_resumption() {
+        } else if index >= self.settings.queue_limit && !waiting.request.is_resumption() {
             Some(RefusalReason::QueueFull)
-        } else if waited_ms >= waiting.ask.max_wait_ms {
+        } else if waited_ms >= waiting.request.max_wait_ms {
             Some(RefusalReason::TooLate)
         } else {
             None
         }
     }
 
-    /// Refuses now what could not start in time anyway: its caller learns at once that it was not
-    /// run, rather than after having waited for nothing.
-    fn refuse_hopeless(&mut self, now_ms: Millis, outcomes: &mut Vec<Outcome>) {
+    /// Refuses requests that are not expected to start in time, so that their callers can retry
+    /// elsewhere at once instead of waiting for the timeout.
+    fn refuse_unservable(&mut self, now_ms: Millis, outcomes: &mut Vec<Outcome>) {
         if self.settings.early_refusal_factor <= 0.0 || self.queue.len() < 2 {
             return;
         }
         let order = self.settings.order;
-        let hopeless = self.backlog.hopeless(
+        let unservable = self.backlog.unservable(
             &self.queue,
             now_ms,
             order,
             self.settings.early_refusal_factor,
         );
-        for ask in hopeless {
-            let place = self.queue.iter().position(|one| one.ask.id == ask);
-            if let Some(index) = place {
+        for request in unservable {
+            let position = self.queue.iter().position(|one| one.request.id == request);
+            if let Some(index) = position {
                 self.refuse_at(index, RefusalReason::TooLate, outcomes);
             }
         }
     }
 
-    fn refuse_hurried(&mut self, outcomes: &mut Vec<Outcome>) {
-        while let Some(index) = self.queue.iter().position(|one| one.ask.only_now) {
+    fn refuse_unqueueable(&mut self, outcomes: &mut Vec<Outcome>) {
+        while let Some(index) = self.queue.iter().position(|one| one.request.only_now) {
             self.refuse_at(index, RefusalReason::NoRoomNow, outcomes);
         }
     }
 
     fn refuse_at(&mut self, index: usize, reason: RefusalReason, outcomes: &mut Vec<Outcome>) {
-        let ask = self.drop_waiting(index).ask;
+        let request = self.drop_waiting(index).request;
         outcomes.push(Outcome::Refused {
-            ask: ask.id,
-            host: ask.host,
+            ask: request.id,
+            host: request.host,
             reason,
             retry_after_ms: self.backlog.drain_ms(&self.queue),
         });
@@ -304,7 +315,7 @@
         let settings = self.settings;
         let mut forecast = Forecast::default();
         for permit in self.permits.values() {
-            let out_tokens = permit.likely_out_tokens(now_ms, self.tokens_per_ms);
+            let out_tokens = permit.estimated_out_tokens(now_ms, self.tokens_per_ms);
             forecast.add(&permit.footprint(out_tokens, lengths), settings.fit);
         }
         let memory = settings.memory_tokens as f32 - self.unaccounted.tokens();
@@ -315,91 +326,92 @@
                 settings.order,
                 &self.fairness,
                 settings.lead_bound_tokens,
-                |ask| self.borrows(ask),
+                |request| self.borrows(request),
             );
             let Some(index) = chosen else { break };
-            let ask = self.queue[index].ask;
-            if !self.is_paced(now_ms, &ask) {
+            let request = self.queue[index].request;
+            if !self.is_paced(now_ms, &request) {
                 break;
             }
-            let borrows = self.borrows(&ask);
+            let borrows = self.borrows(&request);
             let usable = if borrows {
                 memory * settings.lend_share
             } else {
                 memory
             };
-            let wanted = wanted(&ask, lengths);
-            // An empty engine takes anything that isn't too large, or a careful rule would leave
-            // a caller waiting before an idle engine.
+            let footprint_at_start = footprint_at_start(&request, lengths);
+            // An empty engine takes anything that isn't too large. Otherwise a conservative rule
+            // could keep a caller waiting for an idle engine.
             let idle = self.permits.is_empty() && self.unaccounted.tokens() < 1.0;
-            if !idle && !forecast.fits(&wanted, settings.fit, usable) {
+            if !idle && !forecast.fits(&footprint_at_start, settings.fit, usable) {
                 break;
             }
-            forecast.add(&wanted, settings.fit);
+            forecast.add(&footprint_at_start, settings.fit);
             outcomes.push(self.start(now_ms, index, borrows));
         }
     }
 
-    fn is_paced(&self, now_ms: Millis, ask: &EnginePermitRequest) -> bool {
-        let tokens = ask.prompt_tokens + ask.out_tokens;
+    fn is_paced(&self, now_ms: Millis, request: &EnginePermitRequest) -> bool {
+        let tokens = request.prompt_tokens + request.out_tokens;
         self.settings.prompt_ms_per_token <= 0.0
             || tokens < UNPACED_TOKENS
-            || ask.is_resumption()
+            || request.is_resumption()
             || now_ms as f64 >= self.next_prompt_at_ms
     }
 
     /// Whether the organisation would hold more than its guaranteed share. One generation at a
-    /// time is always its own: a small share of one engine may be less than a single prompt.
-    fn borrows(&self, ask: &EnginePermitRequest) -> bool {
-        let own = ask.share * self.settings.memory_tokens as f32;
-        let held = self.fairness.held_tokens(ask.organisation) as f32;
-        held > 0.0 && held + (ask.prompt_tokens + ask.out_tokens) as f32 > own
+    /// time never counts as borrowed, since a small share of an engine may be less than a prompt.
+    fn borrows(&self, request: &EnginePermitRequest) -> bool {
+        let own = request.share * self.settings.memory_tokens as f32;
+        let held = self.fairness.held_tokens(request.organisation) as f32;
+        held > 0.0 && held + (request.prompt_tokens + request.out_tokens) as f32 > own
     }
 
     fn start(&mut self, now_ms: Millis, index: usize, borrows: bool) -> Outcome {
         let waiting = self.queue.remove(index);
-        self.backlog.served(now_ms, waiting.footprint_tokens);
-        let ask = waiting.ask;
-        let tokens = ask.prompt_tokens + ask.out_tokens;
+        self.backlog.record_served(now_ms, waiting.footprint_tokens);
+        let request = waiting.request;
+        let tokens = request.prompt_tokens + request.out_tokens;
         let prompt_ms = f64::from(tokens as f32 * self.settings.prompt_ms_per_token);
         self.next_prompt_at_ms = self.next_prompt_at_ms.max(now_ms as f64) + prompt_ms;
         let priority = if borrows { 0 } else { 1 };
         Outcome::Granted {
-            ask: ask.id,
-            host: ask.host,
-            permit: self.insert(now_ms, ask, priority),
+            ask: request.id,
+            host: request.host,
+            permit: self.insert(now_ms, request, priority),
             priority,
         }
     }
 
-    fn insert(&mut self, now_ms: Millis, ask: EnginePermitRequest, priority: i32) -> PermitKey {
-        let tokens = ask.prompt_tokens + ask.out_tokens;
-        self.fairness.start(ask.organisation, tokens);
+    fn insert(&mut self, now_ms: Millis, request: EnginePermitRequest, priority: i32) -> PermitKey {
+        let tokens = request.prompt_tokens + request.out_tokens;
+        self.fairness.start(request.organisation, tokens);
         self.held_tokens += u64::from(tokens);
-        self.permits.insert(Permit::new(now_ms, ask, priority))
+        self.permits.insert(Permit::new(now_ms, request, priority))
     }
 
-    /// Asks for the move that loses least, where the engine would fill within a few steps.
+    /// Moves the generation that is cheapest to recompute if the engine would run out of memory
+    /// within a few steps.
     ///
-    /// A full engine pauses a generation and computes it anew later, which its caller sees as a
-    /// stall; a move computes it anew at once on an engine that has room.
+    /// A full engine preempts a generation and recomputes it later, which its caller sees as a
+    /// stall. A move recomputes it at once on an engine that has room.
     fn choose_move(&mut self, now_ms: Millis, lengths: &Lengths, outcomes: &mut Vec<Outcome>) {
-        let likely: u32 = self
+        let estimated: u32 = self
             .permits
             .values()
             .map(|permit| {
-                let out_tokens = permit.likely_out_tokens(now_ms, self.tokens_per_ms);
-                permit.ask.prompt_tokens + out_tokens + FILLING_STEPS
+                let out_tokens = permit.estimated_out_tokens(now_ms, self.tokens_per_ms);
+                permit.request.prompt_tokens + out_tokens + MEMORY_LOOKAHEAD_STEPS
             })
             .sum();
-        let soon = likely as f32 + self.unaccounted.tokens();
-        if soon <= self.settings.memory_tokens as f32 || now_ms < self.next_move_at_ms {
+        let predicted = estimated as f32 + self.unaccounted.tokens();
+        if predicted <= self.settings.memory_tokens as f32 || now_ms < self.next_move_at_ms {
             return;
         }
         let candidates = self.permits.iter().filter(|(_, permit)| {
             permit
                 .moved_at_ms
-                .is_none_or(|at_ms| now_ms.saturating_sub(at_ms) > MOVE_AGAIN_MS)
+                .is_none_or(|at_ms| now_ms.saturating_sub(at_ms) > MOVE_SAME_PERMIT_INTERVAL_MS)
         });
         let best = candidates.min_by(|(_, one), (_, other)| {
             one.move_loss(lengths).total_cmp(&other.move_loss(lengths))
@@ -407,16 +419,16 @@
         let Some((permit, _)) = best else { return };
         let entry = &mut self.permits[permit];
         entry.moved_at_ms = Some(now_ms);
-        self.next_move_at_ms = now_ms + MOVE_PAUSE_MS;
+        self.next_move_at_ms = now_ms + MOVE_INTERVAL_MS;
         outcomes.push(Outcome::Move {
             permit,
-            host: entry.ask.host,
+            host: entry.request.host,
         });
     }
 
     fn drop_waiting(&mut self, index: usize) -> Waiting {
         let waiting = self.queue.remove(index);
-        self.fairness.dequeue(waiting.ask.organisation);
+        self.fairness.dequeue(waiting.request.organisation);
         waiting
     }
 
@@ -424,7 +436,7 @@
         let entry = self.permits.remove(permit)?;
         let held = entry.held_tokens();
         self.held_tokens -= u64::from(held);
-        self.fairness.end(entry.ask.organisation, held);
+        self.fairness.end(entry.request.organisation, held);
         Some(entry)
     }
 
--- a/crates/policy/src/lengths.rs
+++ b/crates/policy/src/lengths.rs
@@ -1,11 +1,12 @@
-//! How long answers are: a decaying histogram for each organisation and service.
+//! Distribution of output lengths: a decaying histogram for each organisation and service.
 //!
-//! Little history of one's own is filled up with the service's, and that with all services'
-//! (shrinkage towards the parent), so that a newcomer starts sensibly.
+//! A short history is blended with that of the service, and this with that of all services
+//! (shrinkage towards the parent), so that new organisations prior with a sensible estimate.
 //!
-//! What is kept is, for each length, how many answers have come so far and how many of them ended
-//! there (Kaplan and Meier's estimate). Whole answers alone would mislead whoever has just begun to
-//! listen: the short ones are over first, and the long ones are those that engines' ends cut.
+//! For each length the histogram counts how many outputs reached it and how many ended there
+//! (Kaplan-Meier estimator). Complete outputs alone would bias the estimate of a host that has
+//! just started: short outputs complete first, and long ones are more often cut by an engine
+//! failure.
 
 use std::collections::HashMap;
 
@@ -13,23 +14,23 @@
 
 const BUCKETS: usize = 64;
 const BUCKETS_PER_DOUBLING: f32 = 4.0;
-/// Observations after which one's own history weighs as much as the parent's.
+/// Number of observations at which a histogram's own history weighs as much as the parent's.
 const PARENT_WEIGHT: f32 = 24.0;
-/// History above this weight fades, so that a shift shows within about so many answers.
-const MEMORY_WEIGHT: f32 = 400.0;
+/// History above this weight decays, so that a shift shows within about as many outputs.
+const MAX_WEIGHT: f32 = 400.0;
 const HALF_LIFE_MS: f32 = 120_000.0;
-/// Time alone never fades a history below this weight: a quiet night forgets nothing.
-const FLOOR_WEIGHT: f32 = 60.0;
-/// Chances below this are taken for it where something is divided by them.
-pub(crate) const LEAST_CHANCE: f32 = 1e-6;
+/// Decay over time stops at this weight, so that an idle night does not erase the history.
+const MIN_DECAYED_WEIGHT: f32 = 60.0;
+/// Lower bound for probabilities used as a divisor.
+pub(crate) const MIN_PROBABILITY: f32 = 1e-6;
 
-/// The chance that an answer is at least so long.
+/// Probability that an output reaches a length, as a survival function.
 #[derive(Debug, Clone)]
 pub struct SurvivalCurve {
-    /// `survival[i]` is the chance of at least `2^(i/4)` tokens.
+    /// `survival[i]` is the probability of at least `2^(i/4)` tokens.
     survival: [f32; BUCKETS + 1],
-    /// `rest_tokens[i]` is how much longer an answer of `2^(i/4)` tokens is expected to go on.
-    rest_tokens: [f32; BUCKETS + 1],
+    /// `remaining_tokens[i]` is the expected number of further tokens after `2^(i/4)` tokens.
+    remaining_tokens: [f32; BUCKETS + 1],
 }
 
 fn position(length_tokens: f32) -> f32 {
@@ -44,21 +45,21 @@
     (bucket as f32 / BUCKETS_PER_DOUBLING).exp2()
 }
 
-/// The expected rest at each bucket's start: the survival beyond it, added up, against that at it.
-fn rests(survival: &[f32; BUCKETS + 1]) -> [f32; BUCKETS + 1] {
-    let mut rest_tokens = [0.0; BUCKETS + 1];
+/// Expected remaining tokens at the prior of each bucket: the integral of the survival beyond it,
+/// divided by the survival at it.
+fn expected_remaining_by_bucket(survival: &[f32; BUCKETS + 1]) -> [f32; BUCKETS + 1] {
+    let mut remaining_tokens = [0.0; BUCKETS + 1];
     let mut beyond = 0.0;
     for index in (0..BUCKETS).rev() {
         let width_tokens = bucket_start_tokens(index + 1) - bucket_start_tokens(index);
         beyond += width_tokens * (survival[index] + survival[index + 1]) / 2.0;
-        rest_tokens[index] = beyond / survival[index].max(LEAST_CHANCE);
+        remaining_tokens[index] = beyond / survival[index].max(MIN_PROBABILITY);
     }
-    rest_tokens
+    remaining_tokens
 }
 
 impl SurvivalCurve {
-    /// Of answers of which nothing is known: each doubling from 4 to 4,096 tokens is held equally
-    /// likely.
+    /// The prior without observations: each doubling from 4 to 4,096 tokens is equally likely.
     pub(crate) fn unknown() -> Self {
         Self::from_density(&std::array::from_fn(|index| {
             if (8..48).contains(&index) { 1.0 } else { 0.001 }
@@ -76,7 +77,8 @@
         Self::from_survival(survival)
     }
 
-    /// From the chance of an end in each bucket, for those that reach it.
+    /// Builds the curve from the hazard of each bucket: the probability of ending in it, given that
+    /// it was reached.
     fn from_ends(chance: impl Fn(usize) -> f32) -> Self {
         let mut survival = [1.0; BUCKETS + 1];
         for index in 0..BUCKETS {
@@ -87,10 +89,10 @@
     }
 
     fn from_survival(survival: [f32; BUCKETS + 1]) -> Self {
-        let rest_tokens = rests(&survival);
+        let remaining_tokens = expected_remaining_by_bucket(&survival);
         Self {
             survival,
-            rest_tokens,
+            remaining_tokens,
         }
     }
 
@@ -98,7 +100,7 @@
         std::array::from_fn(|index| self.survival[index] - self.survival[index + 1])
     }
 
-    /// The chance of an answer of at least `length_tokens`.
+    /// Probability of an output of at least `length_tokens`.
     pub fn survival(&self, length_tokens: f32) -> f32 {
         if length_tokens <= 1.0 {
             return 1.0;
@@ -110,17 +112,17 @@
         below + (self.survival[index + 1] - below) * part
     }
 
-    /// How much longer an answer is expected to go on that has reached `out_tokens`.
+    /// Expected number of further tokens of an output that has reached `out_tokens`.
     pub fn expected_remaining(&self, out_tokens: f32) -> f32 {
         let at = position(out_tokens);
         let index = at as usize;
         let part = at - index as f32;
-        let below = self.rest_tokens[index];
-        below + (self.rest_tokens[index + 1] - below) * part
+        let below = self.remaining_tokens[index];
+        below + (self.remaining_tokens[index + 1] - below) * part
     }
 
-    /// The whole length that a share `chance` of the answers exceed, of those that have reached
-    /// `out_tokens` already.
+    /// The total length that a share `chance` of the outputs exceed, of those that have reached
+    /// `out_tokens`.
     pub fn length_at(&self, out_tokens: f32, chance: f32) -> f32 {
         let target = self.survival(out_tokens) * chance;
         let start = position(out_tokens) as usize;
@@ -139,7 +141,7 @@
         (BUCKETS as f32 / BUCKETS_PER_DOUBLING).exp2()
     }
 
-    /// The expected whole length of an answer that has reached `out_tokens`.
+    /// Expected total length of an output that has reached `out_tokens`.
     pub fn expected(&self, out_tokens: f32) -> f32 {
         const SLICES: usize = 8;
         let sum: f32 = (0..SLICES)
@@ -149,18 +151,18 @@
     }
 }
 
-/// What has been seen of answers' lengths.
+/// Decaying counts of observed output lengths.
 #[derive(Debug)]
 pub(crate) struct Histogram {
-    /// Answers that were seen to come to each bucket and to leave it, ended there or beyond.
+    /// Outputs that were observed through each bucket: they ended in it or passed beyond it.
     reached: [f32; BUCKETS],
-    /// Those that ended in it.
+    /// Outputs that ended in each bucket.
     ended: [f32; BUCKETS],
     weight: f32,
-    faded_at_ms: Millis,
+    decayed_at_ms: Millis,
     curve: SurvivalCurve,
     expected_tokens: f32,
-    unseen: u32,
+    since_refresh: u32,
 }
 
 impl Histogram {
@@ -169,31 +171,31 @@
             reached: [0.0; BUCKETS],
             ended: [0.0; BUCKETS],
             weight: 0.0,
-            faded_at_ms: now_ms,
+            decayed_at_ms: now_ms,
             curve: parent.clone(),
             expected_tokens: parent.expected(0.0),
-            unseen: 0,
+            since_refresh: 0,
         }
     }
 
-    /// What is known so far, by itself and by its parent.
+    /// The estimate from this history and its parent's.
     pub(crate) fn curve(&self) -> &SurvivalCurve {
         &self.curve
     }
 
-    fn fade(&mut self, now_ms: Millis) {
-        let age_ms = now_ms.saturating_sub(self.faded_at_ms) as f32;
-        self.faded_at_ms = now_ms;
+    fn decay(&mut self, now_ms: Millis) {
+        let age_ms = now_ms.saturating_sub(self.decayed_at_ms) as f32;
+        self.decayed_at_ms = now_ms;
         let by_time = (-age_ms / HALF_LIFE_MS).exp2();
-        let floor = (FLOOR_WEIGHT / self.weight.max(FLOOR_WEIGHT)).min(1.0);
-        let by_count = 1.0 - 1.0 / MEMORY_WEIGHT;
+        let floor = (MIN_DECAYED_WEIGHT / self.weight.max(MIN_DECAYED_WEIGHT)).min(1.0);
+        let by_count = 1.0 - 1.0 / MAX_WEIGHT;
         let keep = by_time.max(floor).min(by_count);
         let counts = self.reached.iter_mut().chain(&mut self.ended);
         counts.for_each(|count| *count *= keep);
         self.weight *= keep;
     }
 
-    /// An answer that had `from_tokens` when it was last seen has come to `to_tokens` and goes on.
+    /// Records that a running output has advanced from `from_tokens` to `to_tokens`.
     pub(crate) fn advance(&mut self, from_tokens: u32, to_tokens: u32) {
         let passed = bucket(from_tokens)..bucket(to_tokens);
         for count in self.reached.get_mut(passed).into_iter().flatten() {
@@ -201,7 +203,7 @@
         }
     }
 
-    /// An answer that had `from_tokens` when it was last seen has ended at `length_tokens`.
+    /// Records that an output last seen at `from_tokens` has ended at `length_tokens`.
     pub(crate) fn end(
         &mut self,
         now_ms: Millis,
@@ -209,15 +211,15 @@
         length_tokens: u32,
         parent: &SurvivalCurve,
     ) {
-        self.fade(now_ms);
+        self.decay(now_ms);
         self.advance(from_tokens, length_tokens);
         let last = bucket(length_tokens);
         self.reached[last] += 1.0;
         self.ended[last] += 1.0;
         self.weight += 1.0;
-        self.unseen += 1;
+        self.since_refresh += 1;
         let due = (self.weight / 32.0) as u32;
-        if self.unseen > due {
+        if self.since_refresh > due {
             self.refresh(parent);
         }
     }
@@ -227,20 +229,20 @@
         self.curve = SurvivalCurve::from_ends(|index| {
             let ended = self.ended[index] + PARENT_WEIGHT * of_parent[index];
             let reached = self.reached[index] + PARENT_WEIGHT * parent.survival[index];
-            (ended / reached.max(LEAST_CHANCE)).min(1.0)
+            (ended / reached.max(MIN_PROBABILITY)).min(1.0)
         });
         self.expected_tokens = self.curve.expected(0.0);
-        self.unseen = 0;
+        self.since_refresh = 0;
     }
 }
 
-/// The lengths that a home has seen.
+/// Output lengths that a home has observed.
 #[derive(Debug)]
 pub struct Lengths {
     all: Histogram,
     by_service: HashMap<ServiceKey, Histogram>,
-    by_caller: HashMap<(OrganisationKey, ServiceKey), Histogram>,
-    start: SurvivalCurve,
+    by_organisation: HashMap<(OrganisationKey, ServiceKey), Histogram>,
+    prior: SurvivalCurve,
 }
 
 impl Default for Lengths {
@@ -250,18 +252,18 @@
 }
 
 impl Lengths {
-    /// No history.
+    /// Creates an empty history.
     pub fn new() -> Self {
-        let start = SurvivalCurve::unknown();
+        let prior = SurvivalCurve::unknown();
         Self {
-            all: Histogram::new(0, &start),
+            all: Histogram::new(0, &prior),
             by_service: HashMap::new(),
-            by_caller: HashMap::new(),
-            start,
+            by_organisation: HashMap::new(),
+            prior,
         }
     }
 
-    /// Takes in the whole length of a finished answer.
+    /// Records the length of a completed output.
     pub fn record(
         &mut self,
         now_ms: Millis,
@@ -269,31 +271,31 @@
         service: ServiceKey,
         length_tokens: u32,
     ) {
-        self.all.end(now_ms, 0, length_tokens, &self.start);
+        self.all.end(now_ms, 0, length_tokens, &self.prior);
         let of_service = self
             .by_service
             .entry(service)
             .or_insert_with(|| Histogram::new(now_ms, &self.all.curve));
         of_service.end(now_ms, 0, length_tokens, &self.all.curve);
         let own = self
-            .by_caller
+            .by_organisation
             .entry((organisation, service))
             .or_insert_with(|| Histogram::new(now_ms, &of_service.curve));
         own.end(now_ms, 0, length_tokens, &of_service.curve);
     }
 
-    /// The best known curve for a caller.
+    /// The most specific curve available for an organisation and a service.
     pub fn curve(&self, organisation: OrganisationKey, service: ServiceKey) -> &SurvivalCurve {
         &self.histogram(organisation, service).curve
     }
 
-    /// The expected whole length of a fresh answer.
+    /// The expected length of a new output.
     pub fn expected(&self, organisation: OrganisationKey, service: ServiceKey) -> f32 {
         self.histogram(organisation, service).expected_tokens
     }
 
     fn histogram(&self, organisation: OrganisationKey, service: ServiceKey) -> &Histogram {
-        self.by_caller
+        self.by_organisation
             .get(&(organisation, service))
             .or_else(|| self.by_service.get(&service))
             .unwrap_or(&self.all)
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -1,7 +1,7 @@
-//! Decisions only: which engine, whether it fits, whose turn it is, how often to try again.
+//! Pure decision logic: engine selection, admission, queue order, retries and membership rules.
 //!
-//! Nothing here performs input or output or reads a clock: the present time is an argument, in
-//! milliseconds since a start that the caller chooses.
+//! Nothing here performs I/O or reads a clock. The current time is an argument, in milliseconds
+//! since an epoch that the caller chooses.
 
 mod backlog;
 mod backpressure;
--- a/crates/policy/src/permit_request.rs
+++ b/crates/policy/src/permit_request.rs
@@ -1,4 +1,4 @@
-//! What entry hosts ask of a home, and what it answers.
+//! Permit requests that entry hosts send to an engine's home, and the home's decisions.
 
 use serde::{Deserialize, Serialize};
 use slotmap::new_key_type;
@@ -6,92 +6,93 @@
 use crate::key::{HostKey, Millis, OrganisationKey, ServiceKey};
 
 new_key_type! {
-    /// A permit in its home's arena.
+    /// Key of a permit in its home's arena.
     pub struct PermitKey;
 }
 
-/// Names an ask; chosen by the entry host, unique over all hosts.
+/// Identifies a permit request. Chosen by the entry host, unique across all hosts.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct PermitRequestId(pub u64);
 
-/// A request to start a generation on the engine.
+/// A request to start a generation on an engine.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 pub struct EnginePermitRequest {
-    /// Names this ask.
+    /// Identifies this request.
     pub id: PermitRequestId,
-    /// The entry host that asks.
+    /// The entry host that sends the request.
     pub host: HostKey,
-    /// For whom.
+    /// The organisation that the generation is for.
     pub organisation: OrganisationKey,
-    /// For which service.
+    /// The service that is called.
     pub service: ServiceKey,
-    /// The organisation's weight in the preset in force.
+    /// The organisation's fairness weight in the active preset.
     pub weight: f32,
-    /// Its guaranteed share of the engine's memory.
+    /// The organisation's guaranteed share of the engine's memory.
     pub share: f32,
     /// Prompt tokens.
     pub prompt_tokens: u32,
-    /// Tokens that are out already, where a generation is resumed.
+    /// Tokens already produced, if a generation is resumed.
     pub out_tokens: u32,
-    /// The answer's bound.
+    /// Maximum number of output tokens.
     pub output_limit_tokens: u32,
-    /// How long the ask may wait.
+    /// How long the request may wait in the queue.
     #[serde(rename = "patience_ms")]
     pub max_wait_ms: Millis,
-    /// Whether to refuse at once rather than queue.
+    /// Whether to refuse the request instead of queueing it.
     pub only_now: bool,
-    /// The whole length, where it is known (the bench's oracle).
+    /// The final output length, if known (only in the benchmark's oracle policy).
     pub known_tokens: Option<u32>,
 }
 
 impl EnginePermitRequest {
-    /// Whether the caller has tokens of this generation already.
+    /// Whether the caller has already received tokens of this generation.
     pub fn is_resumption(&self) -> bool {
         self.out_tokens > 0
     }
 }
 
-/// Why a home refuses. A refused ask was certainly not run.
+/// Why a home refused a request. A refused request has not been run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum RefusalReason {
-    /// The queue is at its bound.
+    /// The queue is full.
     QueueFull,
-    /// It could not start within its patience.
+    /// The request could not start, or is not expected to, within its maximum wait.
     TooLate,
-    /// It asked to start at once and can't.
+    /// The request must not be queued and can't start now.
     NoRoomNow,
-    /// It can never fit into this engine.
+    /// The request exceeds the engine's memory.
     TooLarge,
-    /// The engine takes nothing new.
+    /// The engine is leaving and accepts no new generations.
     Leaving,
 }
 
-/// What a home has decided.
+/// A decision of a home.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 pub enum Outcome {
     /// The generation may start.
     Granted {
-        /// The ask.
+        /// The request.
         ask: PermitRequestId,
-        /// The host that asked.
+        /// The host that sent the request.
         host: HostKey,
-        /// Names the permit from now on.
+        /// The new permit.
         permit: PermitKey,
-        /// The engine's priority for it.
+        /// The scheduling priority to pass to the engine.
         priority: i32,
     },
     /// The generation may not start here.
     Refused {
-        /// The ask.
+        /// The request.
         ask: PermitRequestId,
-        /// The host that asked.
+        /// The host that sent the request.
         host: HostKey,
-        /// Why.
+        /// Why the request was refused.
         reason: RefusalReason,
-        /// When to come back.
+        /// How long to wait before a retry.
         retry_after_ms: Millis,
     },
-    /// The engine is about to fill: resume this generation elsewhere if another has room now.
+    /// The engine is about to run out of memory: resume the generation on another engine if one
+    /// has room now.
     Move {
         /// The permit to move.
         permit: PermitKey,
--- a/crates/policy/src/queue.rs
+++ b/crates/policy/src/queue.rs
@@ -1,34 +1,34 @@
-//! The order in which a home's queue is served.
+//! The service order of a home's queue.
 
 use crate::fair::Fairness;
 use crate::key::Millis;
 use crate::permit_request::EnginePermitRequest;
 
-/// Which ask is served next, among those that fairness allows.
+/// Which request is served next, among those that the fairness bound allows.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum OrderRule {
-    /// The oldest.
+    /// The oldest first.
     Fifo,
-    /// The smallest expected footprint, which counts for less the longer an ask has waited.
+    /// The smallest expected footprint first. Waiting time reduces the footprint that counts.
     SmallestFirst {
-        /// After so long a footprint counts for half.
+        /// Waiting time after which the footprint counts half.
         half_age_ms: Millis,
     },
 }
 
 #[derive(Debug, Clone)]
 pub(crate) struct Waiting {
-    pub(crate) ask: EnginePermitRequest,
+    pub(crate) request: EnginePermitRequest,
     pub(crate) since_ms: Millis,
     pub(crate) footprint_tokens: f32,
 }
 
-/// The place in `queue` of the ask to serve next, if fairness lets anybody.
+/// The index in `queue` of the request to serve next, if any is eligible.
 ///
-/// Resumptions go first: their callers have tokens already and see the wait as a gap. Then come
-/// organisations within their guaranteed share, then those that borrow. Nobody may be ahead of the
-/// least served waiting organisation by more than `lead_bound_tokens`, since without that bound an
-/// organisation with many small asks would starve all others.
+/// Resumptions go first, because their callers have received tokens and see the wait as a gap.
+/// Organisations within their guaranteed share follow, then those that borrow. No organisation
+/// may be ahead of the least served waiting one by more than `lead_bound_tokens`. Without this
+/// bound an organisation with many small requests would starve all others.
 pub(crate) fn next(
     queue: &[Waiting],
     now_ms: Millis,
@@ -40,11 +40,11 @@
     let charge_bound = fairness.least_waiting() + lead_bound_tokens;
     let mut best: Option<(usize, (bool, Rank))> = None;
     for (index, waiting) in queue.iter().enumerate() {
-        let is_ahead = fairness.charged(waiting.ask.organisation) > charge_bound;
-        if is_ahead && !waiting.ask.is_resumption() {
+        let is_ahead = fairness.charged(waiting.request.organisation) > charge_bound;
+        if is_ahead && !waiting.request.is_resumption() {
             continue;
         }
-        let borrows = !waiting.ask.is_resumption() && borrows(&waiting.ask);
+        let borrows = !waiting.request.is_resumption() && borrows(&waiting.request);
         let rank = (borrows, rank(waiting, now_ms, rule));
         if best.is_none_or(|(_, other)| rank < other) {
             best = Some((index, rank));
@@ -53,12 +53,12 @@
     best.map(|(index, _)| index)
 }
 
-/// A place in the order: resumptions first, then by age or footprint; lower goes first.
+/// Sort key: resumptions first, then by age or footprint; the lowest is served first.
 pub(crate) type Rank = (u8, f64);
 
 pub(crate) fn rank(waiting: &Waiting, now_ms: Millis, rule: OrderRule) -> Rank {
     let since = waiting.since_ms as f64;
-    if waiting.ask.is_resumption() {
+    if waiting.request.is_resumption() {
         return (0, since);
     }
     match rule {
--- a/crates/policy/src/upstream_stats.rs
+++ b/crates/policy/src/upstream_stats.rs
@@ -1,169 +1,174 @@
-//! What one host knows of one upstream: its load, its pace and its failures.
+//! Statistics that one host keeps of one upstream: load, latency and failures.
 //!
-//! Many hosts send to the same upstream and none sees the others' requests. An answer that states
-//! the upstream's own load is the freshest word there is; what this host has sent and heard since
-//! is added to it, and it fades within [`REPORT_MS`]. Failures and slowness count as load, so a
-//! sick upstream gets less work without ever being shut out, and is tried again as they fade.
-//! (Load by peak latency and requests in flight: Finagle's "peak EWMA" balancer.)
+//! Many hosts send to the same upstream and none sees the others' requests. A load report in a
+//! response is the most recent information available. Requests that this host has started or
+//! finished since are added to it, and its weight falls to zero within [`REPORT_TTL_MS`]. Failures
+//! and latency count as load, so a failing upstream gets less work without being excluded, and is
+//! tried again as they decay. (Load by peak latency and requests in flight: Finagle's "peak EWMA"
+//! balancer.)
 
 use serde::{Deserialize, Serialize};
 
 use crate::failures::Failures;
 use crate::key::Millis;
 
-/// A statement of load older than this tells nothing: several times the work of a small request.
-const REPORT_MS: Millis = 1_500;
-/// How much one answer changes the smoothed latency: about the last eight count.
+/// Age at which a load report is ignored: several times the duration of a small request.
+const REPORT_TTL_MS: Millis = 1_500;
+/// Weight of one response in the smoothed latency: about the last eight count.
 const GAIN: f32 = 0.12;
-/// How much a failure share of 1 multiplies an upstream's cost: one that fails half of what it gets is
-/// chosen only where the others are many times as busy.
+/// Factor on the cost at a failure share of 1. An upstream that fails half of its requests is
+/// chosen only if the others are many times as busy.
 const FAILURE_WEIGHT: f32 = 24.0;
-/// The latency assumed before the first answer.
+/// Latency assumed before the first response.
 const UNKNOWN_LATENCY_MS: f32 = 30.0;
 
-/// An upstream's own statement of its load.
+/// Load that an upstream reports of itself.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ReportedLoad {
-    /// Requests it works on.
+    /// Requests in progress.
     pub running: u32,
-    /// Requests that wait there.
+    /// Requests queued at the upstream.
     pub waiting: u32,
-    /// Requests it works on at most.
+    /// Maximum number of requests in progress.
     pub slots: u32,
 }
 
-/// How an exchange with an upstream ended.
+/// How a request to an upstream ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Verdict {
-    /// A whole answer that isn't the upstream's own failure.
+    /// A complete response that is not a failure of the upstream.
     Good,
-    /// The upstream failed, broke off or stayed silent.
+    /// The upstream failed, broke off the response or did not answer.
     Failed,
-    /// The upstream said that it had not run the request.
+    /// The upstream reported that it has not run the request.
     Shed,
-    /// Nothing can be said: the caller left.
+    /// The outcome is unknown, because the caller disconnected.
     Unheard,
 }
 
 #[derive(Debug, Clone, Copy)]
-struct Statement {
+struct LoadReport {
     load: ReportedLoad,
     at_ms: Millis,
-    /// Requests of this host since: started less ended.
+    /// Requests of this host since the report: started minus ended.
     since: i32,
 }
 
-/// What one host knows of one upstream.
+/// Statistics that one host keeps of one upstream.
 #[derive(Debug, Clone, Default)]
 pub struct UpstreamStats {
     in_flight: Vec<(u64, Millis)>,
     next_id: u64,
-    statement: Option<Statement>,
+    report: Option<LoadReport>,
     latency_ms: Option<f32>,
     failures: Failures,
-    shed_until_ms: Millis,
+    penalised_until_ms: Millis,
 }
 
-/// A request in flight, by which its end is reported.
+/// Identifies a request in flight.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct InFlightId(u64);
 
 impl UpstreamStats {
-    /// A request goes out.
+    /// Records that a request is sent.
     pub fn start(&mut self, now_ms: Millis) -> InFlightId {
         let id = self.next_id;
         self.next_id += 1;
         self.in_flight.push((id, now_ms));
-        if let Some(statement) = &mut self.statement {
-            statement.since += 1;
+        if let Some(report) = &mut self.report {
+            report.since += 1;
         }
         InFlightId(id)
     }
 
-    /// A request is over.
+    /// Records that a request has ended.
     pub fn end(&mut self, now_ms: Millis, flight: InFlightId, verdict: Verdict) {
-        let place = self.in_flight.iter().position(|(id, _)| *id == flight.0);
-        let Some(place) = place else { return };
-        self.in_flight.swap_remove(place);
-        if let Some(statement) = &mut self.statement {
-            statement.since -= 1;
+        let position = self.in_flight.iter().position(|(id, _)| *id == flight.0);
+        let Some(position) = position else { return };
+        self.in_flight.swap_remove(position);
+        if let Some(report) = &mut self.report {
+            report.since -= 1;
         }
         match verdict {
-            Verdict::Good => self.failures.learn(now_ms, 0.0),
-            Verdict::Failed => self.failures.learn(now_ms, 1.0),
-            Verdict::Shed => self.failures.learn(now_ms, 0.5),
+            Verdict::Good => self.failures.record(now_ms, 0.0),
+            Verdict::Failed => self.failures.record(now_ms, 1.0),
+            Verdict::Shed => self.failures.record(now_ms, 0.5),
             Verdict::Unheard => {}
         }
     }
 
-    /// The first byte of an answer came after `latency_ms`.
+    /// Records the time to the first byte of a response.
     pub fn record_latency(&mut self, latency_ms: Millis) {
         let latency_ms = latency_ms as f32;
-        let held = self.latency_ms.unwrap_or(latency_ms);
-        // A slower answer counts at once, a faster one bit by bit.
-        let gain = if latency_ms > held { 2.0 * GAIN } else { GAIN };
-        self.latency_ms = Some(held + (latency_ms - held) * gain);
+        let smoothed = self.latency_ms.unwrap_or(latency_ms);
+        // Increases of the latency are adopted faster than decreases.
+        let gain = if latency_ms > smoothed {
+            2.0 * GAIN
+        } else {
+            GAIN
+        };
+        self.latency_ms = Some(smoothed + (latency_ms - smoothed) * gain);
     }
 
-    /// The upstream stated its load.
+    /// Records a load report of the upstream.
     pub fn record_load(&mut self, now_ms: Millis, load: ReportedLoad) {
-        self.statement = Some(Statement {
+        self.report = Some(LoadReport {
             load,
             at_ms: now_ms,
             since: 0,
         });
     }
 
-    /// No connection could be made.
+    /// Records that no connection could be established.
     pub fn record_unreachable(&mut self, now_ms: Millis) {
-        self.failures.fail_all(now_ms);
+        self.failures.record_unreachable(now_ms);
     }
 
-    /// The upstream is full or about to leave: it had better be spared until then.
+    /// Raises the cost until `until_ms`, because the upstream is full or about to leave.
     pub fn penalise_until(&mut self, until_ms: Millis) {
-        self.shed_until_ms = self.shed_until_ms.max(until_ms);
+        self.penalised_until_ms = self.penalised_until_ms.max(until_ms);
     }
 
-    /// Requests of this host in flight.
+    /// Number of requests of this host in flight.
     pub fn in_flight(&self) -> usize {
         self.in_flight.len()
     }
 
-    /// The share of requests that failed lately.
+    /// Share of recent requests that failed.
     pub fn failure_share(&self, now_ms: Millis) -> f32 {
         self.failures.share(now_ms)
     }
 
-    /// What one more request costs there, for comparison between upstreams of one service.
+    /// Cost of one more request, for comparison between upstreams of one service.
     pub fn cost(&self, now_ms: Millis) -> f32 {
-        let sick = 1.0 + FAILURE_WEIGHT * self.failure_share(now_ms);
-        let spared = if now_ms < self.shed_until_ms {
+        let failure_factor = 1.0 + FAILURE_WEIGHT * self.failure_share(now_ms);
+        let penalty = if now_ms < self.penalised_until_ms {
             4.0
         } else {
             1.0
         };
-        (1.0 + self.occupancy(now_ms)) * self.pace_ms(now_ms) * sick * spared
+        (1.0 + self.occupancy(now_ms)) * self.latency_or_age_ms(now_ms) * failure_factor * penalty
     }
 
-    /// Requests there, as far as this host can tell.
+    /// Estimated number of requests at the upstream, from all hosts.
     pub fn occupancy(&self, now_ms: Millis) -> f32 {
         let own = self.in_flight.len() as f32;
-        let Some(statement) = self.statement else {
+        let Some(report) = self.report else {
             return own;
         };
-        let age_ms = now_ms.saturating_sub(statement.at_ms);
-        if age_ms >= REPORT_MS {
+        let age_ms = now_ms.saturating_sub(report.at_ms);
+        if age_ms >= REPORT_TTL_MS {
             return own;
         }
-        let stated = (statement.load.running + statement.load.waiting) as f32;
-        let likely = (stated + statement.since as f32).max(own);
-        let trust = 1.0 - age_ms as f32 / REPORT_MS as f32;
-        own + (likely - own) * trust
+        let reported = (report.load.running + report.load.waiting) as f32;
+        let estimated = (reported + report.since as f32).max(own);
+        let weight = 1.0 - age_ms as f32 / REPORT_TTL_MS as f32;
+        own + (estimated - own) * weight
     }
 
-    /// The smoothed latency, or the age of the oldest request without an answer where that is
-    /// more: an upstream that hangs answers nothing that could be smoothed.
-    fn pace_ms(&self, now_ms: Millis) -> f32 {
+    /// The smoothed latency, or the age of the oldest request in flight if that is greater. An
+    /// upstream that hangs sends no response whose latency could be smoothed.
+    fn latency_or_age_ms(&self, now_ms: Millis) -> f32 {
         let oldest_ms = self.in_flight.iter().map(|(_, at_ms)| *at_ms).min();
         let pending_ms = oldest_ms.map_or(0, |at_ms| now_ms.saturating_sub(at_ms));
         let smoothed = self.latency_ms.unwrap_or(UNKNOWN_LATENCY_MS);
