--- a/crates/bench/src/soak/ending.rs
+++ b/crates/bench/src/soak/ending.rs
@@ -4,7 +4,7 @@
 use std::sync::atomic::Ordering;
 use std::time::Duration;
 
-use fulmarpath_platform_standin::{AskKind, HOST, exchange, usual};
+use fulmarpath_platform_standin::{HOST, RequestKind, exchange, sample_request};
 use http_body_util::Full;
 use hyper::body::Bytes;
 use rand::{Rng, SeedableRng};
@@ -27,7 +27,7 @@
         number += 1;
         let id = format!("{seed:x}-ending-{number:x}");
         let address = shared.addresses[rng.random_range(0..shared.addresses.len())];
-        let (parts, _) = usual(AskKind::Poll, &id, FIRST_KEY, HOST).into_parts();
+        let (parts, _) = sample_request(RequestKind::Poll, &id, FIRST_KEY, HOST).into_parts();
         let body = Full::new(Bytes::from_static(ENDS.as_bytes()));
         let request = hyper::Request::from_parts(parts, body);
         exchange(address, request, CALL_BOUND).await;
--- a/crates/bench/src/soak/fault.rs
+++ b/crates/bench/src/soak/fault.rs
@@ -2,7 +2,7 @@
 
 use std::time::{Duration, Instant};
 
-use fulmarpath_platform_standin::{Asked, PlainBehaviour, StoreMode};
+use fulmarpath_platform_standin::{PlainBehaviour, ResponseSignals, StoreMode};
 use rand::Rng;
 use rand_chacha::ChaCha8Rng;
 use tokio::time::sleep;
@@ -183,7 +183,7 @@
             Self::StoreSilent => store(stage, StoreMode::Silent, lasts).await,
             Self::StoreLossy => store(stage, StoreMode::Lossy, lasts).await,
             Self::StoreSlow => store(stage, StoreMode::Slow { delay_ms: 240 }, lasts).await,
-            Self::HistoryForgotten => stage.store.forget_history(),
+            Self::HistoryForgotten => stage.store.compact_history(),
             Self::StoreLinkReset => stage.store_link.set(LinkMode::Reset),
             Self::StoreLinkSilent => stage.store_link.set(LinkMode::Silent),
             Self::EngineLeaves => leave(stage, engine).await?,
@@ -205,15 +205,15 @@
                     PlainBehaviour::Sheds,
                     PlainBehaviour::Resets,
                     PlainBehaviour::Truncates,
-                    PlainBehaviour::Babbles,
-                    PlainBehaviour::Crosses,
-                    PlainBehaviour::Doubles,
+                    PlainBehaviour::SendsGarbage,
+                    PlainBehaviour::WrongRequestId,
+                    PlainBehaviour::RespondsTwice,
                 ];
                 let plain = rng.random_range(0..stage.plains.len());
                 let behaviour = behaviours[rng.random_range(0..behaviours.len())];
-                stage.plains[plain].set(behaviour);
+                stage.plains[plain].set_behaviour(behaviour);
                 sleep(lasts).await;
-                stage.plains[plain].set(PlainBehaviour::Good);
+                stage.plains[plain].set_behaviour(PlainBehaviour::Good);
             }
             Self::EngineReborn => stage.restart_engine(engine).await,
             Self::ForeignEntries => {
@@ -288,7 +288,7 @@
 /// that has to be known is counted, and who goes by another era then. Another start of it takes its place.
 async fn return_from_copy(stage: &mut Stage, plain: usize, with: Return) -> Result<(), SoakError> {
     let upstream = stage.plains[plain].clone();
-    stage.store.keep_copy();
+    stage.store.save_backup();
     if with.leaves_before {
         stage.leave_plain(plain);
     }
@@ -299,7 +299,7 @@
         stage.store.set_mode(StoreMode::Silent);
         sleep(with.away).await;
     }
-    stage.store.return_from_copy();
+    stage.store.restore_backup();
     stage.store.set_mode(StoreMode::Up);
     if let Some(host) = with.starts {
         restart(stage, host, "KILL").await?;
@@ -307,7 +307,7 @@
     for _ in 1..with.times {
         stage.write_others(with.others);
         sleep(HEARD_BOUND).await;
-        stage.store.return_from_copy();
+        stage.store.restore_backup();
     }
     stage.write_others(with.others);
     sleep(with.silence).await;
@@ -357,7 +357,7 @@
     sleep(HEARD_BOUND).await;
     let since = Instant::now();
     sleep(Duration::from_millis(COLD_MS) - HEARD_BOUND).await;
-    let most = stage.plains[plain].most_in_a_second(since);
+    let most = stage.plains[plain].max_requests_per_second(since);
     stage.over_cold_rate += most.saturating_sub(COLD_MOST);
     stage.register_plain(plain);
 }
@@ -366,9 +366,9 @@
 /// may stand still meanwhile, which may be the one that hands out its starts.
 async fn name_limit(stage: &mut Stage, plain: usize, paused: Option<usize>) {
     let upstream = stage.plains[plain].clone();
-    upstream.ask(Asked {
+    upstream.set_signals(ResponseSignals {
         limit_per_s: Some(LIMIT_PER_S),
-        ..Asked::default()
+        ..ResponseSignals::default()
     });
     sleep(TOLD_BOUND).await;
     let since = Instant::now();
@@ -378,9 +378,9 @@
         stage.hosts[host].signal("CONT");
     }
     sleep(LIMIT_SPAN + Duration::from_millis(500)).await;
-    let most = upstream.most_within(LIMIT_SPAN, since);
+    let most = upstream.max_requests_within(LIMIT_SPAN, since);
     stage.over_limit += most.saturating_sub(LIMIT_MOST);
-    upstream.ask(Asked::default());
+    upstream.set_signals(ResponseSignals::default());
 }
 
 /// A plain upstream says that it leaves while the store is away; what it gets from hosts that were told is
@@ -390,9 +390,9 @@
     let upstream = stage.plains[plain].clone();
     let told_before = stage.told_of_leaving(plain);
     stage.store.set_mode(StoreMode::Silent);
-    upstream.ask(Asked {
+    upstream.set_signals(ResponseSignals {
         is_leaving: true,
-        ..Asked::default()
+        ..ResponseSignals::default()
     });
     sleep(TOLD_BOUND).await;
     let before = upstream.received().len();
@@ -409,24 +409,27 @@
 /// in that time is counted.
 async fn ask_for_rest(stage: &mut Stage, plain: usize) {
     let upstream = stage.plains[plain].clone();
-    upstream.ask(Asked {
-        rest_s: Some(REST_S),
-        ..Asked::default()
+    upstream.set_signals(ResponseSignals {
+        backoff_s: Some(REST_S),
+        ..ResponseSignals::default()
     });
-    stage.plains.iter().for_each(|one| one.work_for(BUSY_WORK));
+    stage
+        .plains
+        .iter()
+        .for_each(|one| one.set_service_time(BUSY_WORK));
     let since = Instant::now();
-    upstream.set(PlainBehaviour::Sheds);
+    upstream.set_behaviour(PlainBehaviour::Sheds);
     sleep(Duration::from_secs_f32(REST_S)).await;
-    let turned_away_at = upstream.turned_away_at();
+    let turned_away_at = upstream.refused_at();
     let late = turned_away_at.iter().filter(|at| **at > since + TOLD_BOUND);
     let most = stage.hosts.len() * RESTING_MOST;
     stage.sent_to_resting += late.count().saturating_sub(most);
     stage
         .plains
         .iter()
-        .for_each(|one| one.work_for(Duration::ZERO));
-    upstream.set(PlainBehaviour::Good);
-    upstream.ask(Asked::default());
+        .for_each(|one| one.set_service_time(Duration::ZERO));
+    upstream.set_behaviour(PlainBehaviour::Good);
+    upstream.set_signals(ResponseSignals::default());
 }
 
 /// Notice, then the end 1.8 s later, and another engine in its place.
--- a/crates/bench/src/soak/judge.rs
+++ b/crates/bench/src/soak/judge.rs
@@ -2,7 +2,7 @@
 
 use std::collections::HashMap;
 
-use fulmarpath_platform_standin::{AskKind, Got, Received, StandInEngine};
+use fulmarpath_platform_standin::{ReceivedRequest, ReceivedResponse, RequestKind, StandInEngine};
 use serde::Serialize;
 
 /// Upstreams that a request may end: three show what it does, and where hosts are lost with what they
@@ -13,8 +13,8 @@
 #[derive(Debug, Clone)]
 pub(crate) struct Outcome {
     pub(crate) id: String,
-    pub(crate) kind: AskKind,
-    pub(crate) got: Got,
+    pub(crate) kind: RequestKind,
+    pub(crate) got: ReceivedResponse,
     /// Whether any fault of the seed may cut answers.
     pub(crate) may_be_cut: bool,
 }
@@ -80,14 +80,14 @@
         let got = &outcome.got;
         let began = began.get(&outcome.id).copied().unwrap_or(0);
         self.requests += 1;
-        if outcome.kind != AskKind::Check && began > 1 {
+        if outcome.kind != RequestKind::Check && began > 1 {
             self.ran_twice += 1;
         }
         if got.status != 0 && got.id.as_deref() != Some(&outcome.id) {
             self.crossed += 1;
         }
         match got.status {
-            200 if got.is_whole => {
+            200 if got.is_complete => {
                 self.whole += 1;
                 self.unsigned += u32::from(!got.is_signed);
                 self.judge_body(outcome);
@@ -108,13 +108,13 @@
     /// A body is the request's own, whole; or, where it is cut, its beginning in whole events.
     fn judge_body(&mut self, outcome: &Outcome) {
         let (id, got) = (&outcome.id, &outcome.got);
-        if outcome.kind != AskKind::Draft {
+        if outcome.kind != RequestKind::Draft {
             let is_own = got.body.ends_with(&format!(" for {id}"));
-            self.crossed += u32::from(got.is_whole && !is_own);
+            self.crossed += u32::from(got.is_complete && !is_own);
             return;
         }
-        let expected = StandInEngine::answer(id, EVENTS);
-        let is_right = match got.is_whole {
+        let expected = StandInEngine::expected_body(id, EVENTS);
+        let is_right = match got.is_complete {
             true => got.body == expected,
             false => {
                 expected.starts_with(&got.body)
@@ -129,9 +129,9 @@
 const EVENTS: u64 = 60;
 
 /// How often upstreams began each request; going on from a copy isn't a beginning.
-pub(crate) fn begun(received: impl Iterator<Item = Received>) -> HashMap<String, u32> {
+pub(crate) fn begun(received: impl Iterator<Item = ReceivedRequest>) -> HashMap<String, u32> {
     let mut begun = HashMap::new();
-    for request in received.filter(|request| !request.continues()) {
+    for request in received.filter(|request| !request.resumes_from_copy()) {
         *begun.entry(request.id().to_owned()).or_default() += 1;
     }
     begun
--- a/crates/bench/src/soak/mod.rs
+++ b/crates/bench/src/soak/mod.rs
@@ -14,7 +14,7 @@
 use std::sync::atomic::{AtomicBool, AtomicU32, Ordering};
 use std::time::{Duration, Instant};
 
-use fulmarpath_platform_standin::{AskKind, HOST, exchange, usual};
+use fulmarpath_platform_standin::{HOST, RequestKind, exchange, sample_request};
 use parking_lot::Mutex;
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -128,7 +128,7 @@
         verdict.not_in_force += 1;
     }
     for address in &shared.addresses {
-        let request = usual(AskKind::Check, "old-key", FIRST_KEY, HOST);
+        let request = sample_request(RequestKind::Check, "old-key", FIRST_KEY, HOST);
         let got = exchange(*address, request, CALL_BOUND).await;
         verdict.old_key_served += u32::from(got.status != 401);
     }
@@ -166,13 +166,14 @@
 async fn served(addresses: &[SocketAddr], key: &str, name: &str, bound: Duration) -> bool {
     let started = Instant::now();
     for (place, address) in addresses.iter().enumerate() {
-        for kind in [AskKind::Poll, AskKind::Check, AskKind::Draft] {
+        for kind in [RequestKind::Poll, RequestKind::Check, RequestKind::Draft] {
             let mut attempt = 0;
             loop {
                 attempt += 1;
                 let id = format!("{name}-{place}-{kind:?}-{attempt}");
-                let got = exchange(*address, usual(kind, &id, key, HOST), CALL_BOUND).await;
-                if got.status == 200 && got.is_whole {
+                let got =
+                    exchange(*address, sample_request(kind, &id, key, HOST), CALL_BOUND).await;
+                if got.status == 200 && got.is_complete {
                     break;
                 }
                 if started.elapsed() > bound {
@@ -191,9 +192,15 @@
     while !shared.is_over.load(Ordering::Relaxed) {
         let number = shared.next.fetch_add(1, Ordering::Relaxed);
         let id = format!("{seed:x}-{number:x}");
-        let kind = [AskKind::Poll, AskKind::Check, AskKind::Draft][rng.random_range(0..3)];
+        let kind =
+            [RequestKind::Poll, RequestKind::Check, RequestKind::Draft][rng.random_range(0..3)];
         let address = shared.addresses[rng.random_range(0..shared.addresses.len())];
-        let got = exchange(address, usual(kind, &id, FIRST_KEY, HOST), CALL_BOUND).await;
+        let got = exchange(
+            address,
+            sample_request(kind, &id, FIRST_KEY, HOST),
+            CALL_BOUND,
+        )
+        .await;
         // A planned stop closes its port at its end: a caller who finds it closed asks another
         // host, as the platform's balancer would have had it do.
         let is_closed_door =
--- a/crates/bench/src/soak/spoil.rs
+++ b/crates/bench/src/soak/spoil.rs
@@ -1,6 +1,6 @@
 //! Spoils what callers got before it is judged: a check that finds nothing then can't fail.
 
-use fulmarpath_platform_standin::AskKind;
+use fulmarpath_platform_standin::RequestKind;
 
 use super::judge::Outcome;
 
@@ -20,9 +20,9 @@
 impl Spoil {
     /// Spoils the first outcome that it fits.
     pub(crate) fn apply(self, outcomes: &mut [Outcome]) {
-        let mut whole = outcomes
-            .iter_mut()
-            .filter(|one| one.kind == AskKind::Draft && one.got.is_whole && one.got.status == 200);
+        let mut whole = outcomes.iter_mut().filter(|one| {
+            one.kind == RequestKind::Draft && one.got.is_complete && one.got.status == 200
+        });
         let Some(outcome) = whole.next() else { return };
         let got = &mut outcome.got;
         match self {
@@ -33,7 +33,7 @@
             }
             Self::Id => got.id = Some("another".to_owned()),
             Self::Status => got.status = 503,
-            Self::End => got.is_whole = false,
+            Self::End => got.is_complete = false,
         }
     }
 }
--- a/crates/bench/src/soak/stage.rs
+++ b/crates/bench/src/soak/stage.rs
@@ -7,7 +7,7 @@
 
 use fulmarpath_http::get;
 use fulmarpath_platform_standin::{
-    EngineRules, StandInEngine, StandInPlain, StandInStore, configuration, entry, settings_file,
+    EngineBehaviour, StandInEngine, StandInPlain, StandInStore, configuration, entry, settings_file,
 };
 
 use rand::Rng;
@@ -172,12 +172,12 @@
 }
 
 /// Engines at an ordinary pace: an answer takes 1.3 s.
-fn rules() -> EngineRules {
-    EngineRules {
+fn rules() -> EngineBehaviour {
+    EngineBehaviour {
         events: 60,
-        pause: std::time::Duration::from_millis(20),
-        born_ms: Some(FIRST_BIRTH_MS),
-        ..EngineRules::default()
+        event_interval: std::time::Duration::from_millis(20),
+        started_at_ms: Some(FIRST_BIRTH_MS),
+        ..EngineBehaviour::default()
     }
 }
 
@@ -330,7 +330,7 @@
     /// From now on a request with this text ends the plain upstream that begins to run it.
     pub(crate) fn end_plains_on(&mut self, text: &'static str) {
         self.ends_on = Some(text);
-        self.plains.iter().for_each(|plain| plain.end_on(text));
+        self.plains.iter().for_each(|plain| plain.crash_on(text));
     }
 
     /// Others take the places of plain upstreams that have ended, under their names and elsewhere.
@@ -347,7 +347,7 @@
     pub(crate) async fn restart_plain(&mut self, place: usize) -> StandInPlain {
         let next = StandInPlain::start(&plain_name(place)).await;
         if let Some(text) = self.ends_on {
-            next.end_on(text);
+            next.crash_on(text);
         }
         self.births += 1;
         self.plain_births_ms
--- a/tests/log_lines.rs
+++ b/tests/log_lines.rs
@@ -9,8 +9,8 @@
 use fulmarpath::gateway::{Gateway, GatewaySettings, HostRegistration, Listen};
 use fulmarpath::platform::{EngineClient, HeaderDialect, metadata};
 use fulmarpath_platform_standin::{
-    AskKind, EngineRules, HOST, StandInEngine, StandInStore, StoreMode, configuration, exchange,
-    usual,
+    EngineBehaviour, HOST, RequestKind, StandInEngine, StandInStore, StoreMode, configuration,
+    exchange, sample_request,
 };
 use fulmarpath_policy::RetryBound;
 use spdlog::Logger;
@@ -107,27 +107,29 @@
     let running = tokio::spawn(Arc::new(gateway).run(listeners, async {
         let _ = stopped.await;
     }));
-    let ask = |kind, id: &'static str, key| exchange(callers, usual(kind, id, key, HOST), PATIENCE);
+    let ask = |kind, id: &'static str, key| {
+        exchange(callers, sample_request(kind, id, key, HOST), PATIENCE)
+    };
 
-    ask(AskKind::Poll, "a1", KEY).await;
+    ask(RequestKind::Poll, "a1", KEY).await;
     store.put("config", "main", configuration(1, KEY));
     until(&file, "configuration: version 1").await;
-    ask(AskKind::Poll, "a2", "no-key").await;
-    ask(AskKind::Draft, "a3", KEY).await;
-    let rules = EngineRules {
+    ask(RequestKind::Poll, "a2", "no-key").await;
+    ask(RequestKind::Draft, "a3", KEY).await;
+    let rules = EngineBehaviour {
         events: 100,
-        ..EngineRules::default()
+        ..EngineBehaviour::default()
     };
     let leaving = StandInEngine::start("i-1", rules).await;
     store.put("servers", "i-1", leaving.entry("engines", "dc-a", false));
     until(&file, "upstreams: 1 known").await;
-    let streaming = tokio::spawn(ask(AskKind::Draft, "a4", KEY));
+    let streaming = tokio::spawn(ask(RequestKind::Draft, "a4", KEY));
     tokio::time::sleep(Duration::from_millis(150)).await;
     let next = StandInEngine::start("i-2", rules).await;
     store.put("servers", "i-2", next.entry("engines", "dc-a", false));
     until(&file, "upstreams: 2 known").await;
     store.put("servers", "i-1", leaving.entry("engines", "dc-a", true));
-    assert!(streaming.await.expect("the caller reads").is_whole);
+    assert!(streaming.await.expect("the caller reads").is_complete);
     store.set_mode(StoreMode::Busy);
     until(&file, "store: the upstreams can't be read").await;
     until(&file, "store: the configuration can't be read").await;
