--- a/src/cmd/gateway.rs
+++ b/src/cmd/gateway.rs
@@ -60,7 +60,12 @@
     let hang_up = listen(SignalKind::hangup())?;
     let store = metadata(settings.store_address());
     let (dialect, control) = (Arc::new(HeaderDialect), Arc::new(EngineClient));
-    let gateway = Arc::new(Gateway::new(settings.gateway(), dialect, control, store));
+    let gateway = Arc::new(Gateway::new(
+        settings.gateway_settings(),
+        dialect,
+        control,
+        store,
+    ));
     tokio::spawn(reload(file.to_owned(), gateway.clone(), hang_up));
     tokio::spawn(tell_dropped_lines());
     let stopped = async {
@@ -77,7 +82,7 @@
         match NodeFile::read(&file) {
             Ok(settings) => {
                 info!("settings: read anew from {}", file.display());
-                gateway.reload(settings.gateway());
+                gateway.reload(settings.gateway_settings());
             }
             Err(error) => warn!("settings: kept as they were: {error}"),
         }
