--- a/crates/policy/src/backlog.rs
+++ b/crates/policy/src/backlog.rs
@@ -13,7 +13,7 @@
 const MAX_WAIT_FACTOR: f32 = 4.0;
 const WAIT_FACTOR_HALF_LIFE_MS: f32 = 5_000.0;
 
-/// Rate at which requests are record_served while the queue is not empty.
+/// Rate at which requests are served while the queue is not empty.
 #[derive(Debug)]
 pub(crate) struct Backlog {
     tokens: f32,
@@ -50,7 +50,7 @@
         self.busy_ms = self.busy_ms * decay + passed_ms;
     }
 
-    /// Counts a request of this footprint as record_served.
+    /// Counts a request of this footprint as served.
     pub(crate) fn record_served(&mut self, now_ms: Millis, footprint_tokens: f32) {
         self.at_ms = self.at_ms.max(now_ms);
         self.tokens += footprint_tokens;
--- a/crates/policy/src/cell_partitioning.rs
+++ b/crates/policy/src/cell_partitioning.rs
@@ -1,92 +1,104 @@
-//! How a service's engines are divided into cells, each with a home of its own.
+//! Partitioning of a service's engines into cells, each with its own home.
 //!
-//! One home looks through all engines and generations of its cell at each placement, so its work a
-//! second grows with the square of the cell. Cells of a bounded size keep it constant, whatever the fleet,
-//! and spread the homes over as many hosts. By data centre first: moves within one are the short
-//! ones.
+//! A home examines all engines and generations of its cell for each placement, so its work per
+//! second grows with the square of the cell size. Bounded cells keep this work constant for any
+//! fleet size and spread the homes over as many hosts. Engines are divided by data centre first,
+//! because transfers within a data centre are the shortest.
 
 use std::collections::BTreeMap;
 
-/// Engines of a cell at the most. A placement looks at each engine and each generation of its cell, and
-/// its home does that for every request that comes and again for every one that waits.
-const CELL_ENGINES: usize = 64;
-/// A division stays until a part would have less than this share of it. Engines come and go, a
-/// sixth of them within seconds, and each change of the division makes all homes learn anew.
-const SHRINK_SHARE: f32 = 0.5;
+/// Maximum number of engines in a cell. A home examines each engine and each generation of its cell
+/// for every arriving request and again for every waiting one.
+const MAX_CELL_ENGINES: usize = 64;
+/// The partitioning is kept until a partition would have less than this share of a full cell.
+/// Up to a sixth of the engines come and go within seconds, and after each change of the
+/// partitioning all homes must rebuild their state.
+const MIN_FILL_SHARE: f32 = 0.5;
 
-/// One data centre of a divided service.
+/// One data centre of a partitioned service.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 struct DataCentre {
-    parts: u64,
-    /// Whether it has engines now. Without any it keeps its parts, for those that come back.
-    is_open: bool,
+    partitions: u64,
+    /// Whether it has engines now. Its partitions are kept without any, for engines that return.
+    has_engines: bool,
 }
 
-/// How one service's engines are divided; by default not at all. Hosts that hold the same list and
-/// history divide alike; others ask a home that knows no such cell, and place by themselves.
+/// The partitioning of one service's engines; a single cell by default. Hosts with the same engine
+/// list and history compute the same partitioning. Others address a home that doesn't know the
+/// cell, and place requests without a home.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct CellPartitioning {
     data_centres: BTreeMap<String, DataCentre>,
 }
 
 impl CellPartitioning {
-    /// The division for so many engines in each data centre, after this one.
+    /// The partitioning that follows this one for the given number of engines per data centre.
     pub fn updated(&self, counts: &BTreeMap<String, usize>) -> Self {
         let total: usize = counts.values().sum();
-        let is_divided = !self.data_centres.is_empty();
-        let stays_divided = total as f32 > CELL_ENGINES as f32 * SHRINK_SHARE;
-        if total <= CELL_ENGINES && !(is_divided && stays_divided) {
+        let is_partitioned = !self.data_centres.is_empty();
+        let stays_partitioned = total as f32 > MAX_CELL_ENGINES as f32 * MIN_FILL_SHARE;
+        if total <= MAX_CELL_ENGINES && !(is_partitioned && stays_partitioned) {
             return Self::default();
         }
         let mut data_centres = self.data_centres.clone();
         for one in data_centres.values_mut() {
-            one.is_open = false;
+            one.has_engines = false;
         }
         for (name, count) in counts.iter().filter(|(_, count)| **count > 0) {
-            let parts = self.parts_for(name, *count);
-            let is_open = true;
-            data_centres.insert(name.clone(), DataCentre { parts, is_open });
+            let partitions = self.partitions_for(name, *count);
+            let has_engines = true;
+            data_centres.insert(
+                name.clone(),
+                DataCentre {
+                    partitions,
+                    has_engines,
+                },
+            );
         }
         Self { data_centres }
     }
 
-    fn parts_for(&self, name: &str, count: usize) -> u64 {
-        let wanted = count.div_ceil(CELL_ENGINES).next_power_of_two().max(1) as u64;
+    fn partitions_for(&self, name: &str, count: usize) -> u64 {
+        let wanted = count.div_ceil(MAX_CELL_ENGINES).next_power_of_two().max(1) as u64;
         let Some(before) = self.data_centres.get(name) else {
             return wanted;
         };
-        let least = CELL_ENGINES as f32 * SHRINK_SHARE * before.parts as f32 / 2.0;
-        let stays = wanted < before.parts && count as f32 > least;
-        if stays { before.parts } else { wanted }
+        let least = MAX_CELL_ENGINES as f32 * MIN_FILL_SHARE * before.partitions as f32 / 2.0;
+        let stays = wanted < before.partitions && count as f32 > least;
+        if stays { before.partitions } else { wanted }
     }
 
-    /// Whether engines are of the same cells as under `other`.
+    /// Whether engines belong to the same cells as under `other`.
     pub fn has_same_cells(&self, other: &Self) -> bool {
-        let parts = |one: &Self| -> Vec<(String, u64)> {
+        let partitions = |one: &Self| -> Vec<(String, u64)> {
             let all = one.data_centres.iter();
-            all.map(|(name, one)| (name.clone(), one.parts)).collect()
+            all.map(|(name, one)| (name.clone(), one.partitions))
+                .collect()
         };
-        parts(self) == parts(other)
+        partitions(self) == partitions(other)
     }
 
-    /// The data centre and part of an engine; `None` where the service is one cell. `draw` is the
-    /// engine's own.
+    /// The data centre and partition of an engine, or `None` if the service is a single cell.
+    /// `draw` is a hash of the engine.
     pub fn partition_of_engine(&self, data_centre: &str, draw: u64) -> Option<(&str, u64)> {
         let (name, one) = self.data_centres.get_key_value(data_centre)?;
-        Some((name, draw % one.parts))
+        Some((name, draw % one.partitions))
     }
 
-    /// The data centre and part for a generation that a host in `data_centre` takes: near, where
-    /// there are engines, else wherever there are. `None` where the service is one cell.
+    /// The data centre and partition for a generation that arrives at a host in `data_centre`:
+    /// local if there are engines, otherwise in any data centre with engines. `None` if the
+    /// service is a single cell.
     pub fn partition_for_generation(&self, data_centre: &str, draw: u64) -> Option<(&str, u64)> {
-        let open = self.data_centres.iter().filter(|(_, one)| one.is_open);
-        let near = open.clone().find(|(name, _)| *name == data_centre);
+        let with_engines = self.data_centres.iter().filter(|(_, one)| one.has_engines);
+        let local = with_engines.clone().find(|(name, _)| *name == data_centre);
         let any = || {
-            open.clone()
-                .nth(draw as usize % open.clone().count().max(1))
+            with_engines
+                .clone()
+                .nth(draw as usize % with_engines.clone().count().max(1))
         };
-        let (name, one) = near.or_else(any)?;
-        // Another part of the draw than the data centre's, lest the two go together.
-        Some((name, (draw >> 32) % one.parts))
+        let (name, one) = local.or_else(any)?;
+        // Uses other bits of the draw than the data centre, because the two would be correlated
+        // otherwise.
+        Some((name, (draw >> 32) % one.partitions))
     }
 }
--- a/crates/policy/src/cold.rs
+++ b/crates/policy/src/cold.rs
@@ -1,59 +1,60 @@
-//! How many requests a cold upstream is sent.
+//! Rate limit for requests to cold upstreams.
 //!
-//! An upstream that has just started, or comes back after its data centre was evacuated, bears only so
-//! many requests a second for a while and crashes well above that. Many hosts send to it and none sees
-//! the others' requests, so one host hands out its starts. Hosts may differ for a moment in who that
-//! is, so each hands out a part of the bound only.
+//! An upstream that has just started, or that returns after the evacuation of its data centre,
+//! handles only a limited request rate for a while and crashes well above it. Many hosts send to
+//! it and none sees the others' requests, so one host, its home, grants the request starts. Hosts
+//! may briefly disagree about which host that is, so each grants only a part of the limit.
 
 use std::collections::VecDeque;
 
 use crate::key::Millis;
 
-/// Hosts that may take themselves for the one that hands out an upstream's starts at the same time:
-/// one that is just gone or cut off, and its successor.
-const HOMES: f32 = 2.0;
-/// The time over which starts are counted.
+/// Hosts that may act as the home of an upstream at the same time: one that is stopping or
+/// partitioned, and its successor.
+const CONCURRENT_HOMES: f32 = 2.0;
+/// Window over which starts are counted.
 const WINDOW_MS: Millis = 1_000;
 
-/// What the operator allows beyond a service's own rate.
+/// How far the operator allows a service's cold rate to be exceeded.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct ColdBound {
-    /// Times the rate.
+    /// Factor on the rate.
     pub overage: f32,
-    /// Requests more in a second.
+    /// Additional requests per second.
     pub slack: f32,
 }
 
 impl ColdBound {
-    /// Starts that one host hands out in any one second, at an upstream that bears `per_second`.
+    /// Starts that one host grants in any one second, for an upstream with a cold rate of
+    /// `per_second`.
     pub fn starts_per_host(self, per_second: f32) -> u32 {
         let all = per_second * self.overage + self.slack;
-        ((all / HOMES) as u32).max(1)
+        ((all / CONCURRENT_HOMES) as u32).max(1)
     }
 }
 
-/// An upstream that is cold.
+/// Limit that applies to an upstream while it is cold.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Cold {
-    /// Until when.
+    /// When the limit ends.
     pub until_ms: Millis,
-    /// Starts that one host may hand out in any one second.
+    /// Starts that one host may grant in any one second.
     pub starts: u32,
 }
 
-/// The starts that one host has handed out lately for one cold upstream.
+/// The recent starts that one host has granted for one cold upstream.
 #[derive(Debug, Clone, Default)]
 pub struct ColdStarts {
     at_ms: VecDeque<Millis>,
 }
 
 impl ColdStarts {
-    /// When the next request may start; now or before where it may at once.
-    pub fn next_ms(&self, most: u32) -> Millis {
-        let most = most as usize;
-        match self.at_ms.len() < most {
+    /// When the next request may start. Not later than the current time if it may start now.
+    pub fn next_ms(&self, max_starts: u32) -> Millis {
+        let max_starts = max_starts as usize;
+        match self.at_ms.len() < max_starts {
             true => 0,
-            false => self.at_ms[self.at_ms.len() - most] + WINDOW_MS,
+            false => self.at_ms[self.at_ms.len() - max_starts] + WINDOW_MS,
         }
     }
 
@@ -64,18 +65,18 @@
         self.at_ms.push_back(now_ms);
     }
 
-    /// Whether nothing has started lately.
+    /// Whether no request has started within the window.
     pub fn is_idle(&self, now_ms: Millis) -> bool {
         let last_ms = self.at_ms.back();
         last_ms.is_none_or(|last_ms| now_ms.saturating_sub(*last_ms) >= WINDOW_MS)
     }
 
-    /// Hands out a start.
+    /// Grants a start.
     ///
     /// # Errors
-    /// How long to wait for the next one, in ms.
-    pub fn grant(&mut self, now_ms: Millis, most: u32) -> Result<(), Millis> {
-        let next_ms = self.next_ms(most);
+    /// The time until the next start, in ms.
+    pub fn grant(&mut self, now_ms: Millis, max_starts: u32) -> Result<(), Millis> {
+        let next_ms = self.next_ms(max_starts);
         if now_ms < next_ms {
             return Err(next_ms - now_ms);
         }
--- a/crates/policy/src/evacuations.rs
+++ b/crates/policy/src/evacuations.rs
@@ -136,9 +136,10 @@
         }
         self.known = revision;
         let is_new = self.set(now_ms, data_centres);
-        // Announce an empty first list too, since a peer that was partitioned may hold older entries.
-        // The same applies to the first list of an era, because revisions of different eras are not
-        // comparable, and to an entry that was written again, because peers would let it expire.
+        // Announce an empty first list too, since a peer that was partitioned may hold older
+        // entries. The same applies to the first list of an era, because revisions of different
+        // eras are not comparable, and to an entry that was written again, because peers would
+        // let it expire.
         if is_new || is_first || is_restore || is_confirmed {
             self.changed = revision;
         }
--- a/crates/policy/src/key.rs
+++ b/crates/policy/src/key.rs
@@ -1,10 +1,10 @@
-//! Small `Copy` keys. A key is a hash of the declared name, so that all hosts agree without
-//! exchanging tables.
+//! Small `Copy` keys. A key is a hash of the declared name, so that all hosts derive the same keys
+//! without exchanging tables.
 
 use serde::{Deserialize, Serialize};
 use xxhash_rust::xxh3::xxh3_64;
 
-/// Milliseconds since a start that the caller chooses.
+/// Milliseconds since an epoch that the caller chooses, or a duration in milliseconds.
 pub type Millis = u64;
 
 macro_rules! name_key {
@@ -45,7 +45,7 @@
     UpstreamKey
 );
 
-/// What a request asks for and for whom, whichever of its caller's tries it is: a hash of its
-/// organisation, method, path and body.
+/// Identifies the content of a request across the caller's retries: a hash of its organisation,
+/// method, path and body.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct ContentKey(pub u64);
--- a/crates/policy/src/lag.rs
+++ b/crates/policy/src/lag.rs
@@ -1,30 +1,30 @@
-//! When a host that hears of later versions asks a peer for all that it holds.
+//! When a host that is behind its peers fetches a peer's complete list.
 //!
-//! News reach a host on their own way within a moment. With hundreds of changes a second some peer
-//! is always a little ahead; asked for all of its list at each of its pings, 300 hosts before 3,000
-//! engines moved 0.8 MB/s each and served a fifth of their callers. Only a host that is still
-//! behind what a peer held a while ago has missed something.
+//! Updates normally reach a host within moments. With hundreds of changes per second some peer is
+//! always slightly ahead. When each ping of such a peer caused a fetch of its complete list, 300
+//! hosts in front of 3,000 engines transferred 0.8 MB/s each and served a fifth of their callers.
+//! Only a host that is still behind a peer's earlier revision has missed an update.
 
 use crate::key::Millis;
 use crate::revision::Revision;
 
-/// What a peer held that this host did not, and since when.
+/// A peer's revision that this host lacks, and since when.
 #[derive(Debug, Clone, Copy)]
 struct Ahead {
     revision: Revision,
     since_ms: Millis,
 }
 
-/// How far this host is behind its peers.
+/// Tracks how long this host has been behind its peers.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct Lag {
     ahead: Option<Ahead>,
 }
 
 impl Lag {
-    /// Hears which revision a peer holds; true where this host is to ask it for all, which is not
-    /// said again before `bound_ms` have passed. Up to the revision `provisional` this host holds
-    /// nothing that it can count on, and asks at once.
+    /// Takes in a peer's revision and returns whether to fetch its complete list, at most once per
+    /// `bound_ms`. Up to the revision `provisional` this host has no reliable state and fetches at
+    /// once.
     pub fn should_fetch(
         &mut self,
         now_ms: Millis,
--- a/crates/policy/src/lengths.rs
+++ b/crates/policy/src/lengths.rs
@@ -1,7 +1,7 @@
 //! Distribution of output lengths: a decaying histogram for each organisation and service.
 //!
 //! A short history is blended with that of the service, and this with that of all services
-//! (shrinkage towards the parent), so that new organisations prior with a sensible estimate.
+//! (shrinkage towards the parent), so that new organisations start with a sensible estimate.
 //!
 //! For each length the histogram counts how many outputs reached it and how many ended there
 //! (Kaplan-Meier estimator). Complete outputs alone would bias the estimate of a host that has
@@ -45,7 +45,7 @@
     (bucket as f32 / BUCKETS_PER_DOUBLING).exp2()
 }
 
-/// Expected remaining tokens at the prior of each bucket: the integral of the survival beyond it,
+/// Expected remaining tokens at the start of each bucket: the integral of the survival beyond it,
 /// divided by the survival at it.
 fn expected_remaining_by_bucket(survival: &[f32; BUCKETS + 1]) -> [f32; BUCKETS + 1] {
     let mut remaining_tokens = [0.0; BUCKETS + 1];
--- a/crates/policy/src/limits.rs
+++ b/crates/policy/src/limits.rs
@@ -1,7 +1,7 @@
-//! Limits of an organisation: requests a second and requests at once.
+//! Limits of an organisation: request rate and concurrency.
 //!
-//! One host, the organisation's home, keeps the exact counts; entry hosts ask it. A slot whose
-//! holder died lapses.
+//! One host, the organisation's home, keeps the exact counts, and entry hosts acquire slots from
+//! it. The slots of a dead host expire.
 
 use std::collections::HashMap;
 
@@ -12,23 +12,23 @@
 /// An organisation's declared limits.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 pub struct RequestLimits {
-    /// Requests a second, also the burst.
+    /// Requests per second, which is also the burst size.
     pub requests_per_s: f32,
-    /// Requests at once.
+    /// Maximum number of concurrent requests.
     pub concurrent: u32,
 }
 
-/// Why a request is over its limit, and when to come back.
+/// Which limit a request exceeds, and when to retry.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum LimitExceeded {
-    /// Too many requests a second.
+    /// Too many requests per second.
     Rate {
-        /// Time until the next is allowed.
+        /// Time until the next request is allowed.
         retry_after_ms: Millis,
     },
-    /// Too many requests at once.
+    /// Too many concurrent requests.
     Concurrency {
-        /// A guess at when one ends.
+        /// Rough estimate of when a request ends.
         retry_after_ms: Millis,
     },
 }
@@ -43,20 +43,20 @@
 #[derive(Debug, Default, Clone, Copy)]
 struct Held {
     slots: u32,
-    heard_at_ms: Millis,
+    updated_at_ms: Millis,
 }
 
-const LAPSE_MS: Millis = 6_000;
+const HELD_SLOTS_TTL_MS: Millis = 6_000;
 const CONCURRENCY_RETRY_MS: Millis = 1_000;
 
-/// The usage of those organisations whose home this host is.
+/// Usage of the organisations whose home is this host.
 #[derive(Debug, Default)]
 pub struct LimitTable {
     usage: HashMap<OrganisationKey, Usage>,
 }
 
 impl LimitTable {
-    /// Takes a slot for one request of `organisation` at `host`.
+    /// Acquires a slot for one request of `organisation` at `host`.
     pub fn acquire(
         &mut self,
         now_ms: Millis,
@@ -69,11 +69,11 @@
             refilled_at_ms: now_ms,
             held: HashMap::new(),
         });
-        // A host that died can't give its slots back: without the lapse its organisation would
-        // be refused for ever. Live hosts restate what they hold each second.
+        // A dead host can't release its slots. Without the expiry its organisation would be
+        // refused forever. Live hosts report the slots that they hold each second.
         usage
             .held
-            .retain(|_, held| now_ms.saturating_sub(held.heard_at_ms) < LAPSE_MS);
+            .retain(|_, held| now_ms.saturating_sub(held.updated_at_ms) < HELD_SLOTS_TTL_MS);
         let elapsed_s = now_ms.saturating_sub(usage.refilled_at_ms) as f32 / 1_000.0;
         usage.refilled_at_ms = now_ms;
         let burst = bounds.requests_per_s.max(1.0);
@@ -83,8 +83,8 @@
             let retry_after_ms = (wait_s * 1_000.0).ceil() as Millis;
             return Err(LimitExceeded::Rate { retry_after_ms });
         }
-        let at_once: u32 = usage.held.values().map(|held| held.slots).sum();
-        if at_once >= bounds.concurrent {
+        let concurrent: u32 = usage.held.values().map(|held| held.slots).sum();
+        if concurrent >= bounds.concurrent {
             return Err(LimitExceeded::Concurrency {
                 retry_after_ms: CONCURRENCY_RETRY_MS,
             });
@@ -92,11 +92,11 @@
         usage.allowance -= 1.0;
         let held = usage.held.entry(host).or_default();
         held.slots += 1;
-        held.heard_at_ms = now_ms;
+        held.updated_at_ms = now_ms;
         Ok(())
     }
 
-    /// States how many requests of `organisation` run at `host`.
+    /// Sets how many requests of `organisation` run at `host`.
     pub fn set_held(
         &mut self,
         now_ms: Millis,
@@ -105,13 +105,20 @@
         slots: u32,
     ) {
         let usage = self.usage.entry(organisation).or_insert(Usage {
-            // A home that has just taken over knows of no use: it starts with a whole burst, or the
-            // first callers after each move of a home would be refused for nothing.
+            // A new home doesn't know the recent usage. It starts with a full burst, since
+            // otherwise the first callers after each change of the home would be refused without
+            // need.
             allowance: f32::MAX,
             refilled_at_ms: now_ms,
             held: HashMap::new(),
         });
-        let heard_at_ms = now_ms;
-        usage.held.insert(host, Held { slots, heard_at_ms });
+        let updated_at_ms = now_ms;
+        usage.held.insert(
+            host,
+            Held {
+                slots,
+                updated_at_ms,
+            },
+        );
     }
 }
--- a/crates/policy/src/load.rs
+++ b/crates/policy/src/load.rs
@@ -1,8 +1,8 @@
-//! An engine's load as it reports it, late.
+//! Load reports of engines.
 
 use serde::{Deserialize, Serialize};
 
-/// What an engine last reported of itself.
+/// The last load report of an engine, which lags behind its actual load.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EngineLoad {
     /// Generations in the batch.
@@ -11,6 +11,6 @@
     pub waiting: u32,
     /// Memory in use.
     pub used_tokens: u32,
-    /// Memory in all.
+    /// Total memory.
     pub memory_tokens: u32,
 }
--- a/crates/policy/src/pacer.rs
+++ b/crates/policy/src/pacer.rs
@@ -1,37 +1,37 @@
-//! Starts that are handed out at a rate, by the generic cell rate algorithm (ITU-T I.371).
+//! Rate limiter for request starts, by the generic cell rate algorithm (ITU-T I.371).
 
 use crate::key::Millis;
 
-/// What comes due within so long may start at once: callers come in bursts, and an upstream's queue
-/// takes those of half a second.
+/// Burst tolerance: starts due within this time may happen at once. Callers arrive in bursts, and
+/// the queue of an upstream can absorb half a second of them.
 const BURST_MS: f64 = 500.0;
-/// The longest time between two starts. An upstream that takes next to nothing still gets a request now
-/// and then, since its answers alone tell that the limit is over.
-const LONGEST_MS: f64 = 5_000.0;
+/// Maximum interval between two starts. An upstream with a very low limit still gets occasional
+/// requests, because only its responses show when the limit ends.
+const MAX_INTERVAL_MS: f64 = 5_000.0;
 
-/// The starts that were handed out of one rate.
+/// The starts granted from one rate.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct Pacer {
-    /// When all that has started would have been due, one after the other.
+    /// Theoretical arrival time: when the next start is due if all starts had been evenly spaced.
     due_ms: f64,
 }
 
 impl Pacer {
-    /// How long it is until the next start, in ms; 0 where it may be now.
+    /// Time until the next start, in ms; 0 if a request may start now.
     pub fn wait_ms(&self, now_ms: Millis) -> Millis {
         let wait_ms = self.due_ms - BURST_MS - now_ms as f64;
         wait_ms.max(0.0).ceil() as Millis
     }
 
-    /// Counts a start at a rate.
+    /// Counts a start at `per_s`.
     pub fn record(&mut self, now_ms: Millis, per_s: f32) {
         self.due_ms = self.due_ms.max(now_ms as f64) + interval_ms(per_s);
     }
 
-    /// Hands out a start.
+    /// Grants a start.
     ///
     /// # Errors
-    /// How long to wait for the next one, in ms.
+    /// The time until the next start, in ms.
     pub fn grant(&mut self, now_ms: Millis, per_s: f32) -> Result<(), Millis> {
         match self.wait_ms(now_ms) {
             0 => {
@@ -42,13 +42,14 @@
         }
     }
 
-    /// Hands out a start of a rate that so many others share, none of which knows of the rest.
+    /// Grants a start from a rate that is split evenly between `sharers` hosts without
+    /// coordination.
     ///
-    /// The first comes after a part of the time between two of this one's, which `draw` (0 to 1) decides:
-    /// were it free, all would begin with one each.
+    /// The first start is delayed by a fraction `draw` (0 to 1) of this host's interval. Otherwise
+    /// all hosts would begin with a start at the same time.
     ///
     /// # Errors
-    /// How long to wait for the next one, in ms.
+    /// The time until the next start, in ms.
     pub fn grant_share(
         &mut self,
         now_ms: Millis,
@@ -69,12 +70,12 @@
         }
     }
 
-    /// Whether nothing of what has started counts any more.
+    /// Whether no earlier start affects the next one.
     pub fn is_idle(&self, now_ms: Millis) -> bool {
         self.due_ms <= now_ms as f64
     }
 }
 
 fn interval_ms(per_s: f32) -> f64 {
-    (1_000.0 / f64::from(per_s)).min(LONGEST_MS)
+    (1_000.0 / f64::from(per_s)).min(MAX_INTERVAL_MS)
 }
--- a/crates/policy/src/rendezvous.rs
+++ b/crates/policy/src/rendezvous.rs
@@ -1,17 +1,17 @@
-//! Rendezvous hashing: who of the live members is the home of a thing, without any exchange.
+//! Rendezvous hashing: selects the home of an item among the live members without coordination.
 
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// The rank of `member` for `thing`; the highest rank is the thing's home.
-pub fn rank(thing: u64, member: u64) -> u64 {
-    xxh3_64_with_seed(&thing.to_le_bytes(), member)
+/// The rank of `member` for `item`. The member with the highest rank is the item's home.
+pub fn rank(item: u64, member: u64) -> u64 {
+    xxh3_64_with_seed(&item.to_le_bytes(), member)
 }
 
-/// The member that ranks highest for `thing`.
-pub fn highest<M: Copy + Into<u64>>(thing: u64, members: impl IntoIterator<Item = M>) -> Option<M> {
+/// The member that ranks highest for `item`.
+pub fn highest<M: Copy + Into<u64>>(item: u64, members: impl IntoIterator<Item = M>) -> Option<M> {
     members
         .into_iter()
-        .max_by_key(|member| rank(thing, (*member).into()))
+        .max_by_key(|member| rank(item, (*member).into()))
 }
 
 impl From<crate::key::HostKey> for u64 {
--- a/crates/policy/src/retry.rs
+++ b/crates/policy/src/retry.rs
@@ -1,34 +1,34 @@
-//! Retry budgets: retries are a share of first tries, so that they never grow a storm.
+//! Retry budgets: retries are limited to a share of first attempts, which prevents retry storms.
 
-/// Retries that an upstream's first tries have earned.
+/// Retry budget earned by first attempts at an upstream.
 #[derive(Debug, Clone, Copy)]
 pub struct RetryBudget {
     share: f32,
-    saved: f32,
-    most: f32,
+    available: f32,
+    max: f32,
 }
 
 impl RetryBudget {
-    /// A budget that earns `share` of a retry for each first try and saves at most `most`.
-    pub fn new(share: f32, most: f32) -> Self {
+    /// Creates a full budget that earns `share` of a retry per first attempt and holds up to `max`.
+    pub fn new(share: f32, max: f32) -> Self {
         Self {
             share,
-            saved: most,
-            most,
+            available: max,
+            max,
         }
     }
 
-    /// A first try was made.
+    /// Records a first attempt.
     pub fn record_first_attempt(&mut self) {
-        self.saved = (self.saved + self.share).min(self.most);
+        self.available = (self.available + self.share).min(self.max);
     }
 
-    /// Whether a retry may be made; takes it from the budget.
+    /// Whether a retry may be made. If so, it is deducted from the budget.
     pub fn try_retry(&mut self) -> bool {
-        if self.saved < 1.0 {
+        if self.available < 1.0 {
             return false;
         }
-        self.saved -= 1.0;
+        self.available -= 1.0;
         true
     }
 }
--- a/crates/policy/src/retry_window.rs
+++ b/crates/policy/src/retry_window.rs
@@ -1,30 +1,30 @@
-//! This host's share of the retries that an operator allows a service over the whole fleet.
+//! This host's share of the fleet-wide retry limit of a service.
 //!
-//! The bound is `ratio` of the requests plus a fixed extra, in any window of a given length, for
-//! all hosts together. A host spends `ratio` of its own requests, which adds up whatever the
-//! balance between hosts, and an equal part of the extra. No message between hosts is needed, and
-//! a host that can reach none of the others stays within the bound.
+//! In any window of a given length all hosts together may make `ratio` retries per request plus a
+//! fixed extra. A host uses `ratio` of its own requests, which adds up for any balance between the
+//! hosts, and an equal part of the extra. This needs no coordination, and a partitioned host stays
+//! within the limit.
 
 use std::collections::VecDeque;
 
 use crate::key::Millis;
 
-/// The part of the bound that is spent: hosts may disagree for a while on how many they are, and a
-/// request is counted at the upstream a little after this host counts it.
-const CAUTION: f32 = 0.7;
+/// Share of the limit that is used. Hosts may temporarily disagree on their number, and an upstream
+/// counts a request slightly later than this host.
+const SAFETY_FACTOR: f32 = 0.7;
 
-/// The operator's bound on retries of one service.
+/// The operator's limit on retries of one service.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct RetryBound {
-    /// Retries for each request.
+    /// Retries per request.
     pub ratio: f32,
-    /// Retries beside these, over the whole fleet.
+    /// Additional retries for the whole fleet.
     pub extra: f32,
-    /// The window that the bound holds for.
+    /// Length of the window.
     pub window_ms: Millis,
 }
 
-/// Requests and retries of one service at one host within the window.
+/// Requests and retries of one service at this host within the window.
 #[derive(Debug, Clone)]
 pub struct RetryWindow {
     bound: RetryBound,
@@ -33,7 +33,7 @@
 }
 
 impl RetryWindow {
-    /// An empty window.
+    /// Creates an empty window.
     pub fn new(bound: RetryBound) -> Self {
         Self {
             bound,
@@ -42,18 +42,18 @@
         }
     }
 
-    /// Changes the bound; what was spent stays spent.
+    /// Replaces the limit. Recorded requests and retries are kept.
     pub fn set_bound(&mut self, bound: RetryBound) {
         self.bound = bound;
     }
 
-    /// A request of a caller came.
+    /// Records a request of a caller.
     pub fn record_request(&mut self, now_ms: Millis) {
-        self.forget(now_ms);
+        self.prune(now_ms);
         self.requests.push_back(now_ms);
     }
 
-    /// Whether a request may be sent once more; counted where it may.
+    /// Whether a request may be retried. If so, the retry is recorded.
     pub fn try_retry(&mut self, now_ms: Millis, hosts: usize) -> bool {
         if self.remaining(now_ms, hosts) < 1.0 {
             return false;
@@ -62,23 +62,24 @@
         true
     }
 
-    /// A request goes on elsewhere from a copy of its memory: that is not asked about, since nobody makes
-    /// again what is there already, but it arrives at the service like a retry, and leaves the fewer.
+    /// Records a generation that continues at another engine from a copy of its memory. It is
+    /// always allowed, because no output is generated again, but it reaches the service like a
+    /// retry and therefore leaves fewer retries.
     pub fn record_continuation(&mut self, now_ms: Millis) {
-        self.forget(now_ms);
+        self.prune(now_ms);
         self.retries.push_back(now_ms);
     }
 
-    /// Requests that may still be sent once more within the window.
+    /// Retries left within the window.
     pub fn remaining(&mut self, now_ms: Millis, hosts: usize) -> f32 {
-        self.forget(now_ms);
+        self.prune(now_ms);
         let own = self.bound.ratio * self.requests.len() as f32;
         let extra = self.bound.extra / hosts.max(1) as f32;
-        let allowed = (own + extra) * CAUTION;
+        let allowed = (own + extra) * SAFETY_FACTOR;
         allowed - self.retries.len() as f32
     }
 
-    fn forget(&mut self, now_ms: Millis) {
+    fn prune(&mut self, now_ms: Millis) {
         let since_ms = now_ms.saturating_sub(self.bound.window_ms);
         for times in [&mut self.requests, &mut self.retries] {
             while times.front().is_some_and(|at_ms| *at_ms < since_ms) {
--- a/crates/policy/src/revision.rs
+++ b/crates/policy/src/revision.rs
@@ -1,37 +1,38 @@
-//! Revisions of a store that may come back from a copy.
+//! Revisions of a store that may be restored from a backup.
 //!
-//! A store that comes back from a copy has lost its latest changes and gives their numbers out again, so one
-//! number names different states before and after. Its era grows with each such return. A later era
-//! goes before any number of an earlier one, and what lies between two revisions is known only where both
-//! are of one era.
+//! A restored store has lost its latest changes and reuses their numbers, so one number denotes
+//! different states before and after. The era of the store grows with each restore. Any revision of
+//! a later era is later than all of an earlier one. The changes between two revisions are known
+//! only if both are of the same era.
 
 use std::fmt::{self, Display, Formatter};
 
 use serde::{Deserialize, Serialize};
 
-/// A state of a store.
+/// A version of the store's state.
 #[derive(
     Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 pub struct Revision {
-    /// How often the store has come back from a copy, counted by the store; 0 where it doesn't say.
+    /// Number of restores, counted by the store; 0 if the store doesn't report it.
     pub era: u64,
-    /// Grows with each change within an era; 0 before the first.
+    /// Grows with each change within an era; 0 before the first change.
     pub number: u64,
 }
 
 impl Revision {
-    /// A number within an era.
+    /// Creates a revision from an era and a number within it.
     pub const fn new(era: u64, number: u64) -> Self {
         Self { era, number }
     }
 
-    /// The one of the next change within the era.
+    /// The revision of the next change within the era.
     pub const fn next(self) -> Self {
         Self::new(self.era, self.number + 1)
     }
 
-    /// Whether the store has come back from a copy since an earlier revision that was known for certain.
+    /// Whether the store was restored since `earlier`, if `earlier` is later than `provisional` and
+    /// hence known for certain.
     pub const fn is_restore_since(self, earlier: Self, provisional: Self) -> bool {
         let is_certain = earlier.era > provisional.era || earlier.number > provisional.number;
         is_certain && self.era > earlier.era
--- a/crates/policy/src/watchers.rs
+++ b/crates/policy/src/watchers.rs
@@ -1,63 +1,63 @@
-//! Which hosts watch the store for the others.
+//! Selection of the hosts that watch the store on behalf of the others.
 //!
-//! Each call to the store is paid for, so few hosts watch, and pass their news on to those around
-//! them. Around means the hosts of a data centre, or of several where each has only a few.
+//! Each call to the store is billed, so only a few hosts watch it and relay the changes within
+//! their area. An area is a data centre, or several if each has only a few hosts.
 //!
-//! The store may turn away just the hosts that watch it: all others would go on with what they know,
-//! and a key that was taken away would be good there for as long as that lasts. So a watcher that
-//! can't read the store says so, and the next ones watch in its place. Where the store is away for
-//! all, each of those says so in turn, and without a bound the whole fleet ends up asking it.
+//! The store may reject just the hosts that watch it. All others would then keep stale state, and a
+//! revoked key would stay valid for that long. A watcher that can't read the store therefore
+//! announces this, and the next hosts watch in its place. If the store is unavailable to all, each
+//! of those announces it in turn. Without a limit the whole fleet would end up calling the store.
 
 use std::collections::BTreeMap;
 
-/// Hosts that one watcher at least is for. A host passes news on to three others, so a few dozen
-/// hear of them within three hops; with fewer than this a watcher costs more than its hosts' pings.
-const AREA_HOSTS: usize = 24;
-/// Watchers of the whole fleet at least. Each area has one, and where it dies, the pings of others'
-/// areas bring the news within a second; where there is one area alone, nobody else has the news.
-const WATCHERS: usize = 2;
-/// Watchers in place of one that can't read the store: they may be turned away as well.
+/// Minimum number of hosts per area. A host relays to three others, so a few dozen hosts are
+/// reached within three hops. With fewer hosts a watcher costs more than their pings.
+const MIN_AREA_HOSTS: usize = 24;
+/// Minimum number of watchers in the fleet. Each area has one. If it dies, pings from other areas
+/// bring the changes within a second. A single area has no other source.
+const MIN_WATCHERS: usize = 2;
+/// Substitutes for a watcher that can't read the store, since the store may reject them as well.
 const SUBSTITUTES: usize = 2;
-/// With so many that can't read it, the store is away for all. If it turned away each host with a
-/// chance of a third, so many in a row would meet one data centre in 240, and the others' pings
-/// still bring the news.
-const MOST_BLIND: usize = 5;
+/// Number of hosts without store access at which the store counts as unavailable to all. If it
+/// rejected each host with probability 1/3, this many in a row would occur in one data centre out
+/// of 240, and pings from the others would still bring the changes.
+const MAX_STORE_UNREADABLE: usize = 5;
 
 /// The data centres whose hosts share their watchers.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct WatchArea {
-    /// In the order of their names.
+    /// Names of the data centres, sorted.
     pub data_centres: Vec<String>,
-    /// Hosts of it that watch.
+    /// Number of hosts in the area that watch the store.
     pub watchers: usize,
 }
 
 impl WatchArea {
-    /// The area of a data centre, by the hosts that are believed present in each.
+    /// The area of a data centre, given the number of live hosts in each.
     ///
-    /// Hosts may differ for a moment in whom they believe present. Ranks are the same in every area,
-    /// so whatever areas they see, each of them sees a host that sees itself as the first.
+    /// Hosts may briefly disagree on which hosts are live. Ranks are the same in every area, so for
+    /// any areas that they compute, each has a host that considers itself the first.
     pub fn of(data_centre: &str, hosts: &BTreeMap<String, usize>) -> Self {
         let mut areas: Vec<Vec<String>> = Vec::new();
-        let mut filled = AREA_HOSTS;
+        let mut area_hosts = MIN_AREA_HOSTS;
         for (name, count) in hosts {
-            if filled >= AREA_HOSTS {
+            if area_hosts >= MIN_AREA_HOSTS {
                 areas.push(Vec::new());
-                filled = 0;
+                area_hosts = 0;
             }
-            filled += count;
+            area_hosts += count;
             if let Some(area) = areas.last_mut() {
                 area.push(name.clone());
             }
         }
-        // What is left over at the end is no area of its own.
-        if filled < AREA_HOSTS && areas.len() > 1 {
+        // Remaining data centres with too few hosts join the last area.
+        if area_hosts < MIN_AREA_HOSTS && areas.len() > 1 {
             let rest = areas.pop().unwrap_or_default();
             if let Some(last) = areas.last_mut() {
                 last.extend(rest);
             }
         }
-        let watchers = WATCHERS.div_ceil(areas.len().max(1));
+        let watchers = MIN_WATCHERS.div_ceil(areas.len().max(1));
         let mut areas = areas.into_iter();
         let own = areas.find(|area| area.iter().any(|name| name == data_centre));
         Self {
@@ -66,28 +66,29 @@
         }
     }
 
-    /// Whether a data centre is of this area.
+    /// Whether a data centre belongs to this area.
     pub fn contains(&self, data_centre: &str) -> bool {
         self.data_centres.iter().any(|name| name == data_centre)
     }
 
-    /// Whether a host of this rank watches, beside the others of its area.
+    /// Whether a host of this rank watches, given the other hosts of its area.
     pub fn is_watcher(&self, rank: u64, others: impl IntoIterator<Item = WatchCandidate>) -> bool {
         let better = others.into_iter().filter(|other| other.rank > rank);
-        let (blind, well): (Vec<_>, Vec<_>) = better.partition(|other| other.store_unreadable);
-        let wanted = match blind.is_empty() {
+        let (unreadable, readable): (Vec<_>, Vec<_>) =
+            better.partition(|other| other.store_unreadable);
+        let wanted = match unreadable.is_empty() {
             true => self.watchers,
             false => SUBSTITUTES,
         };
-        well.len() < wanted && blind.len() < MOST_BLIND
+        readable.len() < wanted && unreadable.len() < MAX_STORE_UNREADABLE
     }
 }
 
-/// A host that may watch.
+/// A host that may watch the store.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct WatchCandidate {
     /// Its rank among all hosts; the highest goes first.
     pub rank: u64,
-    /// It can't read the store.
+    /// Whether it can't read the store.
     pub store_unreadable: bool,
 }
--- a/crates/policy/src/weights.rs
+++ b/crates/policy/src/weights.rs
@@ -1,15 +1,15 @@
-//! What a preset says of the three measures, and the risk that follows from it.
+//! Weights of the three service quality measures in a preset, and the memory reserve that follows.
 
 use serde::{Deserialize, Serialize};
 
-/// The worth of the three measures against each other, as a preset declares them.
+/// Relative weights of the three measures, as declared in a preset.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 pub struct Weights {
     /// Weight of stall time.
     pub stall: f32,
     /// Weight of preemptions.
     pub preemptions: f32,
-    /// Weight of the tail between tokens.
+    /// Weight of the tail latency between tokens.
     pub between_tokens: f32,
 }
 
@@ -23,20 +23,21 @@
     }
 }
 
-const CAUTIOUS_Z: f32 = 2.4;
-const DARING_Z: f32 = 1.2;
+const HIGH_RESERVE_Z: f32 = 2.4;
+const LOW_RESERVE_Z: f32 = 1.2;
 
 impl Weights {
-    /// How many standard deviations of the predicted peak to keep free.
+    /// Number of standard deviations of the predicted peak memory to keep free.
     ///
-    /// Waiting costs stall, filling up costs preemptions and the tail: the more stall weighs, the
-    /// less is kept free. The two ends were measured; docs/POLICY.md has the figures.
+    /// Queueing increases stall time, while a full engine increases preemptions and tail latency.
+    /// So the more stall weighs, the less is kept free. docs/POLICY.md has the figures for both
+    /// ends.
     pub fn reserve_deviations(&self) -> f32 {
         let others = (self.preemptions + self.between_tokens) / 2.0;
         let total = self.stall + others;
         if total <= 0.0 {
-            return (CAUTIOUS_Z + DARING_Z) / 2.0;
+            return (HIGH_RESERVE_Z + LOW_RESERVE_Z) / 2.0;
         }
-        DARING_Z + (CAUTIOUS_Z - DARING_Z) * (others / total)
+        LOW_RESERVE_Z + (HIGH_RESERVE_Z - LOW_RESERVE_Z) * (others / total)
     }
 }
