--- a/crates/cluster/src/claims.rs
+++ b/crates/cluster/src/claims.rs
@@ -70,8 +70,8 @@
 impl From<PlatformError> for ClaimError {
     fn from(error: PlatformError) -> Self {
         match error {
-            PlatformError::NotDone(_) => Self::NotMade,
-            PlatformError::Unsure(_) | PlatformError::Conflict { .. } => Self::Unsure,
+            PlatformError::NotExecuted(_) => Self::NotMade,
+            PlatformError::OutcomeUnknown(_) | PlatformError::Conflict { .. } => Self::Unsure,
         }
     }
 }
@@ -271,8 +271,8 @@
                     self.shard.next = number + 1;
                     return Ok(());
                 }
-                Err(PlatformError::NotDone(_)) => {}
-                Err(PlatformError::Unsure(_)) => outcome = Err(ClaimError::Unsure),
+                Err(PlatformError::NotExecuted(_)) => {}
+                Err(PlatformError::OutcomeUnknown(_)) => outcome = Err(ClaimError::Unsure),
             }
         }
         outcome
--- a/crates/cluster/src/publish.rs
+++ b/crates/cluster/src/publish.rs
@@ -142,8 +142,8 @@
             match self.write(draft, version).await {
                 Ok(configuration) => return Ok(configuration),
                 Err(PlatformError::Conflict { .. }) => {}
-                Err(PlatformError::NotDone(_)) => tokio::time::sleep(RETRY_PAUSE).await,
-                Err(PlatformError::Unsure(_)) => unsure = true,
+                Err(PlatformError::NotExecuted(_)) => tokio::time::sleep(RETRY_PAUSE).await,
+                Err(PlatformError::OutcomeUnknown(_)) => unsure = true,
             }
         }
         if unsure {
@@ -224,8 +224,8 @@
                 // A part is named by the hash of its content, so an existing one is identical.
                 Ok(_) | Err(PlatformError::Conflict { .. }) => {}
                 // The root isn't written without its parts, so nothing has changed.
-                Err(PlatformError::NotDone(error) | PlatformError::Unsure(error)) => {
-                    return Err(PlatformError::NotDone(error));
+                Err(PlatformError::NotExecuted(error) | PlatformError::OutcomeUnknown(error)) => {
+                    return Err(PlatformError::NotExecuted(error));
                 }
             }
         }
--- a/crates/cluster/tests/common/mod.rs
+++ b/crates/cluster/tests/common/mod.rs
@@ -17,7 +17,7 @@
     pub(crate) is_down: Mutex<bool>,
 }
 
-const FAILED: HttpError = HttpError::Unanswered {
+const FAILED: HttpError = HttpError::NoResponse {
     address: std::net::SocketAddr::new(std::net::IpAddr::V4(std::net::Ipv4Addr::LOCALHOST), 1),
 };
 
@@ -29,7 +29,7 @@
         expected: Option<Version>,
     ) -> Result<Version, PlatformError> {
         if *self.is_down.lock() {
-            return Err(PlatformError::NotDone(FAILED));
+            return Err(PlatformError::NotExecuted(FAILED));
         }
         let mut objects = self.objects.lock();
         let current = objects.get(key).map(|(version, _)| *version);
@@ -41,7 +41,7 @@
         let mut to_lose = self.answers_to_lose.lock();
         if *to_lose > 0 {
             *to_lose -= 1;
-            return Err(PlatformError::Unsure(FAILED));
+            return Err(PlatformError::OutcomeUnknown(FAILED));
         }
         Ok(version)
     }
@@ -51,7 +51,7 @@
 impl ObjectApi for FakeObjectApi {
     async fn read(&self, key: &str) -> Result<Option<Object>, PlatformError> {
         if *self.is_down.lock() {
-            return Err(PlatformError::NotDone(FAILED));
+            return Err(PlatformError::NotExecuted(FAILED));
         }
         let objects = self.objects.lock();
         Ok(objects.get(key).map(|(version, value)| Object {
--- a/crates/cluster/tests/orders.rs
+++ b/crates/cluster/tests/orders.rs
@@ -28,11 +28,11 @@
 #[async_trait]
 impl Engine for FakeEngine {
     async fn generate(&self, _: &GenerateRequest) -> Result<Box<dyn TokenStream>, EngineError> {
-        Err(EngineError::Unknown)
+        Err(EngineError::UnknownGeneration)
     }
 
     async fn resume(&self, _: &ResumeRequest) -> Result<Box<dyn TokenStream>, EngineError> {
-        Err(EngineError::Unknown)
+        Err(EngineError::UnknownGeneration)
     }
 
     async fn cancel(&self, _: &str) -> Result<(), EngineError> {
--- a/crates/entry/src/answer.rs
+++ b/crates/entry/src/answer.rs
@@ -72,7 +72,7 @@
 
 fn problem(end: End) -> Option<Problem> {
     match end {
-        End::Whole(_) => None,
+        End::Complete(_) => None,
         End::NotRun(not_run) => Some(Problem::NotRun(not_run)),
         End::OutcomeUnknown | End::Abandoned => Some(Problem::OutcomeUnknown),
     }
@@ -90,7 +90,7 @@
         if let Some(problem) = problem(end) {
             return problem.reply();
         }
-        let End::Whole(finish) = end else { continue };
+        let End::Complete(finish) = end else { continue };
         let body = whole_body(generation.name(), &writing, &text, finish, next);
         return json(StatusCode::OK, &body);
     }
@@ -136,7 +136,7 @@
     }
     match piece.end {
         None => {}
-        Some(End::Whole(finish)) => {
+        Some(End::Complete(finish)) => {
             let data = chunk_body(name, writing, None, Some(finish));
             out.push_str(&format!("data: {data}\n\ndata: [DONE]\n\n"));
         }
--- a/crates/entry/src/attach.rs
+++ b/crates/entry/src/attach.rs
@@ -83,7 +83,7 @@
                 match end {
                     None => {}
                     Some(GenerationEnd::Complete { by_length }) => {
-                        return Some(End::Whole(if by_length {
+                        return Some(End::Complete(if by_length {
                             Finish::Length
                         } else {
                             Finish::Stop
@@ -141,7 +141,7 @@
                     finish,
                     ..
                 } if generation == copy.name() && total_tokens == copy.next_index() => {
-                    return End::Whole(finish);
+                    return End::Complete(finish);
                 }
                 _ => {}
             }
--- a/crates/entry/src/crash.rs
+++ b/crates/entry/src/crash.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use fulmarpath_cluster::Permit;
-use fulmarpath_http::CLOSING_WAIT;
+use fulmarpath_http::LISTENER_CLOSE_WAIT;
 use fulmarpath_policy::is_crash_suspect;
 use fulmarpath_upstream::EngineError;
 use spdlog::warn;
@@ -62,7 +62,7 @@
         if !self.drivers.node.is_engine_live(permit.upstream) {
             return false;
         }
-        sleep(CLOSING_WAIT).await;
+        sleep(LISTENER_CLOSE_WAIT).await;
         match timeout(CHECK_BOUND, permit.engine.load()).await {
             Ok(Ok(_)) => false,
             Ok(Err(error)) => matches!(error, EngineError::NotRun(_)),
--- a/crates/entry/src/drive.rs
+++ b/crates/entry/src/drive.rs
@@ -27,8 +27,8 @@
 pub(crate) struct Drivers {
     pub(crate) node: Arc<Node>,
     pub(crate) metrics: Arc<Metrics>,
-    pub(crate) silence_bound: Duration,
-    pub(crate) grace_ms: Millis,
+    pub(crate) silence_timeout: Duration,
+    pub(crate) reconnect_grace_ms: Millis,
     budgets: Mutex<HashMap<UpstreamKey, RetryBudget>>,
 }
 
@@ -36,14 +36,14 @@
     pub(crate) fn new(
         node: Arc<Node>,
         metrics: Arc<Metrics>,
-        silence_bound: Duration,
-        grace_ms: Millis,
+        silence_timeout: Duration,
+        reconnect_grace_ms: Millis,
     ) -> Self {
         Self {
             node,
             metrics,
-            silence_bound,
-            grace_ms,
+            silence_timeout,
+            reconnect_grace_ms,
             budgets: Mutex::default(),
         }
     }
@@ -145,13 +145,13 @@
                 continue;
             };
             match self.stay(stream, &permit).await {
-                Relayed::Whole(finish) => {
+                Relayed::Complete(finish) => {
                     let (service, content) = (self.job.request.service, self.job.content);
                     self.drivers.node.note_success(service, content);
                     permit.finish();
-                    return End::Whole(finish);
+                    return End::Complete(finish);
                 }
-                Relayed::Left => {
+                Relayed::CallerLeft => {
                     self.cancel(&permit).await;
                     return End::Abandoned;
                 }
@@ -160,7 +160,7 @@
                     self.cancel(&permit).await;
                     moved = Some(other);
                 }
-                Relayed::Broken => {
+                Relayed::Interrupted => {
                     has_leave = false;
                     if !self.may_go_on(&permit).await {
                         return End::OutcomeUnknown;
@@ -247,7 +247,7 @@
                 }
                 Started::NotRun
             }
-            Err(EngineError::Unknown | EngineError::Lost(_)) => {
+            Err(EngineError::UnknownGeneration | EngineError::OutcomeUnknown(_)) => {
                 if !self.drivers.node.has(Safeguard::NotRunProof) {
                     *unsent = Some(Unsent::refused_by_upstream());
                 }
@@ -288,7 +288,11 @@
         }
         loop {
             let now_ms = self.clock.now_ms();
-            if self.job.generation.is_left(now_ms, self.drivers.grace_ms) {
+            if self
+                .job
+                .generation
+                .is_left(now_ms, self.drivers.reconnect_grace_ms)
+            {
                 return;
             }
             tokio::time::sleep(CHECK).await;
--- a/crates/entry/src/outcome.rs
+++ b/crates/entry/src/outcome.rs
@@ -108,7 +108,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum End {
     /// The answer is whole.
-    Whole(Finish),
+    Complete(Finish),
     /// It certainly never ran.
     NotRun(NotRun),
     /// It may have run, and can't be finished.
--- a/crates/entry/src/plain.rs
+++ b/crates/entry/src/plain.rs
@@ -8,7 +8,7 @@
 use fulmarpath_http::{Reply, full};
 use fulmarpath_policy::{ContentKey, OrganisationKey, ServiceKey};
 use fulmarpath_settings::{Organisation, ServiceKind};
-use fulmarpath_upstream::{PlainAnswer, PlainCall, PlainError};
+use fulmarpath_upstream::{PlainCall, PlainError, PlainResponse};
 use hyper::Method;
 use hyper::header::{CONTENT_TYPE, HeaderValue};
 use xxhash_rust::xxh3::Xxh3;
@@ -79,7 +79,7 @@
     content: ContentKey,
     may_repeat: bool,
     unsent: Unsent,
-) -> Result<PlainAnswer, Problem> {
+) -> Result<PlainResponse, Problem> {
     let mut unsent = Some(unsent);
     let instances = entry.node.plain(&request.service);
     let mut has_leave = false;
@@ -108,7 +108,7 @@
             Err(PlainError::NotRun(_)) => {}
             Err(PlainError::OutcomeUnknown(_)) => {
                 has_leave = false;
-                if !instance.is_there().await {
+                if !instance.is_listening().await {
                     entry
                         .node
                         .report_upstream_crash(request.key(), content, *upstream);
@@ -128,7 +128,7 @@
     }
 }
 
-fn reply(answer: PlainAnswer) -> Reply {
+fn reply(answer: PlainResponse) -> Reply {
     let mut reply = full(answer.status, "application/octet-stream", answer.body);
     let content_type = answer
         .content_type
--- a/crates/entry/src/registry.rs
+++ b/crates/entry/src/registry.rs
@@ -23,16 +23,16 @@
 /// The generations that this host holds, running and finished.
 pub(crate) struct Registry {
     clock: Clock,
-    keyed_ms: Millis,
+    keyed_retention_ms: Millis,
     held: Mutex<HashMap<String, Arc<Generation>>>,
 }
 
 impl Registry {
-    /// `keyed_ms` is how long the answer of a keyed submission is kept.
-    pub(crate) fn new(clock: Clock, keyed_ms: Millis) -> Self {
+    /// `keyed_retention_ms` is how long the answer of a keyed submission is kept.
+    pub(crate) fn new(clock: Clock, keyed_retention_ms: Millis) -> Self {
         Self {
             clock,
-            keyed_ms,
+            keyed_retention_ms,
             held: Mutex::default(),
         }
     }
@@ -65,7 +65,7 @@
         let mut held = self.held.lock();
         held.retain(|_, generation| {
             let keep_ms = if generation.is_keyed() {
-                self.keyed_ms
+                self.keyed_retention_ms
             } else {
                 UNKEYED_MS
             };
@@ -110,7 +110,7 @@
         FetchAnswer::Tokens {
             texts: piece.texts,
             end: piece.end.map(|end| match end {
-                End::Whole(finish) => GenerationEnd::Complete {
+                End::Complete(finish) => GenerationEnd::Complete {
                     by_length: finish == Finish::Length,
                 },
                 End::NotRun(_) => GenerationEnd::NotRun,
--- a/crates/entry/src/server.rs
+++ b/crates/entry/src/server.rs
@@ -29,15 +29,15 @@
     /// Requests at once.
     pub stream_limit: usize,
     /// Silence after which a stream is resumed over a new connection.
-    pub silence_bound: Duration,
+    pub silence_timeout: Duration,
     /// How long a caller that lost its connection may take to come back.
-    pub grace_ms: Millis,
+    pub reconnect_grace_ms: Millis,
     /// How long the answer of a keyed submission is kept.
-    pub keyed_ms: Millis,
+    pub keyed_retention_ms: Millis,
     /// How long a stop goes on answering after the host has become unready.
     pub linger: Duration,
     /// How long a stop waits for running requests.
-    pub drain_bound: Duration,
+    pub drain_timeout: Duration,
     /// SHA-256, in hex, of the operators' key.
     pub operator_key_sha256: String,
 }
@@ -97,7 +97,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Stopped {
     /// Generations that still ran at the bound.
-    pub cut: usize,
+    pub interrupted: usize,
 }
 
 /// A running callers' side.
@@ -114,13 +114,13 @@
     /// Serves callers and operators on `listener`.
     pub fn start(node: Arc<Node>, listener: TcpListener, settings: EntrySettings) -> Self {
         let metrics = Arc::new(Metrics::new());
-        let registry = Arc::new(Registry::new(node.clock(), settings.keyed_ms));
+        let registry = Arc::new(Registry::new(node.clock(), settings.keyed_retention_ms));
         node.set_generations(registry.clone());
         let drivers = Arc::new(Drivers::new(
             node.clone(),
             metrics,
-            settings.silence_bound,
-            settings.grace_ms,
+            settings.silence_timeout,
+            settings.reconnect_grace_ms,
         ));
         let entry = Arc::new(Entry {
             node,
@@ -153,7 +153,7 @@
     pub async fn stop(self, hurry: impl Future<Output = ()>) -> Stopped {
         self.entry.node.leave().await;
         let linger = Instant::now() + self.entry.settings.linger;
-        let deadline = tokio::time::sleep(self.entry.settings.drain_bound);
+        let deadline = tokio::time::sleep(self.entry.settings.drain_timeout);
         tokio::pin!(deadline, hurry);
         let busy = |entry: &Entry| entry.registry.running() + entry.open.load(Ordering::Relaxed);
         let drains = self.entry.node.has(Safeguard::Drain);
@@ -164,22 +164,22 @@
                 () = &mut hurry => break,
             }
         }
-        let cut = self.entry.registry.running();
-        if cut > 0 {
-            warn!("entry: the stop cuts {} generations", cut);
+        let interrupted = self.entry.registry.running();
+        if interrupted > 0 {
+            warn!("entry: the stop cuts {} generations", interrupted);
             let cuts = &self.entry.drivers.metrics.cut_by_stop;
-            cuts.inc_by(cut as u64);
+            cuts.inc_by(interrupted as u64);
         }
         self.stop.send_replace(true);
         let mut serving = self.serving;
         // Answers that are whole here may still be on their way to slow readers.
         tokio::select! {
-            _ = &mut serving, if cut == 0 => {}
+            _ = &mut serving, if interrupted == 0 => {}
             () = &mut deadline => serving.abort(),
             () = &mut hurry => serving.abort(),
         }
         info!("entry: stopped");
-        Stopped { cut }
+        Stopped { interrupted }
     }
 }
 
--- a/crates/entry/src/stay.rs
+++ b/crates/entry/src/stay.rs
@@ -18,13 +18,13 @@
 
 /// How relaying from one stream ended.
 pub(crate) enum Relayed {
-    Whole(Finish),
+    Complete(Finish),
     /// The stream broke, went silent or skipped a token.
-    Broken,
+    Interrupted,
     /// The home wants the generation moved, and another engine has given a permit.
     Moved(Permit),
     /// The caller has left.
-    Left,
+    CallerLeft,
 }
 
 impl Driver {
@@ -38,7 +38,7 @@
         loop {
             let before = self.job.generation.next_index();
             match self.relay(&mut *stream, permit).await {
-                Relayed::Broken => {}
+                Relayed::Interrupted => {}
                 other => return other,
             }
             if self.job.generation.next_index() > before {
@@ -46,19 +46,19 @@
             }
             resumes += 1;
             if resumes > RESUMES {
-                return Relayed::Broken;
+                return Relayed::Interrupted;
             }
             match self.resume(permit).await {
                 Some(again) => stream = again,
-                None => return Relayed::Broken,
+                None => return Relayed::Interrupted,
             }
             self.drivers.metrics.recover("new_connection");
         }
     }
 
-    fn silence_bound(&self) -> Duration {
+    fn silence_timeout(&self) -> Duration {
         if self.drivers.node.has(Safeguard::Silence) {
-            self.drivers.silence_bound
+            self.drivers.silence_timeout
         } else {
             Duration::MAX
         }
@@ -67,11 +67,11 @@
     async fn relay(&mut self, stream: &mut dyn TokenStream, permit: &Permit) -> Relayed {
         loop {
             let next = tokio::select! {
-                next = stream.next(self.silence_bound()) => next,
-                () = self.left() => return Relayed::Left,
+                next = stream.next(self.silence_timeout()) => next,
+                () = self.left() => return Relayed::CallerLeft,
             };
             let Ok(Some(item)) = next else {
-                return Relayed::Broken;
+                return Relayed::Interrupted;
             };
             match item {
                 StreamItem::Heartbeat => {}
@@ -91,7 +91,7 @@
                     }
                     // A gap: the tokens between are lost on this stream, so read on from there.
                     if index > wanted {
-                        return Relayed::Broken;
+                        return Relayed::Interrupted;
                     }
                     self.take(wanted, &text);
                     permit.advance(wanted + 1);
@@ -106,11 +106,11 @@
                         continue;
                     }
                     if total_tokens != self.job.generation.next_index() {
-                        return Relayed::Broken;
+                        return Relayed::Interrupted;
                     }
                     let answers = &self.drivers.metrics.answers;
                     answers.get_or_create(&self.job.labels).inc();
-                    return Relayed::Whole(finish);
+                    return Relayed::Complete(finish);
                 }
             }
             if permit.take_move_request()
--- a/crates/entry/src/submit.rs
+++ b/crates/entry/src/submit.rs
@@ -163,7 +163,7 @@
         entry.node.clone(),
         copy.clone(),
         model,
-        entry.drivers.silence_bound,
+        entry.drivers.silence_timeout,
     ));
     copy
 }
--- a/crates/gateway/src/crashes.rs
+++ b/crates/gateway/src/crashes.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use fulmarpath_http::still_listens;
+use fulmarpath_http::is_listening;
 use fulmarpath_policy::{ContentKey, Millis, UpstreamKey, is_crash_suspect};
 use spdlog::info;
 use tokio::time::timeout;
@@ -82,7 +82,7 @@
         if self.instances.is_cold(self.clock.now_ms(), chosen.key) {
             return false;
         }
-        if !still_listens(chosen.address).await {
+        if !is_listening(chosen.address).await {
             return true;
         }
         timeout(RESTART_TIMEOUT, chosen.lost.cancelled())
--- a/crates/gateway/src/forward.rs
+++ b/crates/gateway/src/forward.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use fulmarpath_http::{Reply, whole};
+use fulmarpath_http::{Reply, full_body};
 use fulmarpath_policy::{Millis, Verdict};
 use http_body_util::BodyExt;
 use hyper::body::Incoming;
@@ -269,7 +269,7 @@
 }
 
 pub(crate) fn into_reply(answer: CompleteAnswer) -> Reply {
-    let mut reply = Response::new(whole(answer.body));
+    let mut reply = Response::new(full_body(answer.body));
     *reply.status_mut() = answer.status;
     *reply.headers_mut() = answer.headers;
     hop::strip(reply.headers_mut());
--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -8,7 +8,7 @@
 
 use arc_swap::ArcSwapOption;
 use fulmarpath_cluster::{CircuitBreakers, Clock};
-use fulmarpath_http::ConnectionRules;
+use fulmarpath_http::ConnectionLimits;
 use fulmarpath_policy::{ColdBound, Evacuations, Millis, RetryBound, RetryWindow};
 use parking_lot::Mutex;
 use spdlog::info;
@@ -311,14 +311,14 @@
 /// crosses the close of its connection is lost.
 const IDLE_MARGIN_MS: Millis = 2_000;
 
-impl ConnectionRules for Gateway {
+impl ConnectionLimits for Gateway {
     fn header_limit_bytes(&self) -> usize {
         let held = self.in_force.load();
         let limits = held.as_ref().map(|held| held.configuration.limits);
         limits.map_or(DEFAULT_HEADER_LIMIT_BYTES, |limits| limits.header_bytes)
     }
 
-    fn idle_bound(&self) -> Duration {
+    fn idle_timeout(&self) -> Duration {
         let held = self.in_force.load();
         let limits = held.as_ref().map(|held| held.configuration.limits);
         let idle_ms = limits.map_or(DEFAULT_IDLE_MS, |limits| {
--- a/crates/gateway/src/relay.rs
+++ b/crates/gateway/src/relay.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use bytes::{Bytes, BytesMut};
-use fulmarpath_http::BodyBroken;
+use fulmarpath_http::BodyInterrupted;
 use fulmarpath_policy::{
     Handover, MigrationStep, Millis, NextStep, RunEnd, RunKey, StreamEnd, Verdict,
 };
@@ -123,7 +123,7 @@
     }
 
     /// The next complete events; `None` after the last.
-    pub(crate) async fn next(&mut self) -> Option<Result<Bytes, BodyBroken>> {
+    pub(crate) async fn next(&mut self) -> Option<Result<Bytes, BodyInterrupted>> {
         loop {
             match self.take_events() {
                 Ok(Some(events)) => return Some(Ok(events)),
@@ -132,7 +132,7 @@
                 Err(broken) => return Some(Err(self.fail("stream_gap", broken))),
             }
             let Some(next) = self.step().await else {
-                return Some(Err(self.fail("stream_overdue", BodyBroken)));
+                return Some(Err(self.fail("stream_overdue", BodyInterrupted)));
             };
             let continues = match next {
                 NextStep::Read | NextStep::AwaitMigration => true,
@@ -144,7 +144,7 @@
                 NextStep::Recover => self.recover().await,
             };
             if !continues {
-                return Some(Err(self.fail("stream_broken", BodyBroken)));
+                return Some(Err(self.fail("stream_broken", BodyInterrupted)));
             }
         }
     }
@@ -206,13 +206,13 @@
         }
     }
 
-    fn fail(&mut self, outcome: &'static str, broken: BodyBroken) -> BodyBroken {
+    fn fail(&mut self, outcome: &'static str, broken: BodyInterrupted) -> BodyInterrupted {
         self.stream.in_flight.set_verdict(Verdict::Failed);
         self.tracker.end(outcome, self.status);
         broken
     }
 
-    fn finish(&mut self) -> Option<Result<Bytes, BodyBroken>> {
+    fn finish(&mut self) -> Option<Result<Bytes, BodyInterrupted>> {
         if let Some(remainder) = self.events.take_remainder() {
             return Some(Ok(remainder));
         }
@@ -231,7 +231,7 @@
     /// An engine that resumes a generation may begin with events that were already sent; these are
     /// dropped to prevent duplicates. If it begins too late, events are missing, and a visibly
     /// broken stream is better than one with a gap.
-    fn take_events(&mut self) -> Result<Option<Bytes>, BodyBroken> {
+    fn take_events(&mut self) -> Result<Option<Bytes>, BodyInterrupted> {
         let Some(piece) = self.events.take_complete() else {
             return Ok(None);
         };
@@ -244,7 +244,7 @@
                     continue;
                 }
                 if number > last + 1 {
-                    return Err(BodyBroken);
+                    return Err(BodyInterrupted);
                 }
             }
             self.last_event = number.or(self.last_event);
--- a/crates/gateway/src/serve.rs
+++ b/crates/gateway/src/serve.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use fulmarpath_http::{Reply, empty, full, serve, serve_by};
+use fulmarpath_http::{Reply, empty, full, serve, serve_with_limits};
 use fulmarpath_policy::Millis;
 use hyper::StatusCode;
 use spdlog::info;
@@ -99,7 +99,7 @@
         tokio::spawn(self.clone().join_fleet(self.settings.seeds.clone()));
         let gateway = self.clone();
         let handler = move |request| gateway.clone().handle(request);
-        let server = tokio::spawn(serve_by(callers, self.clone(), stops, handler));
+        let server = tokio::spawn(serve_with_limits(callers, self.clone(), stops, handler));
         info!("host: {} started", self.settings.host.name);
         stopped.await;
         info!("host: {} stops", self.settings.host.name);
--- a/crates/gateway/src/stream.rs
+++ b/crates/gateway/src/stream.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 
 use bytes::Bytes;
-use fulmarpath_http::{Reply, streamed, whole};
+use fulmarpath_http::{Reply, full_body, stream_body};
 use futures::stream::unfold;
 use hyper::Response;
 
@@ -36,7 +36,7 @@
         if !started.answer.response.status().is_success() {
             return self.forward_failure(&inbound, tracker, started).await;
         }
-        let mut reply = Response::new(whole(Bytes::new()));
+        let mut reply = Response::new(full_body(Bytes::new()));
         *reply.status_mut() = started.answer.response.status();
         *reply.headers_mut() = started.answer.response.headers().clone();
         hop::strip(reply.headers_mut());
@@ -47,7 +47,7 @@
             let goes_on = chunk.is_ok().then_some(relay);
             Some((chunk, goes_on))
         });
-        *reply.body_mut() = streamed(chunks);
+        *reply.body_mut() = stream_body(chunks);
         reply
     }
 
--- a/crates/http/src/client.rs
+++ b/crates/http/src/client.rs
@@ -38,7 +38,7 @@
         let collected = timeout(bound, self.response.into_body().collect()).await;
         match collected {
             Ok(Ok(body)) => Ok(body.to_bytes()),
-            _ => Err(HttpError::Broken { address }),
+            _ => Err(HttpError::Incomplete { address }),
         }
     }
 
@@ -75,7 +75,7 @@
             response,
             connection,
         }),
-        Err(_) => Err(HttpError::Unanswered { address }),
+        Err(_) => Err(HttpError::NoResponse { address }),
     }
 }
 
--- a/crates/http/src/connection.rs
+++ b/crates/http/src/connection.rs
@@ -25,14 +25,14 @@
 
 /// A process that ends closes its sockets one after the other, its listener perhaps last. Asked at
 /// once whether it is there it looks alive, so whoever it broke off waits this long before.
-pub const CLOSING_WAIT: Duration = Duration::from_millis(40);
+pub const LISTENER_CLOSE_WAIT: Duration = Duration::from_millis(40);
 /// Time for a connection that tells whether a process is there: some ways there and back between data
 /// centres. One that has ended refuses it at once; one whose machine is gone too says nothing.
 const CHECK_BOUND: Duration = Duration::from_millis(250);
 
 /// Whether a process that has just broken a connection off takes others still.
-pub async fn still_listens(address: SocketAddr) -> bool {
-    sleep(CLOSING_WAIT).await;
+pub async fn is_listening(address: SocketAddr) -> bool {
+    sleep(LISTENER_CLOSE_WAIT).await;
     Connection::open(address, CHECK_BOUND).await.is_ok()
 }
 
@@ -68,7 +68,7 @@
     /// Sends one request and waits for the head of its answer.
     ///
     /// # Errors
-    /// [`HttpError::Unanswered`]: the request may have reached the peer.
+    /// [`HttpError::NoResponse`]: the request may have reached the peer.
     pub async fn exchange(
         &mut self,
         request: Request<Full<Bytes>>,
@@ -77,7 +77,7 @@
         let ready = self.sender.ready().await;
         ready.map_err(|_| HttpError::Unreachable { address })?;
         let answer = self.sender.send_request(request).await;
-        answer.map_err(|_| HttpError::Unanswered { address })
+        answer.map_err(|_| HttpError::NoResponse { address })
     }
 
     /// Whether nothing is known against another exchange: the last one is over and the peer has
--- a/crates/http/src/error.rs
+++ b/crates/http/src/error.rs
@@ -13,13 +13,13 @@
     },
     /// The request was sent, wholly or in part, and no answer came.
     #[error("could not get an answer from {address}")]
-    Unanswered {
+    NoResponse {
         /// The peer that did not answer.
         address: SocketAddr,
     },
     /// The body ended early or stayed silent past its bound.
     #[error("could not read the answer of {address} to its end")]
-    Broken {
+    Incomplete {
         /// The peer whose answer broke off.
         address: SocketAddr,
     },
--- a/crates/http/src/lib.rs
+++ b/crates/http/src/lib.rs
@@ -7,10 +7,10 @@
 mod server;
 
 pub use client::{Call, get, post_json, send};
-pub use connection::{CLOSING_WAIT, Connection, still_listens};
+pub use connection::{Connection, LISTENER_CLOSE_WAIT, is_listening};
 pub use error::HttpError;
 pub use lines::Lines;
 pub use server::{
-    Body, BodyBroken, ConnectionRules, FixedRules, Reply, empty, full, json, serve, serve_by,
-    stream, streamed, whole,
+    Body, BodyInterrupted, ConnectionLimits, FixedLimits, Reply, empty, full, full_body, json,
+    serve, serve_with_limits, stream, stream_body,
 };
--- a/crates/http/src/lines.rs
+++ b/crates/http/src/lines.rs
@@ -41,7 +41,7 @@
     /// The next line without its end, or `None` where the body ended between lines.
     ///
     /// # Errors
-    /// [`HttpError::Broken`] after `silence` without a byte, a lost connection, or a body that
+    /// [`HttpError::Incomplete`] after `silence` without a byte, a lost connection, or a body that
     /// ended inside a line.
     pub async fn next(&mut self, silence: Duration) -> Result<Option<BytesMut>, HttpError> {
         let address = self.address;
@@ -61,7 +61,7 @@
                     }
                 }
                 Ok(None) if self.buffer.is_empty() => return Ok(None),
-                _ => return Err(HttpError::Broken { address }),
+                _ => return Err(HttpError::Incomplete { address }),
             }
         }
     }
--- a/crates/http/src/server.rs
+++ b/crates/http/src/server.rs
@@ -23,10 +23,10 @@
 /// that the peer can't take what it has for all there is.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 #[error("could not send the body to its end")]
-pub struct BodyBroken;
+pub struct BodyInterrupted;
 
 /// The body of a reply.
-pub type Body = UnsyncBoxBody<Bytes, BodyBroken>;
+pub type Body = UnsyncBoxBody<Bytes, BodyInterrupted>;
 /// A whole reply.
 pub type Reply = Response<Body>;
 
@@ -38,29 +38,29 @@
 const FIRST_REQUEST_GRACE: Duration = Duration::from_millis(200);
 
 /// What a server allows on a connection; asked anew for each, since the limits may change.
-pub trait ConnectionRules: Send + Sync {
+pub trait ConnectionLimits: Send + Sync {
     /// The longest head of a request; a longer one is refused by hyper with status 431.
     fn header_limit_bytes(&self) -> usize;
     /// How long a connection may stay without a request.
-    fn idle_bound(&self) -> Duration;
+    fn idle_timeout(&self) -> Duration;
 }
 
 /// Rules that never change.
 #[derive(Debug, Clone, Copy)]
-pub struct FixedRules {
+pub struct FixedLimits {
     /// The longest head of a request.
     pub header_limit_bytes: usize,
     /// How long a connection may stay without a request.
-    pub idle_bound: Duration,
+    pub idle_timeout: Duration,
 }
 
-impl ConnectionRules for FixedRules {
+impl ConnectionLimits for FixedLimits {
     fn header_limit_bytes(&self) -> usize {
         self.header_limit_bytes
     }
 
-    fn idle_bound(&self) -> Duration {
-        self.idle_bound
+    fn idle_timeout(&self) -> Duration {
+        self.idle_timeout
     }
 }
 
@@ -76,17 +76,17 @@
     H: Fn(Request<Incoming>) -> F + Send + Sync + 'static,
     F: Future<Output = Reply> + Send + 'static,
 {
-    let rules = FixedRules {
+    let rules = FixedLimits {
         header_limit_bytes,
-        idle_bound: HYPER_IDLE_BOUND,
+        idle_timeout: HYPER_IDLE_BOUND,
     };
-    serve_by(listener, Arc::new(rules), stop, handler).await;
+    serve_with_limits(listener, Arc::new(rules), stop, handler).await;
 }
 
 /// Serves connections by `rules` until `stop` turns true, then finishes the exchanges that run.
-pub async fn serve_by<H, F>(
+pub async fn serve_with_limits<H, F>(
     listener: TcpListener,
-    rules: Arc<dyn ConnectionRules>,
+    rules: Arc<dyn ConnectionLimits>,
     mut stop: watch::Receiver<bool>,
     handler: H,
 ) where
@@ -133,7 +133,7 @@
 
 async fn serve_one<H, F>(
     socket: TcpStream,
-    rules: Arc<dyn ConnectionRules>,
+    rules: Arc<dyn ConnectionLimits>,
     mut stop: watch::Receiver<bool>,
     handler: Arc<H>,
 ) where
@@ -146,7 +146,7 @@
     });
     let connection = http1::Builder::new()
         .timer(TokioTimer::new())
-        .header_read_timeout(rules.idle_bound())
+        .header_read_timeout(rules.idle_timeout())
         .max_buf_size(rules.header_limit_bytes().max(LEAST_BUFFER_BYTES))
         .serve_connection(TokioIo::new(socket), service);
     tokio::pin!(connection);
@@ -167,12 +167,12 @@
 
 /// A reply with a whole body.
 pub fn full(status: StatusCode, content_type: &'static str, body: impl Into<Bytes>) -> Reply {
-    reply(status, content_type, whole(body))
+    reply(status, content_type, full_body(body))
 }
 
 /// A reply without a body.
 pub fn empty(status: StatusCode) -> Reply {
-    let mut reply = Response::new(whole(Bytes::new()));
+    let mut reply = Response::new(full_body(Bytes::new()));
     *reply.status_mut() = status;
     reply
 }
@@ -188,24 +188,24 @@
 where
     S: Stream<Item = Bytes> + Send + 'static,
 {
-    reply(status, content_type, streamed(chunks.map(Ok)))
+    reply(status, content_type, stream_body(chunks.map(Ok)))
 }
 
 /// A body that is sent as the stream yields it; visibly incomplete after an error.
-pub fn streamed<S>(chunks: S) -> Body
+pub fn stream_body<S>(chunks: S) -> Body
 where
-    S: Stream<Item = Result<Bytes, BodyBroken>> + Send + 'static,
+    S: Stream<Item = Result<Bytes, BodyInterrupted>> + Send + 'static,
 {
     let frames = chunks.map(|chunk| chunk.map(Frame::data));
     BodyExt::boxed_unsync(StreamBody::new(frames))
 }
 
 /// A whole body.
-pub fn whole(bytes: impl Into<Bytes>) -> Body {
+pub fn full_body(bytes: impl Into<Bytes>) -> Body {
     Full::new(bytes.into()).map_err(never).boxed_unsync()
 }
 
-fn never(error: Infallible) -> BodyBroken {
+fn never(error: Infallible) -> BodyInterrupted {
     match error {}
 }
 
--- a/crates/settings/src/diagnostic.rs
+++ b/crates/settings/src/diagnostic.rs
@@ -47,7 +47,7 @@
     },
     /// A name that stands twice.
     #[error("could not declare {what} `{name}` twice")]
-    Twice {
+    Duplicate {
         /// What is declared.
         what: &'static str,
         /// Its name.
--- a/crates/settings/src/directory.rs
+++ b/crates/settings/src/directory.rs
@@ -67,7 +67,7 @@
             continue;
         };
         if !seen.insert(name.clone()) {
-            let kind = DiagnosticKind::Twice { what, name };
+            let kind = DiagnosticKind::Duplicate { what, name };
             reader.diagnostic(place, kind, "rename or remove one of the two");
         }
         items.push(item);
--- a/crates/settings/src/host.rs
+++ b/crates/settings/src/host.rs
@@ -8,7 +8,7 @@
 
 /// The form of log lines.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum LogForm {
+pub enum LogFormat {
     /// For people.
     Text,
     /// One JSON object a line.
@@ -49,7 +49,7 @@
     /// Where to send traces by OTLP; nowhere if it isn't written.
     pub otlp_address: Option<SocketAddr>,
     /// The form of log lines.
-    pub log_form: LogForm,
+    pub log_form: LogFormat,
 }
 
 /// Reads a host's settings.
@@ -120,14 +120,14 @@
     })
 }
 
-fn log_form(reader: &mut Reader, fields: &mut Fields) -> Option<LogForm> {
+fn log_form(reader: &mut Reader, fields: &mut Fields) -> Option<LogFormat> {
     if !reader.has(fields, "log_form") {
-        return Some(LogForm::Text);
+        return Some(LogFormat::Text);
     }
     let (form, place) = reader.text(fields, "log_form")?;
     match form.as_str() {
-        "text" => Some(LogForm::Text),
-        "json" => Some(LogForm::Json),
+        "text" => Some(LogFormat::Text),
+        "json" => Some(LogFormat::Json),
         _ => {
             let field = "log_form".into();
             let kind = DiagnosticKind::Range { field, value: form };
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -14,4 +14,4 @@
 pub use diagnostic::{DiagnosticKind, SettingsDiagnostic, SettingsDiagnostics};
 pub use difference::{Difference, difference};
 pub use directory::check;
-pub use host::{HostSettings, LogForm, read_host};
+pub use host::{HostSettings, LogFormat, read_host};
--- a/crates/standin/src/plain.rs
+++ b/crates/standin/src/plain.rs
@@ -5,7 +5,7 @@
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU32, AtomicU64, Ordering};
 
-use fulmarpath_http::{BodyBroken, full, serve, streamed};
+use fulmarpath_http::{BodyInterrupted, full, serve, stream_body};
 use futures::future::ready;
 use futures::stream::once;
 use http_body_util::BodyExt;
@@ -97,8 +97,8 @@
         if !ends_on.is_empty() && body.contains(&ends_on) {
             self.ended.cancel();
             // The answer breaks off, as that of a process that is gone.
-            let broken = once(ready(Err(BodyBroken)));
-            return hyper::Response::new(streamed(broken));
+            let broken = once(ready(Err(BodyInterrupted)));
+            return hyper::Response::new(stream_body(broken));
         }
         let text = format!("{path} {body}");
         full(StatusCode::OK, "text/plain", text)
--- a/crates/store/src/error.rs
+++ b/crates/store/src/error.rs
@@ -7,10 +7,10 @@
 pub enum PlatformError {
     /// The call certainly had no effect: it was never sent, or was refused.
     #[error("could not reach the platform")]
-    NotDone(#[source] HttpError),
+    NotExecuted(#[source] HttpError),
     /// The call may have taken effect although no answer came.
     #[error("could not learn whether the platform carried out the call")]
-    Unsure(#[source] HttpError),
+    OutcomeUnknown(#[source] HttpError),
     /// A conditional write found another version.
     #[error("could not write {key}: its version is another")]
     Conflict {
@@ -22,9 +22,9 @@
 impl From<HttpError> for PlatformError {
     fn from(error: HttpError) -> Self {
         if error.is_unsent() {
-            Self::NotDone(error)
+            Self::NotExecuted(error)
         } else {
-            Self::Unsure(error)
+            Self::OutcomeUnknown(error)
         }
     }
 }
--- a/crates/store/src/object_api.rs
+++ b/crates/store/src/object_api.rs
@@ -96,9 +96,9 @@
             StatusCode::OK => Ok(version(&call)?),
             StatusCode::PRECONDITION_FAILED => Err(PlatformError::Conflict { key: key.into() }),
             StatusCode::SERVICE_UNAVAILABLE | StatusCode::TOO_MANY_REQUESTS => {
-                Err(PlatformError::NotDone(unforeseen(&call)))
+                Err(PlatformError::NotExecuted(unforeseen(&call)))
             }
-            _ => Err(PlatformError::Unsure(unforeseen(&call))),
+            _ => Err(PlatformError::OutcomeUnknown(unforeseen(&call))),
         }
     }
 }
@@ -134,7 +134,7 @@
             .await?;
         match call.status() {
             StatusCode::OK | StatusCode::NOT_FOUND => Ok(()),
-            _ => Err(PlatformError::Unsure(unforeseen(&call))),
+            _ => Err(PlatformError::OutcomeUnknown(unforeseen(&call))),
         }
     }
 
@@ -161,7 +161,7 @@
             Ok(Some(Object { version, value }))
         }
         StatusCode::NOT_FOUND | StatusCode::NOT_MODIFIED => Ok(None),
-        _ => Err(PlatformError::NotDone(unforeseen(&call))),
+        _ => Err(PlatformError::NotExecuted(unforeseen(&call))),
     }
 }
 
--- a/crates/upstream/src/engine.rs
+++ b/crates/upstream/src/engine.rs
@@ -17,10 +17,10 @@
     NotRun(#[source] HttpError),
     /// The engine doesn't know the generation any more.
     #[error("could not find the generation on the engine")]
-    Unknown,
+    UnknownGeneration,
     /// The exchange broke after the request was sent.
     #[error("could not hear from the engine")]
-    Lost(#[source] HttpError),
+    OutcomeUnknown(#[source] HttpError),
 }
 
 /// A running stream of tokens.
@@ -104,7 +104,7 @@
         match call.status() {
             StatusCode::OK => Ok(true),
             StatusCode::CONFLICT => Ok(false),
-            _ => Err(EngineError::Lost(unforeseen(&call))),
+            _ => Err(EngineError::OutcomeUnknown(unforeseen(&call))),
         }
     }
 }
@@ -116,12 +116,17 @@
 #[async_trait]
 impl TokenStream for LineStream {
     async fn next(&mut self, silence: Duration) -> Result<Option<StreamItem>, EngineError> {
-        let Some(line) = self.lines.next(silence).await.map_err(EngineError::Lost)? else {
+        let Some(line) = self
+            .lines
+            .next(silence)
+            .await
+            .map_err(EngineError::OutcomeUnknown)?
+        else {
             return Ok(None);
         };
         let item = serde_json::from_slice(&line);
         item.map(Some).map_err(|_| {
-            EngineError::Lost(HttpError::Malformed {
+            EngineError::OutcomeUnknown(HttpError::Malformed {
                 address: self.lines.address(),
             })
         })
@@ -134,9 +139,9 @@
         StatusCode::OK => Ok(Box::new(LineStream {
             lines: Lines::new(call),
         })),
-        StatusCode::NOT_FOUND => Err(EngineError::Unknown),
+        StatusCode::NOT_FOUND => Err(EngineError::UnknownGeneration),
         StatusCode::SERVICE_UNAVAILABLE => Err(EngineError::NotRun(unforeseen(&call))),
-        _ => Err(EngineError::Lost(unforeseen(&call))),
+        _ => Err(EngineError::OutcomeUnknown(unforeseen(&call))),
     }
 }
 
@@ -144,7 +149,7 @@
     if error.is_unsent() {
         EngineError::NotRun(error)
     } else {
-        EngineError::Lost(error)
+        EngineError::OutcomeUnknown(error)
     }
 }
 
--- a/crates/upstream/src/lib.rs
+++ b/crates/upstream/src/lib.rs
@@ -9,4 +9,4 @@
     CacheEvent, CacheEvents, EngineState, Finish, GenerateRequest, LoadReport, Order, OrderKind,
     ResumeRequest, StreamItem,
 };
-pub use plain::{HttpPlain, Plain, PlainAnswer, PlainCall, PlainError};
+pub use plain::{HttpPlain, Plain, PlainCall, PlainError, PlainResponse};
--- a/crates/upstream/src/plain.rs
+++ b/crates/upstream/src/plain.rs
@@ -5,7 +5,7 @@
 
 use async_trait::async_trait;
 use bytes::Bytes;
-use fulmarpath_http::{HttpError, send, still_listens};
+use fulmarpath_http::{HttpError, is_listening, send};
 use http_body_util::Full;
 use hyper::header::CONTENT_TYPE;
 use hyper::{Method, Request, StatusCode};
@@ -25,7 +25,7 @@
 
 /// A whole answer of a plain service.
 #[derive(Debug, Clone)]
-pub struct PlainAnswer {
+pub struct PlainResponse {
     /// Its status.
     pub status: StatusCode,
     /// Its content type.
@@ -49,9 +49,9 @@
 #[async_trait]
 pub trait Plain: Send + Sync {
     /// Sends the call once.
-    async fn call(&self, call: PlainCall) -> Result<PlainAnswer, PlainError>;
+    async fn call(&self, call: PlainCall) -> Result<PlainResponse, PlainError>;
     /// Whether it still takes connections, after it has broken one off.
-    async fn is_there(&self) -> bool;
+    async fn is_listening(&self) -> bool;
 }
 
 /// A plain service over HTTP.
@@ -70,7 +70,7 @@
 
 #[async_trait]
 impl Plain for HttpPlain {
-    async fn call(&self, call: PlainCall) -> Result<PlainAnswer, PlainError> {
+    async fn call(&self, call: PlainCall) -> Result<PlainResponse, PlainError> {
         let address = self.address;
         let mut request = Request::builder().method(call.method).uri(call.path);
         if let Some(content_type) = call.content_type {
@@ -87,15 +87,15 @@
             .and_then(|value| value.to_str().ok())
             .map(str::to_owned);
         let body = answer.bytes(self.bound).await.map_err(failed)?;
-        Ok(PlainAnswer {
+        Ok(PlainResponse {
             status,
             content_type,
             body,
         })
     }
 
-    async fn is_there(&self) -> bool {
-        still_listens(self.address).await
+    async fn is_listening(&self) -> bool {
+        is_listening(self.address).await
     }
 }
 
--- a/src/cmd/dev.rs
+++ b/src/cmd/dev.rs
@@ -7,7 +7,7 @@
 use bpaf::Bpaf;
 use fulmarpath::dev::{CALLER_KEY, Deployment, Size};
 use fulmarpath::init_log;
-use fulmarpath::settings::LogForm;
+use fulmarpath::settings::LogFormat;
 use fulmarpath_http::{Lines, send};
 use http_body_util::Full;
 use hyper::Request;
@@ -30,7 +30,7 @@
 impl Run for Dev {
     fn run(&self) -> Result<(), CommandError> {
         if self.ask.is_none() {
-            init_log(LogForm::Text)?;
+            init_log(LogFormat::Text)?;
         } else {
             spdlog::default_logger().set_level_filter(spdlog::LevelFilter::Off);
         }
--- a/src/cmd/serve.rs
+++ b/src/cmd/serve.rs
@@ -34,8 +34,10 @@
             wait(&mut terminate, &mut interrupt).await;
             let hurry = wait(&mut terminate, &mut interrupt);
             let stopped = host.stop(hurry).await;
-            if stopped.cut > 0 {
-                return Err(CommandError::Cut { cut: stopped.cut });
+            if stopped.interrupted > 0 {
+                return Err(CommandError::Cut {
+                    cut: stopped.interrupted,
+                });
             }
             Ok(())
         })
--- a/src/dev.rs
+++ b/src/dev.rs
@@ -7,7 +7,7 @@
 
 use fulmarpath_cluster::{Change, Safeguard};
 use fulmarpath_settings::{
-    Declarations, HostSettings, LogForm, Model, Organisation, Preset, Service, ServiceKind,
+    Declarations, HostSettings, LogFormat, Model, Organisation, Preset, Service, ServiceKind,
     key_hash,
 };
 use fulmarpath_standin::{
@@ -188,7 +188,7 @@
         let stop = async move { host.stop(std::future::pending()).await };
         let stopped = runtime.spawn(stop).await;
         runtime.shutdown_background();
-        stopped.map_or(0, |stopped| stopped.cut)
+        stopped.map_or(0, |stopped| stopped.interrupted)
     }
 
     fn host_settings(&self, number: usize, name: &str) -> HostSettings {
@@ -209,7 +209,7 @@
             stream_limit: 4_096,
             operator_key_sha256: key_hash(OPERATOR_KEY),
             otlp_address: None,
-            log_form: LogForm::Text,
+            log_form: LogFormat::Text,
         }
     }
 
--- a/src/host.rs
+++ b/src/host.rs
@@ -84,11 +84,11 @@
             header_limit_bytes: settings.header_limit_bytes,
             body_limit_bytes: settings.body_limit_bytes,
             stream_limit: settings.stream_limit,
-            silence_bound: Duration::from_millis(settings.silence_bound_ms),
-            grace_ms: GRACE_MS,
-            keyed_ms: claims.window_ms,
+            silence_timeout: Duration::from_millis(settings.silence_bound_ms),
+            reconnect_grace_ms: GRACE_MS,
+            keyed_retention_ms: claims.window_ms,
             linger: Duration::from_millis(settings.linger_ms),
-            drain_bound: Duration::from_millis(settings.drain_bound_ms),
+            drain_timeout: Duration::from_millis(settings.drain_bound_ms),
             operator_key_sha256: settings.operator_key_sha256.clone(),
         };
         let server = EntryServer::start(node.clone(), callers, entry_settings);
--- a/src/log.rs
+++ b/src/log.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering};
 
-use fulmarpath_settings::LogForm;
+use fulmarpath_settings::LogFormat;
 use spdlog::formatter::{JsonFormatter, PatternFormatter, pattern};
 use spdlog::sink::{AsyncPoolSink, OverflowPolicy, Sink, StdStream, StdStreamSink};
 use spdlog::{LevelFilter, Logger, ThreadPool};
@@ -18,15 +18,15 @@
 ///
 /// # Errors
 /// [`LogError`] where the sink can't be built.
-pub fn init(form: LogForm) -> Result<(), LogError> {
+pub fn init(form: LogFormat) -> Result<(), LogError> {
     let builder = StdStreamSink::builder().std_stream(StdStream::Stderr);
     let sink = match form {
-        LogForm::Text => builder
+        LogFormat::Text => builder
             .formatter(PatternFormatter::new(pattern!(
                 "{date} {time}.{millisecond} {level} {payload}{eol}"
             )))
             .build(),
-        LogForm::Json => builder.formatter(JsonFormatter::new()).build(),
+        LogFormat::Json => builder.formatter(JsonFormatter::new()).build(),
     };
     install(Arc::new(sink.map_err(LogError)?))
 }
