--- a/crates/gateway/src/departures.rs
+++ b/crates/gateway/src/departures.rs
@@ -55,7 +55,7 @@
     }
 
     /// Whether this start of an upstream had left before an era.
-    pub(crate) fn has_gone_before(&self, start: &Registration, era: u64) -> bool {
+    pub(crate) fn left_before_era(&self, start: &Registration, era: u64) -> bool {
         let stored = self.stored.get(&start.instance);
         stored.is_some_and(|stored| {
             stored.departure.started_at_ms == start.started_at_ms && stored.departure.at.era < era
--- a/crates/gateway/src/dissemination.rs
+++ b/crates/gateway/src/dissemination.rs
@@ -119,7 +119,9 @@
 
     /// Announces a configuration that this host has read from the store.
     pub(crate) fn announce_configuration(self: &Arc<Self>) {
-        let Some(held) = self.in_force() else { return };
+        let Some(held) = self.active_configuration() else {
+            return;
+        };
         if self.is_watcher() {
             let area = self.area_branches();
             self.announce(ReplicatedState::Configuration, &held.configuration, area);
--- a/crates/gateway/src/evacuations.rs
+++ b/crates/gateway/src/evacuations.rs
@@ -77,9 +77,9 @@
     }
 
     fn apply_evacuation_changes(self: &Arc<Self>, changes: Changes<String>) {
-        let steps = changes.changes.into_iter().filter_map(step);
+        let evacuation_changes = changes.changes.into_iter().filter_map(evacuation_change);
         let is_new = self.change_evacuations("the store", |evacuations, now_ms| {
-            evacuations.apply(now_ms, changes.revision, steps)
+            evacuations.apply(now_ms, changes.revision, evacuation_changes)
         });
         if is_new {
             self.announce_evacuations();
@@ -153,7 +153,7 @@
     all.items.iter().cloned().chain(unreadable).collect()
 }
 
-fn step(change: Change<String>) -> Option<EvacuationChange> {
+fn evacuation_change(change: Change<String>) -> Option<EvacuationChange> {
     match change {
         Change::Put(name) => Some(EvacuationChange::Begins(name)),
         Change::Removed(name) => Some(EvacuationChange::Ends(name)),
--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -78,7 +78,7 @@
     pub(crate) unusable_log: LogThrottle,
     pub(crate) store_era: StoreEra,
     pub(crate) control: Arc<dyn EngineControl>,
-    in_force: ArcSwapOption<ActiveConfiguration>,
+    active_configuration: ArcSwapOption<ActiveConfiguration>,
     retries: Mutex<HashMap<String, RetryWindow>>,
     retry_bound: Mutex<RetryBound>,
     /// When the active configuration was applied.
@@ -119,7 +119,7 @@
             evacuations: Mutex::default(),
             start_limiter: StartLimiter::default(),
             metrics: Metrics::default(),
-            in_force: ArcSwapOption::empty(),
+            active_configuration: ArcSwapOption::empty(),
             retries: Mutex::default(),
             retry_bound: Mutex::new(settings.retries),
             applied_ms: AtomicU64::new(0),
@@ -130,13 +130,13 @@
     }
 
     /// The active configuration.
-    pub fn in_force(&self) -> Option<Arc<ActiveConfiguration>> {
-        self.in_force.load_full()
+    pub fn active_configuration(&self) -> Option<Arc<ActiveConfiguration>> {
+        self.active_configuration.load_full()
     }
 
     /// The version of the active configuration; 0 for none.
     pub(crate) fn version(&self) -> u64 {
-        let held = self.in_force.load();
+        let held = self.active_configuration.load();
         held.as_ref().map_or(0, |held| held.configuration.version)
     }
 
@@ -147,7 +147,7 @@
     pub(crate) fn apply_configuration(&self, configuration: Configuration, source: &str) -> bool {
         let version = configuration.version;
         let newer = Arc::new(ActiveConfiguration::new(configuration));
-        let held = self.in_force.rcu(|held| match held {
+        let held = self.active_configuration.rcu(|held| match held {
             Some(held) if held.configuration.version >= version => Some(held.clone()),
             _ => Some(newer.clone()),
         });
@@ -167,17 +167,17 @@
     /// Applies the roster's directory to the instances and cells.
     pub(crate) fn apply_directory(&self, directory: &Directory) {
         let now_ms = self.clock.now_ms();
-        let in_force = self.in_force();
-        let cold_limits = ColdLimits::of(self.settings.cold_bound, in_force.as_deref());
+        let active_configuration = self.active_configuration();
+        let cold_limits = ColdLimits::of(self.settings.cold_bound, active_configuration.as_deref());
         {
             let evacuations = self.evacuations.lock();
             self.instances
                 .adopt(now_ms, directory, &evacuations, &cold_limits);
         }
         let availability_of = |engine| self.instances.availability(engine);
-        let has_new_layout = in_force.is_some_and(|in_force| {
+        let has_new_layout = active_configuration.is_some_and(|active_configuration| {
             self.cells
-                .apply_directory(now_ms, &in_force, directory, availability_of)
+                .apply_directory(now_ms, &active_configuration, directory, availability_of)
         });
         if has_new_layout || !self.cells.leaving().is_empty() {
             self.cell_duties.restate_now.notify_one();
@@ -186,7 +186,7 @@
 
     /// Whether the load balancer should send callers here.
     pub fn is_ready(&self) -> bool {
-        self.in_force.load().is_some() && !self.is_draining()
+        self.active_configuration.load().is_some() && !self.is_draining()
     }
 
     /// Upstreams that this host knows.
@@ -313,13 +313,13 @@
 
 impl ConnectionLimits for Gateway {
     fn header_limit_bytes(&self) -> usize {
-        let held = self.in_force.load();
+        let held = self.active_configuration.load();
         let limits = held.as_ref().map(|held| held.configuration.limits);
         limits.map_or(DEFAULT_HEADER_LIMIT_BYTES, |limits| limits.header_bytes)
     }
 
     fn idle_timeout(&self) -> Duration {
-        let held = self.in_force.load();
+        let held = self.active_configuration.load();
         let limits = held.as_ref().map(|held| held.configuration.limits);
         let idle_ms = limits.map_or(DEFAULT_IDLE_MS, |limits| {
             limits.idle_ms.max(limits.header_ms)
--- a/crates/gateway/src/inbound.rs
+++ b/crates/gateway/src/inbound.rs
@@ -85,7 +85,7 @@
         if let Ok(head) = &head {
             tracker.id.clone_from(&head.id);
         }
-        let active = self.in_force().ok_or(Problem::NoConfiguration);
+        let active = self.active_configuration().ok_or(Problem::NoConfiguration);
         let limit = active
             .as_ref()
             .map_or(usize::MAX, |active| active.configuration.limits.body_bytes);
--- a/crates/gateway/src/join.rs
+++ b/crates/gateway/src/join.rs
@@ -58,7 +58,7 @@
         let own = self.settings.host.address;
         let seeds: Vec<SocketAddr> = seeds.into_iter().filter(|seed| *seed != own).collect();
         while !self.contact_any(&seeds).await {
-            let period = match self.is_lonely() {
+            let period = match self.should_discover() {
                 true => self.discover_from_store().await,
                 false => CONTACT_PERIOD,
             };
@@ -72,7 +72,7 @@
         self.keep_entries().await;
     }
 
-    fn is_lonely(&self) -> bool {
+    fn should_discover(&self) -> bool {
         self.fleet.join.lock().should_discover(self.clock.now_ms())
     }
 
@@ -118,9 +118,10 @@
     }
 
     async fn introduce_to(&self, address: SocketAddr) -> Option<Vec<Rumour>> {
-        let me = self.fleet.members.lock().own_rumour();
-        let call =
-            |client: GatewayPeerClient, context| async move { client.join(context, me).await };
+        let own_rumour = self.fleet.members.lock().own_rumour();
+        let call = |client: GatewayPeerClient, context| async move {
+            client.join(context, own_rumour).await
+        };
         self.fleet.peers.call(address, call).await.ok()
     }
 
@@ -174,12 +175,12 @@
 
     /// Announces to all hosts that this one leaves, and removes its entry.
     pub(crate) async fn leave_fleet(self: &Arc<Self>) {
-        let me = {
+        let own_rumour = {
             let mut members = self.fleet.members.lock();
             members.leave();
             members.own_rumour()
         };
-        self.announce_members(&[me]);
+        self.announce_members(&[own_rumour]);
         if self.fleet.has_written_entry() {
             let name = &self.settings.host.name;
             self.remove_entry(name).await;
--- a/crates/gateway/src/peer.rs
+++ b/crates/gateway/src/peer.rs
@@ -86,7 +86,7 @@
         self.count("holding");
         let held = match kind {
             ReplicatedState::Configuration => {
-                let held = self.gateway.in_force();
+                let held = self.gateway.active_configuration();
                 held.map_or(Ok(Vec::new()), |held| encode(kind, &held.configuration))
             }
             ReplicatedState::Evacuations => {
--- a/crates/gateway/src/roster.rs
+++ b/crates/gateway/src/roster.rs
@@ -201,7 +201,7 @@
     /// Applies an entry of a list, unless it may be present only because of the backup.
     fn put_listed(&mut self, now_ms: Millis, registration: Registration) -> bool {
         let era = self.revision.era;
-        if !self.departures.has_gone_before(&registration, era) {
+        if !self.departures.left_before_era(&registration, era) {
             return self.put(now_ms, registration);
         }
         self.restored.record(now_ms, registration);
--- a/crates/gateway/src/start.rs
+++ b/crates/gateway/src/start.rs
@@ -342,7 +342,7 @@
 
     /// Capabilities of a service's engines; `None` if its upstreams are not engines.
     pub(crate) fn engine_traits(&self, service: &str) -> Option<EngineTraits> {
-        let active = self.in_force()?;
+        let active = self.active_configuration()?;
         active.service(service)?.engine.clone()
     }
 }
--- a/crates/gateway/src/store_sync.rs
+++ b/crates/gateway/src/store_sync.rs
@@ -72,7 +72,7 @@
                 Ok(update) => {
                     revision = Some(update.revision());
                     for configuration in configurations(update) {
-                        self.apply_stored(configuration);
+                        self.apply_stored_configuration(configuration);
                     }
                     self.read_circuits().await;
                 }
@@ -85,7 +85,7 @@
     }
 
     /// Applies the stored configuration, and announces it.
-    fn apply_stored(self: &Arc<Self>, configuration: Configuration) {
+    fn apply_stored_configuration(self: &Arc<Self>, configuration: Configuration) {
         let (stored, held) = (configuration.version, self.version());
         if stored < held {
             info!("configuration: the store has version {stored}, {held} stays in force");
--- a/crates/policy/src/join.rs
+++ b/crates/policy/src/join.rs
@@ -74,9 +74,7 @@
             return true;
         }
         match self.contact_ms {
-            Some(contact_ms) => {
-                now_ms.saturating_sub(contact_ms) >= PEER_STATE_TIMEOUT_MS
-            }
+            Some(contact_ms) => now_ms.saturating_sub(contact_ms) >= PEER_STATE_TIMEOUT_MS,
             None => self.age_ms(now_ms) >= PEER_ANSWER_TIMEOUT_MS,
         }
     }
@@ -84,9 +82,7 @@
     /// Whether this host knows enough members to determine which hosts watch the store.
     pub fn may_watch_store(&self, now_ms: Millis) -> bool {
         match self.contact_ms {
-            Some(contact_ms) => {
-                now_ms.saturating_sub(contact_ms) >= MEMBERSHIP_SETTLE_MS
-            }
+            Some(contact_ms) => now_ms.saturating_sub(contact_ms) >= MEMBERSHIP_SETTLE_MS,
             None => self.is_only_host || self.age_ms(now_ms) >= SOLE_HOST_DELAY_MS,
         }
     }
