--- a/crates/policy/tests/evacuations.rs
+++ b/crates/policy/tests/evacuations.rs
@@ -1,4 +1,4 @@
-//! Which data centres a host believes evacuated, as news of them come in any order.
+//! Evacuations known to a host, with updates in any order.
 
 use std::collections::BTreeSet;
 
@@ -6,23 +6,23 @@
 use fulmarpath_policy::{EvacuationChange, EvacuationState, Evacuations, Revision};
 use rstest::rstest;
 
-enum News {
+enum Update {
     /// All entries of the store.
-    Lists(Revision, &'static [&'static str]),
+    StoreList(Revision, &'static [&'static str]),
     /// Changes of the store.
-    Watches(Revision, Vec<EvacuationChange>),
+    StoreChanges(Revision, Vec<EvacuationChange>),
     /// A peer's state.
-    Tells(Revision, &'static [&'static str]),
+    PeerState(Revision, &'static [&'static str]),
 }
-use News::{Lists, Tells, Watches};
+use Update::{PeerState, StoreChanges, StoreList};
 
 struct Case {
-    news: Vec<News>,
+    updates: Vec<Update>,
     evacuated: &'static [&'static str],
     revision: Revision,
 }
 
-/// A revision of the one era that the store is in.
+/// A revision in the store's only era.
 const fn at(number: u64) -> Revision {
     Revision::new(1, number)
 }
@@ -39,50 +39,50 @@
     Ends(name.to_owned())
 }
 
-/// Guards against a host that falls back to an older state, or misses a later one: news come from the
-/// store and from peers, late and crossed.
+/// Guards against a host that reverts to an older state or misses a later one. Updates come from
+/// the store and from peers, delayed and out of order.
 #[rstest]
-#[case::nothing_heard(Case { news: vec![], evacuated: &[], revision: Revision::default() })]
-#[case::listed(Case { news: vec![Lists(at(9), &["a"])], evacuated: &["a"], revision: at(9) })]
+#[case::nothing_known(Case { updates: vec![], evacuated: &[], revision: Revision::default() })]
+#[case::listed(Case { updates: vec![StoreList(at(9), &["a"])], evacuated: &["a"], revision: at(9) })]
 #[case::begins(Case {
-    news: vec![Lists(at(9), &[]), Watches(at(12), vec![begins("a")])], evacuated: &["a"], revision: at(12),
+    updates: vec![StoreList(at(9), &[]), StoreChanges(at(12), vec![begins("a")])], evacuated: &["a"], revision: at(12),
 })]
 #[case::ends(Case {
-    news: vec![Lists(at(9), &["a", "b"]), Watches(at(12), vec![ends("a")])], evacuated: &["b"], revision: at(12),
+    updates: vec![StoreList(at(9), &["a", "b"]), StoreChanges(at(12), vec![ends("a")])], evacuated: &["b"], revision: at(12),
 })]
-#[case::comes_and_goes_in_one_watch(Case {
-    news: vec![Lists(at(9), &[]), Watches(at(12), vec![begins("a"), ends("a")])], evacuated: &[], revision: at(9),
+#[case::begins_and_ends_in_one_batch(Case {
+    updates: vec![StoreList(at(9), &[]), StoreChanges(at(12), vec![begins("a"), ends("a")])], evacuated: &[], revision: at(9),
 })]
 #[case::nothing_changes(Case {
-    news: vec![Lists(at(9), &["a"]), Watches(at(12), vec![]), Watches(at(15), vec![])], evacuated: &["a"], revision: at(9),
+    updates: vec![StoreList(at(9), &["a"]), StoreChanges(at(12), vec![]), StoreChanges(at(15), vec![])], evacuated: &["a"], revision: at(9),
 })]
 #[case::a_peer_knows_more(Case {
-    news: vec![Lists(at(9), &[]), Tells(at(12), &["a"])], evacuated: &["a"], revision: at(12),
+    updates: vec![StoreList(at(9), &[]), PeerState(at(12), &["a"])], evacuated: &["a"], revision: at(12),
 })]
 #[case::a_peer_knows_less(Case {
-    news: vec![Lists(at(9), &[]), Watches(at(20), vec![]), Tells(at(12), &["a"])], evacuated: &[], revision: at(9),
+    updates: vec![StoreList(at(9), &[]), StoreChanges(at(20), vec![]), PeerState(at(12), &["a"])], evacuated: &[], revision: at(9),
 })]
 #[case::an_old_list(Case {
-    news: vec![Tells(at(12), &["a"]), Lists(at(9), &[])], evacuated: &["a"], revision: at(12),
+    updates: vec![PeerState(at(12), &["a"]), StoreList(at(9), &[])], evacuated: &["a"], revision: at(12),
 })]
 #[case::history_is_lost_and_it_ended_meanwhile(Case {
-    news: vec![Lists(at(9), &["a"]), Lists(at(30), &[])], evacuated: &[], revision: at(30),
+    updates: vec![StoreList(at(9), &["a"]), StoreList(at(30), &[])], evacuated: &[], revision: at(30),
 })]
 #[case::listed_again_unchanged(Case {
-    news: vec![Lists(at(9), &["a"]), Lists(at(30), &["a"])], evacuated: &["a"], revision: at(9),
+    updates: vec![StoreList(at(9), &["a"]), StoreList(at(30), &["a"])], evacuated: &["a"], revision: at(9),
 })]
-#[case::a_host_that_was_cut_off_tells_of_an_ended_one(Case {
-    news: vec![Tells(EvacuationState::PROVISIONAL, &[]), Lists(at(30), &[]), Tells(at(12), &["a"])],
+#[case::a_partitioned_host_sends_an_ended_one(Case {
+    updates: vec![PeerState(EvacuationState::PROVISIONAL, &[]), StoreList(at(30), &[]), PeerState(at(12), &["a"])],
     evacuated: &[],
     revision: at(30),
 })]
 fn later_states_replace_earlier_ones(#[case] case: Case) {
     let mut evacuations = Evacuations::default();
-    for one in case.news {
+    for one in case.updates {
         match one {
-            Lists(revision, all) => evacuations.replace(0, revision, names(all)),
-            Watches(revision, changes) => evacuations.apply(0, revision, changes),
-            Tells(revision, all) => {
+            StoreList(revision, all) => evacuations.replace(0, revision, names(all)),
+            StoreChanges(revision, changes) => evacuations.apply(0, revision, changes),
+            PeerState(revision, all) => {
                 let data_centres = names(all);
                 evacuations.merge_peer(
                     0,
@@ -100,7 +100,8 @@
     assert_eq!(state.revision, case.revision);
 }
 
-/// Guards against upstreams that are taken for warm as their data centre is taken back.
+/// Guards against upstreams that are treated as warm right after the evacuation of their data
+/// centre ends.
 #[test]
 fn the_end_is_remembered_until_the_next_begin() {
     let mut evacuations = Evacuations::default();
@@ -113,7 +114,7 @@
     assert_eq!(evacuations.ended_ms("a"), None);
 }
 
-/// Guards against memory that grows with names that another writer leaves and removes.
+/// Guards against memory that grows with names that another writer adds and removes.
 #[test]
 fn old_ends_are_forgotten() {
     let mut evacuations = Evacuations::default();
@@ -127,79 +128,79 @@
     assert_eq!(evacuations.ended_ms("strange-1000"), Some(1_000_000));
 }
 
-/// What a host hears around a store's return from a copy, each at an era and a number.
-enum Word {
-    Stores(u64, u64, &'static [&'static str]),
-    Changes(u64, u64, EvacuationChange),
-    /// A peer's state, without what it keeps for a while.
+/// What a host receives around a restore of the store, each at an era and a number.
+enum Event {
+    List(u64, u64, &'static [&'static str]),
+    Change(u64, u64, EvacuationChange),
+    /// A peer's state, without unconfirmed evacuations.
     Peer(u64, u64, &'static [&'static str]),
-    /// So long later.
-    Later(u64),
+    /// Time passes, in ms.
+    Elapse(u64),
 }
-use Word::{Changes, Later, Peer, Stores};
+use Event::{Change, Elapse, List, Peer};
 
-struct Return {
-    words: Vec<Word>,
+struct Restore {
+    events: Vec<Event>,
     evacuated: &'static [&'static str],
 }
 
-/// Guards against work for a data centre whose evacuation a copy of the store lacks, and against keeping
-/// it out of work for good.
+/// Guards against work for a data centre whose evacuation is missing from a restored store, and
+/// against keeping it without work forever.
 #[rstest]
-#[case::lacks_it(Return { words: vec![Stores(1, 50, &["a"]), Stores(2, 40, &[])], evacuated: &["a"] })]
-#[case::lacks_it_by_a_peer(Return { words: vec![Stores(1, 50, &["a"]), Peer(2, 40, &[])], evacuated: &["a"] })]
-#[case::news_of_others_in_between(Return {
-    words: vec![Stores(1, 50, &["a"]), Stores(2, 40, &[]), Changes(2, 41, begins("b"))],
+#[case::lacks_it(Restore { events: vec![List(1, 50, &["a"]), List(2, 40, &[])], evacuated: &["a"] })]
+#[case::lacks_it_by_a_peer(Restore { events: vec![List(1, 50, &["a"]), Peer(2, 40, &[])], evacuated: &["a"] })]
+#[case::other_changes_in_between(Restore {
+    events: vec![List(1, 50, &["a"]), List(2, 40, &[]), Change(2, 41, begins("b"))],
     evacuated: &["a", "b"],
 })]
-#[case::a_peers_news_in_between(Return {
-    words: vec![Stores(1, 50, &["a"]), Stores(2, 40, &[]), Peer(2, 41, &["b"])], evacuated: &["a", "b"],
+#[case::a_peers_changes_in_between(Restore {
+    events: vec![List(1, 50, &["a"]), List(2, 40, &[]), Peer(2, 41, &["b"])], evacuated: &["a", "b"],
 })]
-#[case::never_written_again(Return {
-    words: vec![Stores(1, 50, &["a"]), Stores(2, 40, &[]), Later(30_000)], evacuated: &[],
+#[case::never_written_again(Restore {
+    events: vec![List(1, 50, &["a"]), List(2, 40, &[]), Elapse(30_000)], evacuated: &[],
 })]
-#[case::written_again(Return {
-    words: vec![
-        Stores(1, 50, &["a"]), Stores(2, 40, &[]), Changes(2, 41, begins("a")), Later(30_000),
+#[case::written_again(Restore {
+    events: vec![
+        List(1, 50, &["a"]), List(2, 40, &[]), Change(2, 41, begins("a")), Elapse(30_000),
     ],
     evacuated: &["a"],
 })]
-#[case::written_again_and_ended(Return {
-    words: vec![
-        Stores(1, 50, &["a"]), Stores(2, 40, &[]), Changes(2, 41, begins("a")), Changes(2, 42, ends("a")),
+#[case::written_again_and_ended(Restore {
+    events: vec![
+        List(1, 50, &["a"]), List(2, 40, &[]), Change(2, 41, begins("a")), Change(2, 42, ends("a")),
     ],
     evacuated: &[],
 })]
-#[case::there_again(Return {
-    words: vec![Stores(1, 50, &["a"]), Changes(1, 51, ends("a")), Stores(2, 40, &["a"])], evacuated: &["a"],
+#[case::present_after_the_restore(Restore {
+    events: vec![List(1, 50, &["a"]), Change(1, 51, ends("a")), List(2, 40, &["a"])], evacuated: &["a"],
 })]
-#[case::an_earlier_era_comes_late(Return {
-    words: vec![Stores(2, 40, &["a"]), Stores(1, 50, &[]), Peer(1, 51, &[])], evacuated: &["a"],
+#[case::an_earlier_era_comes_late(Restore {
+    events: vec![List(2, 40, &["a"]), List(1, 50, &[]), Peer(1, 51, &[])], evacuated: &["a"],
 })]
-#[case::two_returns(Return {
-    words: vec![Stores(1, 50, &["a"]), Stores(2, 40, &[]), Later(20_000), Stores(3, 30, &[]), Later(9_000)],
+#[case::two_restores(Restore {
+    events: vec![List(1, 50, &["a"]), List(2, 40, &[]), Elapse(20_000), List(3, 30, &[]), Elapse(9_000)],
     evacuated: &["a"],
 })]
-fn an_evacuation_outlives_the_copy_that_lacks_it(#[case] case: Return) {
+fn an_evacuation_survives_a_restore_that_lacks_it(#[case] case: Restore) {
     let mut evacuations = Evacuations::default();
     let mut now_ms = 0;
-    for word in case.words {
-        match word {
-            Stores(era, number, all) => {
+    for event in case.events {
+        match event {
+            List(era, number, all) => {
                 evacuations.replace(now_ms, Revision::new(era, number), names(all));
             }
-            Changes(era, number, change) => {
+            Change(era, number, change) => {
                 evacuations.apply(now_ms, Revision::new(era, number), [change]);
             }
             Peer(era, number, all) => {
-                let told = EvacuationState {
+                let state = EvacuationState {
                     revision: Revision::new(era, number),
                     data_centres: names(all),
                     ..EvacuationState::default()
                 };
-                evacuations.merge_peer(now_ms, told);
+                evacuations.merge_peer(now_ms, state);
             }
-            Later(ms) => now_ms += ms,
+            Elapse(ms) => now_ms += ms,
         }
         evacuations.expire(now_ms);
     }
@@ -209,9 +210,9 @@
     );
 }
 
-/// Guards against a host that keeps for good what its peer keeps for a while.
+/// Guards against a host that keeps forever what its peer keeps for a limited time.
 #[test]
-fn a_peer_passes_on_how_long_it_keeps_one() {
+fn a_peer_sends_the_remaining_time_of_an_unconfirmed_one() {
     let mut first = Evacuations::default();
     first.replace(0, Revision::new(1, 50), names(&["a"]));
     first.replace(1_000, Revision::new(2, 40), names(&[]));
@@ -222,11 +223,11 @@
     assert_eq!(second.count(), 0);
 }
 
-/// Guards against a peer that ends an evacuation which the operator has written again.
+/// Guards against a peer that ends an evacuation although the operator has written it again.
 #[rstest]
 #[case::by_a_change(false)]
 #[case::by_a_list(true)]
-fn a_peer_hears_that_one_was_written_again(#[case] is_listed: bool) {
+fn a_peer_learns_that_one_was_written_again(#[case] is_listed: bool) {
     let mut watcher = Evacuations::default();
     watcher.replace(0, Revision::new(1, 50), names(&["a"]));
     watcher.replace(1_000, Revision::new(2, 40), names(&[]));
--- a/crates/policy/tests/home.rs
+++ b/crates/policy/tests/home.rs
@@ -1,4 +1,4 @@
-//! The decisions of one home, with the time as an argument.
+//! Decisions of an engine's home, of organisation limits, retry budgets and engine selection.
 
 use fulmarpath_policy::{
     Candidate, EngineLoad, EnginePermitRequest, Home, HomeSettings, HostKey, Lengths,
@@ -17,7 +17,7 @@
     ))
 }
 
-fn ask(id: u64, organisation: u64, prompt_tokens: u32) -> EnginePermitRequest {
+fn request(id: u64, organisation: u64, prompt_tokens: u32) -> EnginePermitRequest {
     EnginePermitRequest {
         id: PermitRequestId(id),
         host: HostKey(1),
@@ -57,34 +57,34 @@
 }
 
 #[test]
-fn what_fits_starts_and_the_rest_waits() {
+fn requests_that_fit_start_and_others_wait() {
     let (mut home, lengths) = (home(), Lengths::new());
     for id in 0..5 {
-        home.request_permit(1_000, ask(id, id, 3_000), &lengths);
+        home.request_permit(1_000, request(id, id, 3_000), &lengths);
     }
     assert_eq!(granted(&step(&mut home, 1_000)).len(), 3);
     assert_eq!(home.load().queued, 2);
 }
 
-/// The answer to an ask is lost and the entry host asks again: it gets the same permit, and the
-/// engine's memory is counted once.
+/// Guards against double counting when the answer to a request is lost and the entry host repeats
+/// it: it gets the same permit, and the engine's memory is counted once.
 #[test]
-fn an_ask_that_comes_twice_holds_once() {
+fn a_repeated_request_is_counted_once() {
     let (mut home, lengths) = (home(), Lengths::new());
-    home.request_permit(1_000, ask(1, 1, 3_000), &lengths);
+    home.request_permit(1_000, request(1, 1, 3_000), &lengths);
     step(&mut home, 1_000);
-    home.request_permit(1_300, ask(1, 1, 3_000), &lengths);
+    home.request_permit(1_300, request(1, 1, 3_000), &lengths);
     assert!(step(&mut home, 1_300).is_empty());
     assert_eq!(home.load().held_tokens, 3_000);
     assert!(home.granted_permit(PermitRequestId(1)).is_some());
 }
 
-/// Another host believes to be home as well and fills the engine: its report shows more than this
-/// home ever held, and so much is kept free.
+/// Another host also acts as the home and fills the engine. The engine reports more memory than
+/// this home's permits hold, and the excess is kept free.
 #[test]
-fn memory_that_no_permit_explains_is_kept_free() {
+fn unaccounted_memory_is_kept_free() {
     let (mut home, lengths) = (home(), Lengths::new());
-    home.request_permit(1_000, ask(1, 1, 100), &lengths);
+    home.request_permit(1_000, request(1, 1, 100), &lengths);
     step(&mut home, 1_000);
     let load = EngineLoad {
         used_tokens: 9_000,
@@ -94,65 +94,65 @@
     for report in 0..8 {
         home.report(1_100 + report * 500, load);
     }
-    home.request_permit(5_200, ask(2, 2, 3_000), &lengths);
+    home.request_permit(5_200, request(2, 2, 3_000), &lengths);
     assert!(granted(&step(&mut home, 5_200)).is_empty());
 }
 
-/// An entry host dies: its permits are given out again once nothing was heard of them.
+/// Guards against memory that stays held after an entry host has died: its permits expire.
 #[test]
-fn permits_of_a_dead_host_lapse() {
+fn permits_of_a_dead_host_expire() {
     let (mut home, lengths) = (home(), Lengths::new());
-    home.request_permit(1_000, ask(1, 1, 9_000), &lengths);
+    home.request_permit(1_000, request(1, 1, 9_000), &lengths);
     step(&mut home, 1_000);
-    home.request_permit(2_000, ask(2, 2, 9_000), &lengths);
+    home.request_permit(2_000, request(2, 2, 9_000), &lengths);
     assert!(granted(&step(&mut home, 2_000)).is_empty());
     assert_eq!(granted(&step(&mut home, 7_100)), [2]);
 }
 
 #[test]
-fn refusals_say_why_and_come_at_once_where_nothing_can_help() {
+fn refusals_state_a_reason_and_come_at_once() {
     let (mut home, lengths) = (home(), Lengths::new());
-    home.request_permit(1_000, ask(1, 1, MEMORY_TOKENS), &lengths);
+    home.request_permit(1_000, request(1, 1, MEMORY_TOKENS), &lengths);
     assert_eq!(
         refused(&step(&mut home, 1_000)),
         [(1, RefusalReason::TooLarge)]
     );
-    home.request_permit(1_000, ask(2, 1, 9_000), &lengths);
+    home.request_permit(1_000, request(2, 1, 9_000), &lengths);
     step(&mut home, 1_000);
-    let hurried = EnginePermitRequest {
+    let unqueueable = EnginePermitRequest {
         only_now: true,
-        ..ask(3, 1, 9_000)
+        ..request(3, 1, 9_000)
     };
-    home.request_permit(1_000, hurried, &lengths);
+    home.request_permit(1_000, unqueueable, &lengths);
     assert_eq!(
         refused(&step(&mut home, 1_000)),
         [(3, RefusalReason::NoRoomNow)]
     );
     home.set_leaving(true);
-    home.request_permit(1_000, ask(4, 1, 10), &lengths);
+    home.request_permit(1_000, request(4, 1, 10), &lengths);
     assert_eq!(
         refused(&step(&mut home, 1_000)),
         [(4, RefusalReason::Leaving)]
     );
 }
 
-/// A rival holds more than its share and has many small asks in the queue. An organisation within
-/// its share comes with a large one and is served first; nothing running is touched.
+/// One organisation holds more than its share and has small requests in the queue. Another within
+/// its share sends a large request and is served first. Running generations are not affected.
 #[test]
-fn an_owner_goes_before_borrowers() {
+fn guaranteed_shares_go_before_borrowing() {
     let (mut home, lengths) = (home(), Lengths::new());
     let mut permits = Vec::new();
     for id in 0..3 {
-        home.request_permit(1_000, ask(id, 1, 3_000), &lengths);
+        home.request_permit(1_000, request(id, 1, 3_000), &lengths);
     }
     for outcome in step(&mut home, 1_000) {
         if let Outcome::Granted { permit, .. } = outcome {
             permits.push(permit);
         }
     }
-    home.request_permit(1_100, ask(10, 1, 200), &lengths);
-    home.request_permit(1_100, ask(11, 1, 200), &lengths);
-    home.request_permit(1_200, ask(20, 2, 2_500), &lengths);
+    home.request_permit(1_100, request(10, 1, 200), &lengths);
+    home.request_permit(1_100, request(11, 1, 200), &lengths);
+    home.request_permit(1_200, request(20, 2, 2_500), &lengths);
     assert!(granted(&step(&mut home, 1_200)).is_empty());
     home.cancel(permits[0]);
     assert_eq!(granted(&step(&mut home, 1_300))[0], 20);
@@ -161,15 +161,15 @@
 #[test]
 fn resumptions_go_before_new_work() {
     let (mut home, lengths) = (home(), Lengths::new());
-    home.request_permit(1_000, ask(1, 1, 9_000), &lengths);
+    home.request_permit(1_000, request(1, 1, 9_000), &lengths);
     let permit = match step(&mut home, 1_000)[0] {
         Outcome::Granted { permit, .. } => permit,
         other => panic!("{other:?}"),
     };
-    home.request_permit(1_100, ask(2, 2, 100), &lengths);
+    home.request_permit(1_100, request(2, 2, 100), &lengths);
     let resumed = EnginePermitRequest {
         out_tokens: 50,
-        ..ask(3, 1, 8_000)
+        ..request(3, 1, 8_000)
     };
     home.request_permit(1_200, resumed, &lengths);
     home.cancel(permit);
@@ -177,7 +177,7 @@
 }
 
 #[test]
-fn lengths_learn_and_back_off_to_the_service() {
+fn lengths_adapt_and_fall_back_to_the_service() {
     let mut lengths = Lengths::new();
     let (known, new) = (OrganisationKey(1), OrganisationKey(2));
     for number in 0..400 {
@@ -187,7 +187,7 @@
     assert!(lengths.expected(new, ServiceKey(1)) < 120.0);
     let fresh = Lengths::new().expected(new, ServiceKey(2));
     assert!((50.0..2_000.0).contains(&fresh), "{fresh}");
-    // A shift shows within minutes.
+    // A shift of the lengths shows within minutes.
     for number in 0..400 {
         lengths.record(60_000 + number * 300, known, ServiceKey(1), 900);
     }
@@ -195,7 +195,7 @@
 }
 
 #[test]
-fn limits_hold_and_lapse() {
+fn limits_hold_and_slots_expire() {
     let mut limits = LimitTable::default();
     let bounds = RequestLimits {
         requests_per_s: 10.0,
@@ -206,16 +206,16 @@
     assert!(limits.acquire(1_000, one, HostKey(2), bounds).is_ok());
     let over = limits.acquire(1_100, one, host, bounds);
     assert!(matches!(over, Err(LimitExceeded::Concurrency { .. })));
-    // The first host restates that nothing runs any more; the second has died.
+    // The first host reports that nothing runs there; the second has died.
     limits.set_held(4_000, one, host, 0);
     assert!(limits.acquire(8_000, one, host, bounds).is_ok());
-    let quick = RequestLimits {
+    let rate_limited = RequestLimits {
         requests_per_s: 1.0,
         concurrent: 100,
     };
     let two = OrganisationKey(2);
-    assert!(limits.acquire(1_000, two, host, quick).is_ok());
-    let over = limits.acquire(1_250, two, host, quick);
+    assert!(limits.acquire(1_000, two, host, rate_limited).is_ok());
+    let over = limits.acquire(1_250, two, host, rate_limited);
     assert_eq!(
         over,
         Err(LimitExceeded::Rate {
@@ -224,10 +224,10 @@
     );
 }
 
-/// An organisation's home dies; the next one hears first what other hosts hold, and then a request:
-/// that is within the limits and must not be refused.
+/// Guards against a new home of an organisation that refuses requests within the limits. It first
+/// receives the slots that other hosts hold, and then a request.
 #[test]
-fn a_new_home_of_an_organisation_refuses_nobody_for_nothing() {
+fn a_new_home_of_an_organisation_starts_with_a_full_burst() {
     let mut limits = LimitTable::default();
     let bounds = RequestLimits {
         requests_per_s: 10.0,
@@ -242,18 +242,18 @@
 }
 
 #[test]
-fn retries_are_a_share_of_first_tries() {
+fn retries_are_a_share_of_first_attempts() {
     let mut budget = RetryBudget::new(0.1, 2.0);
-    let mut made = 0;
+    let mut retries = 0;
     for _ in 0..100 {
         budget.record_first_attempt();
-        made += u32::from(budget.try_retry());
+        retries += u32::from(budget.try_retry());
     }
-    assert!((10..=12).contains(&made), "{made}");
+    assert!((10..=12).contains(&retries), "{retries}");
 }
 
 #[test]
-fn a_prefix_stays_with_its_engine_until_that_is_loaded() {
+fn a_prefix_stays_with_its_engine_until_it_is_loaded() {
     let candidate = |engine: u64, used_tokens| Candidate {
         upstream: UpstreamKey(engine),
         is_local: true,
--- a/crates/policy/tests/join.rs
+++ b/crates/policy/tests/join.rs
@@ -1,36 +1,36 @@
-//! How a host that starts comes to know what all others know.
+//! How a host obtains the shared state after its start.
 
 use fulmarpath_policy::Join;
 use rstest::rstest;
 
 #[derive(Clone, Copy)]
-enum Happens {
-    Meets,
-    HasAskedPeers,
-    FindsNobody,
+enum Event {
+    PeerAnswers,
+    PeersQueried,
+    NoOtherHosts,
 }
-use Happens::{FindsNobody, HasAskedPeers, Meets};
+use Event::{NoOtherHosts, PeerAnswers, PeersQueried};
 
 struct Case {
     has_seeds: bool,
-    happens: &'static [(u64, Happens)],
-    /// When it may read the store, when it may watch it, and when it looks for others by their
+    events: &'static [(u64, Event)],
+    /// When it may read the store, when it may watch it, and when it discovers others by their
     /// entries; `None` for never within five seconds.
     reads_ms: Option<u64>,
     watches_ms: Option<u64>,
-    lonely_ms: Option<u64>,
+    discovers_ms: Option<u64>,
 }
 
-/// The first ms from which on a thing holds.
+/// The first ms at which `holds` is true.
 fn since(case: &Case, holds: impl Fn(&Join, u64) -> bool) -> Option<u64> {
     let mut join = Join::new(0, case.has_seeds);
     for now_ms in 0..5_000 {
-        for (at_ms, what) in case.happens {
-            match what {
+        for (at_ms, event) in case.events {
+            match event {
                 _ if *at_ms != now_ms => {}
-                Meets => join.record_peer(now_ms),
-                HasAskedPeers => join.finish_peer_queries(),
-                FindsNobody => join.record_no_other_host(),
+                PeerAnswers => join.record_peer(now_ms),
+                PeersQueried => join.finish_peer_queries(),
+                NoOtherHosts => join.record_no_other_host(),
             }
         }
         if holds(&join, now_ms) {
@@ -40,45 +40,45 @@
     None
 }
 
-/// A host of a living fleet asks its peers and reads the store only for what they can't tell; one
-/// whose seeds are gone reads it a moment later, and finds others by their entries. Nobody watches
-/// before it has had time to hear of the rest: hundreds that start at once would each take
-/// themselves for the watcher.
+/// A host of a running fleet asks its peers and reads the store only for what they can't provide.
+/// A host whose seeds are gone reads it slightly later and finds others by their entries. No host
+/// watches the store before it has had time to learn of the others. Otherwise each of hundreds
+/// that start at once would consider itself the watcher.
 #[rstest]
-#[case::of_a_living_fleet(Case {
+#[case::of_a_running_fleet(Case {
     has_seeds: true,
-    happens: &[(3, Meets), (9, HasAskedPeers)],
-    reads_ms: Some(9), watches_ms: Some(503), lonely_ms: None,
+    events: &[(3, PeerAnswers), (9, PeersQueried)],
+    reads_ms: Some(9), watches_ms: Some(503), discovers_ms: None,
 })]
 #[case::peers_are_slow(Case {
     has_seeds: true,
-    happens: &[(3, Meets), (400, HasAskedPeers)],
-    reads_ms: Some(303), watches_ms: Some(503), lonely_ms: None,
+    events: &[(3, PeerAnswers), (400, PeersQueried)],
+    reads_ms: Some(303), watches_ms: Some(503), discovers_ms: None,
 })]
 #[case::seeds_start_a_little_later(Case {
     has_seeds: true,
-    happens: &[(1, HasAskedPeers), (205, Meets)],
-    reads_ms: Some(1), watches_ms: Some(705), lonely_ms: None,
+    events: &[(1, PeersQueried), (205, PeerAnswers)],
+    reads_ms: Some(1), watches_ms: Some(705), discovers_ms: None,
 })]
 #[case::every_seed_is_gone(Case {
     has_seeds: true,
-    happens: &[],
-    reads_ms: Some(20), watches_ms: Some(1_500), lonely_ms: Some(1_000),
+    events: &[],
+    reads_ms: Some(20), watches_ms: Some(1_500), discovers_ms: Some(1_000),
 })]
 #[case::found_by_an_entry(Case {
     has_seeds: true,
-    happens: &[(1_012, Meets)],
-    reads_ms: Some(20), watches_ms: Some(1_512), lonely_ms: Some(1_000),
+    events: &[(1_012, PeerAnswers)],
+    reads_ms: Some(20), watches_ms: Some(1_512), discovers_ms: Some(1_000),
 })]
 #[case::the_first_host_of_all(Case {
     has_seeds: false,
-    happens: &[(6, FindsNobody)],
-    reads_ms: Some(0), watches_ms: Some(6), lonely_ms: Some(0),
+    events: &[(6, NoOtherHosts)],
+    reads_ms: Some(0), watches_ms: Some(6), discovers_ms: Some(0),
 })]
-#[case::the_store_is_away(Case {
+#[case::the_store_is_unavailable(Case {
     has_seeds: false,
-    happens: &[],
-    reads_ms: Some(0), watches_ms: Some(1_500), lonely_ms: Some(0),
+    events: &[],
+    reads_ms: Some(0), watches_ms: Some(1_500), discovers_ms: Some(0),
 })]
 fn asks_peers_before_the_store(#[case] case: Case) {
     assert_eq!(since(&case, Join::may_read_store), case.reads_ms, "reads");
@@ -89,7 +89,7 @@
     );
     assert_eq!(
         since(&case, Join::should_discover),
-        case.lonely_ms,
-        "is lonely"
+        case.discovers_ms,
+        "discovers"
     );
 }
--- a/crates/policy/tests/unresponsive_hosts.rs
+++ b/crates/policy/tests/unresponsive_hosts.rs
@@ -1,32 +1,32 @@
-//! When the entry of a host that doesn't answer is removed.
+//! Removal of the store entries of hosts that don't answer.
 
 use fulmarpath_policy::UnresponsiveHosts;
 use rstest::rstest;
 
 #[derive(Clone, Copy)]
-enum Look {
+enum Probe {
     Silent,
     Answers,
-    /// It isn't named any more, or is known to be present.
-    NotAbsent,
+    /// The host is not listed, or is known to be present.
+    Present,
 }
-use Look::{Answers, NotAbsent, Silent};
+use Probe::{Answers, Present, Silent};
 
-/// A host is cut off, restarted, or gone for good. Only one that is silent for half a minute on end
-/// loses its entry: another that lost it for a pause could not be found by a newcomer.
+/// Guards against removing the entry of a host that is only partitioned or restarting, which
+/// joining hosts could then not find. Only a host that is silent for half a minute loses it.
 #[rstest]
-#[case::gone(&[Silent; 6], true)]
+#[case::lost(&[Silent; 6], true)]
 #[case::restarted(&[Silent, Silent, Silent, Answers, Silent, Silent, Silent], false)]
-#[case::found_by_others(&[Silent, Silent, Silent, Silent, Silent, NotAbsent, Silent], false)]
+#[case::found_by_others(&[Silent, Silent, Silent, Silent, Silent, Present, Silent], false)]
 #[case::silent_for_a_while(&[Silent; 5], false)]
-fn only_the_gone_lose_their_entry(#[case] looks: &[Look], #[case] is_removed: bool) {
-    let mut absences = UnresponsiveHosts::default();
+fn only_lost_hosts_lose_their_entry(#[case] probes: &[Probe], #[case] is_removed: bool) {
+    let mut hosts = UnresponsiveHosts::default();
     let mut removed = false;
-    for look in looks {
-        match look {
-            Silent => removed = absences.record_miss("h1"),
-            Answers => absences.record_answer("h1"),
-            NotAbsent => absences.retain(|name| name != "h1"),
+    for probe in probes {
+        match probe {
+            Silent => removed = hosts.record_miss("h1"),
+            Answers => hosts.record_answer("h1"),
+            Present => hosts.retain(|name| name != "h1"),
         }
     }
     assert_eq!(removed, is_removed);
--- a/crates/policy/tests/upstreams.rs
+++ b/crates/policy/tests/upstreams.rs
@@ -1,75 +1,76 @@
-//! What one host knows of upstreams, which one it chooses, and how often it tries again.
+//! Upstream statistics, the choice between upstreams, and the retry limit.
 
 use fulmarpath_policy::{
     Choice, ReportedLoad, RetryBound, RetryWindow, UpstreamKey, UpstreamStats, Verdict, choose,
 };
 use rstest::rstest;
 
-struct Sickness {
+struct Health {
     verdicts: &'static [Verdict],
     latency_ms: u64,
-    /// Whether it costs more than a healthy one that works on two requests.
-    is_spared: bool,
+    /// Whether it costs more than a healthy upstream with two requests in flight.
+    costs_more: bool,
 }
 
-/// An upstream's answers go wrong, or come late; it is spared for a healthy one with more to do.
+/// An upstream that fails or answers slowly costs more than a healthy one with more load.
 #[rstest]
-#[case::well(Sickness { verdicts: &[Verdict::Good; 8], latency_ms: 30, is_spared: false })]
-#[case::fails(Sickness { verdicts: &[Verdict::Failed; 8], latency_ms: 30, is_spared: true })]
-#[case::fails_half(Sickness {
+#[case::healthy(Health { verdicts: &[Verdict::Good; 8], latency_ms: 30, costs_more: false })]
+#[case::fails(Health { verdicts: &[Verdict::Failed; 8], latency_ms: 30, costs_more: true })]
+#[case::fails_half(Health {
     verdicts: &[Verdict::Good, Verdict::Failed, Verdict::Good, Verdict::Failed, Verdict::Failed],
     latency_ms: 30,
-    is_spared: true,
+    costs_more: true,
 })]
-#[case::sheds(Sickness { verdicts: &[Verdict::Shed; 8], latency_ms: 30, is_spared: true })]
-#[case::slow(Sickness { verdicts: &[Verdict::Good; 8], latency_ms: 240, is_spared: true })]
-fn sick_upstreams_are_spared(#[case] case: Sickness) {
-    let mut sick = UpstreamStats::default();
-    let mut well = UpstreamStats::default();
-    for (turn, verdict) in case.verdicts.iter().enumerate() {
-        let now_ms = 1_000 + turn as u64 * 50;
-        let flight = sick.start(now_ms);
-        sick.record_latency(case.latency_ms);
-        sick.end(now_ms + 40, flight, *verdict);
-        let flight = well.start(now_ms);
-        well.record_latency(30);
-        well.end(now_ms + 30, flight, Verdict::Good);
+#[case::sheds(Health { verdicts: &[Verdict::Shed; 8], latency_ms: 30, costs_more: true })]
+#[case::slow(Health { verdicts: &[Verdict::Good; 8], latency_ms: 240, costs_more: true })]
+fn failing_and_slow_upstreams_cost_more(#[case] case: Health) {
+    let mut failing = UpstreamStats::default();
+    let mut healthy = UpstreamStats::default();
+    for (index, verdict) in case.verdicts.iter().enumerate() {
+        let now_ms = 1_000 + index as u64 * 50;
+        let flight = failing.start(now_ms);
+        failing.record_latency(case.latency_ms);
+        failing.end(now_ms + 40, flight, *verdict);
+        let flight = healthy.start(now_ms);
+        healthy.record_latency(30);
+        healthy.end(now_ms + 30, flight, Verdict::Good);
     }
-    well.start(1_500);
-    well.start(1_500);
-    assert_eq!(sick.cost(1_510) > well.cost(1_510), case.is_spared);
+    healthy.start(1_500);
+    healthy.start(1_500);
+    assert_eq!(failing.cost(1_510) > healthy.cost(1_510), case.costs_more);
 }
 
-/// An upstream hangs: nothing comes back, so the age of what it owes makes it dear.
+/// Guards against preferring an upstream that hangs and sends no response: the age of its oldest
+/// request raises its cost.
 #[test]
-fn a_hanging_upstream_grows_dear() {
+fn a_hanging_upstream_costs_more() {
     let mut hanging = UpstreamStats::default();
     hanging.start(1_000);
     assert!(hanging.cost(2_000) > 10.0 * hanging.cost(1_010));
 }
 
-/// What failed is tried again after a while without a failure.
+/// A failing upstream is tried again after some time without failures.
 #[test]
-fn failures_are_forgiven() {
-    let mut gauge = UpstreamStats::default();
-    gauge.record_unreachable(1_000);
-    assert!(gauge.failure_share(1_000) > 0.99);
-    assert!(gauge.failure_share(12_000) < 0.06);
+fn failures_decay() {
+    let mut stats = UpstreamStats::default();
+    stats.record_unreachable(1_000);
+    assert!(stats.failure_share(1_000) > 0.99);
+    assert!(stats.failure_share(12_000) < 0.06);
 }
 
-/// A stated load counts with what this host has sent since, and fades.
+/// A load report is combined with the requests that this host has sent since, and expires.
 #[test]
-fn stated_load_is_brought_up_to_date() {
-    let mut gauge = UpstreamStats::default();
+fn a_load_report_is_combined_with_own_requests() {
+    let mut stats = UpstreamStats::default();
     let load = ReportedLoad {
         running: 5,
         waiting: 1,
         slots: 6,
     };
-    gauge.record_load(1_000, load);
-    gauge.start(1_000);
-    assert!((gauge.occupancy(1_000) - 7.0).abs() < 0.01);
-    assert!((gauge.occupancy(4_000) - 1.0).abs() < 0.01);
+    stats.record_load(1_000, load);
+    stats.start(1_000);
+    assert!((stats.occupancy(1_000) - 7.0).abs() < 0.01);
+    assert!((stats.occupancy(4_000) - 1.0).abs() < 0.01);
 }
 
 struct Pick {
@@ -80,17 +81,17 @@
 
 #[rstest]
 #[case::cheapest(Pick { choices: &[(1, 50.0, true), (2, 10.0, true)], draw: 0.0, expected: Some(2) })]
-#[case::near_before_far(Pick { choices: &[(1, 10.0, false), (2, 8.0, true)], draw: 0.0, expected: Some(2) })]
+#[case::local_before_remote(Pick { choices: &[(1, 10.0, false), (2, 8.0, true)], draw: 0.0, expected: Some(2) })]
 #[case::equals_by_draw(Pick { choices: &[(1, 10.0, true), (2, 10.5, true)], draw: 0.9, expected: Some(2) })]
 #[case::none(Pick { choices: &[], draw: 0.5, expected: None })]
 fn chooses(#[case] case: Pick) {
     let choices: Vec<Choice<UpstreamKey>> = case
         .choices
         .iter()
-        .map(|(key, cost, near)| Choice {
+        .map(|(key, cost, is_local)| Choice {
             key: UpstreamKey(*key),
             cost: *cost,
-            is_local: *near,
+            is_local: *is_local,
         })
         .collect();
     assert_eq!(choose(&choices, case.draw).map(|key| key.0), case.expected);
@@ -101,8 +102,8 @@
     requests_each: usize,
 }
 
-/// All hosts of a fleet retry as often as they may: together they stay within the operator's bound
-/// in every window, however their requests are spread.
+/// All hosts of a fleet retry as often as they may. Together they stay within the operator's bound
+/// in every window, for any distribution of the requests.
 #[rstest]
 #[case::few(Budget { hosts: 3, requests_each: 100 })]
 #[case::many(Budget { hosts: 81, requests_each: 10 })]
@@ -132,7 +133,7 @@
     );
 }
 
-/// What was spent counts until its window is over.
+/// A retry counts until the window has passed.
 #[test]
 fn a_window_slides() {
     let bound = RetryBound {
@@ -146,8 +147,8 @@
     assert!(window.try_retry(1_001, 1));
 }
 
-/// Engines leave, and their generations go on elsewhere, each of which arrives at the service once more.
-/// They are never held back; the retries beside them are, until the window is over.
+/// Engines leave, and each of their generations continues elsewhere and reaches the service once
+/// more. Continuations are never throttled, but they leave fewer retries within the window.
 #[test]
 fn continuations_leave_fewer_retries() {
     let bound = RetryBound {
--- a/crates/policy/tests/watchers.rs
+++ b/crates/policy/tests/watchers.rs
@@ -1,15 +1,15 @@
-//! Which hosts watch the store.
+//! Selection of the hosts that watch the store.
 
 use std::collections::BTreeMap;
 
 use fulmarpath_policy::{WatchArea, WatchCandidate};
 use rstest::rstest;
 
-/// Ranks of the hosts that watch, of ten hosts of an area with ranks 1 to 10.
-fn watchers(area: &WatchArea, blind: &[u64]) -> Vec<u64> {
+/// Ranks of the watchers in an area of ten hosts with ranks 1 to 10.
+fn watchers(area: &WatchArea, unreadable: &[u64]) -> Vec<u64> {
     let host = |rank| WatchCandidate {
         rank,
-        store_unreadable: blind.contains(&rank),
+        store_unreadable: unreadable.contains(&rank),
     };
     let watches = |rank: &u64| {
         let others = (1..=10).filter(|one| one != rank);
@@ -25,44 +25,45 @@
     }
 }
 
-/// One host of an area watches. One that can't read the store tries on, and two others watch beside
-/// it. Where all say so, the store is away, and a few go on trying: the others would pay for nothing.
+/// One host of an area watches the store. A watcher that can't read it keeps trying, and two others
+/// watch in addition. If no host can read it, the store is unavailable and only a few keep trying,
+/// since calls of the others would cost without benefit.
 #[rstest]
-#[case::all_well(&[], &[10])]
-#[case::the_watcher_is_turned_away(&[10], &[10, 9, 8])]
+#[case::all_can_read(&[], &[10])]
+#[case::the_watcher_is_rejected(&[10], &[10, 9, 8])]
 #[case::its_first_substitute_as_well(&[10, 9], &[10, 9, 8, 7])]
 #[case::another_host_is(&[4], &[10])]
 #[case::four(&[10, 9, 8, 7], &[10, 9, 8, 7, 6, 5])]
-#[case::the_store_is_away(&[10, 9, 8, 7, 6, 5, 4, 3, 2, 1], &[10, 9, 8, 7, 6])]
-fn few_watch(#[case] blind: &[u64], #[case] expected: &[u64]) {
-    assert_eq!(watchers(&one_of(1), blind), expected);
+#[case::the_store_is_unavailable(&[10, 9, 8, 7, 6, 5, 4, 3, 2, 1], &[10, 9, 8, 7, 6])]
+fn few_hosts_watch(#[case] unreadable: &[u64], #[case] expected: &[u64]) {
+    assert_eq!(watchers(&one_of(1), unreadable), expected);
 }
 
-/// The only area of a fleet has two watchers, since nobody else's pings would bring the news.
+/// The only area of a fleet has two watchers, since no pings from other areas bring the changes.
 #[rstest]
-#[case::all_well(&[], &[10, 9])]
-#[case::one_is_turned_away(&[9], &[10, 9, 8])]
+#[case::all_can_read(&[], &[10, 9])]
+#[case::one_is_rejected(&[9], &[10, 9, 8])]
 #[case::the_first_is(&[10], &[10, 9, 8])]
 #[case::both_are(&[10, 9], &[10, 9, 8, 7])]
-fn two_watch_for_all(#[case] blind: &[u64], #[case] expected: &[u64]) {
-    assert_eq!(watchers(&one_of(2), blind), expected);
+fn a_single_area_has_two_watchers(#[case] unreadable: &[u64], #[case] expected: &[u64]) {
+    assert_eq!(watchers(&one_of(2), unreadable), expected);
 }
 
 struct Layout {
     hosts: &'static [(&'static str, usize)],
-    /// Each area, and how many of it watch.
+    /// Each area and its number of watchers.
     areas: &'static [(&'static [&'static str], usize)],
 }
 
-/// Data centres of a few hosts share their watchers; each of many has one of its own. Every data
-/// centre is of one area, and the fleet has two watchers or more.
+/// Data centres with few hosts share their watchers; a large one has its own. Every data centre
+/// belongs to one area, and the fleet has at least two watchers.
 #[rstest]
 #[case::small(Layout { hosts: &[("a", 2), ("b", 2), ("c", 2), ("d", 1)], areas: &[(&["a", "b", "c", "d"], 2)] })]
 #[case::just_one(Layout { hosts: &[("a", 9)], areas: &[(&["a"], 2)] })]
 #[case::large(Layout { hosts: &[("a", 27), ("b", 27), ("c", 27)], areas: &[(&["a"], 1), (&["b"], 1), (&["c"], 1)] })]
 #[case::mixed(Layout { hosts: &[("a", 5), ("b", 20), ("c", 4), ("d", 25)], areas: &[(&["a", "b"], 1), (&["c", "d"], 1)] })]
-#[case::a_rest(Layout { hosts: &[("a", 25), ("b", 25), ("c", 2)], areas: &[(&["a"], 1), (&["b", "c"], 1)] })]
-#[case::nobody(Layout { hosts: &[], areas: &[] })]
+#[case::a_small_remainder(Layout { hosts: &[("a", 25), ("b", 25), ("c", 2)], areas: &[(&["a"], 1), (&["b", "c"], 1)] })]
+#[case::no_hosts(Layout { hosts: &[], areas: &[] })]
 fn small_data_centres_share_watchers(#[case] layout: Layout) {
     let hosts = layout.hosts.iter();
     let hosts: BTreeMap<String, usize> = hosts
