--- a/crates/entry/src/attach.rs
+++ b/crates/entry/src/attach.rs
@@ -1,4 +1,4 @@
-//! Goes on with a generation that another host holds, or held before it died.
+//! Continues a generation that another host holds, or held before it failed.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -13,27 +13,28 @@
 use crate::identity::parse_name;
 use crate::outcome::End;
 
-/// How long a host that doesn't answer is asked again before engines are asked instead.
-const HOLDER_BOUND_MS: Millis = 5_000;
-const HOLDER_PAUSE: Duration = Duration::from_millis(200);
-/// A copy whose reader has left for so long is dropped, lest it keep the generation running.
+/// How long a holder that doesn't answer is retried before the engines are queried instead.
+const HOLDER_TIMEOUT_MS: Millis = 5_000;
+const HOLDER_RETRY_PAUSE: Duration = Duration::from_millis(200);
+/// A copy without a reader for this long is dropped; otherwise its fetches would keep the
+/// generation running.
 const COPY_GRACE_MS: Millis = 1_000;
-/// Higher than any attempt of the host that started the generation.
-const TAKE_OVER_ATTEMPT: u32 = 1_000_000;
+/// Greater than any attempt number of the host that started the generation.
+const TAKEOVER_ATTEMPT: u32 = 1_000_000;
 
-/// What a holder says of a generation before any of its tokens are relayed.
+/// Whether a generation ran, according to its holder.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum Standing {
-    /// It runs or has run.
-    Runs,
-    /// The host that holds it declares that it never ran it and never will.
+pub(crate) enum RunStatus {
+    /// It runs, has run, or its holder could not be asked.
+    MayHaveRun,
+    /// The host that holds it states that it never ran it and never will.
     NeverRan,
 }
 
-/// Asks whether a generation ran. Only its own host may say that it did not.
-pub(crate) async fn standing(node: &Node, name: &str) -> Standing {
+/// Asks the holder whether a generation ran. Only the host that named it can state that it did not.
+pub(crate) async fn query_run_status(node: &Node, name: &str) -> RunStatus {
     let Some(identity) = parse_name(name) else {
-        return Standing::Runs;
+        return RunStatus::MayHaveRun;
     };
     let answer = node
         .fetch(identity.host, identity.organisation, name, 0)
@@ -42,32 +43,32 @@
         Some(FetchAnswer::Tokens {
             end: Some(GenerationEnd::NotRun),
             ..
-        }) => Standing::NeverRan,
-        _ => Standing::Runs,
+        }) => RunStatus::NeverRan,
+        _ => RunStatus::MayHaveRun,
     }
 }
 
-/// Fills a local copy from the host that holds the generation, or from the engine that runs it
-/// where that host is gone.
+/// Fills a local copy from the host that holds the generation, or from the engine that runs it if
+/// that host is unavailable.
 pub(crate) async fn mirror(
     node: Arc<Node>,
     copy: Arc<Generation>,
     model: String,
-    silence: Duration,
+    silence_timeout: Duration,
 ) {
-    let end = match follow(&node, &copy).await {
+    let end = match read_from_holder(&node, &copy).await {
         Some(end) => end,
-        None => take_over(&node, &copy, &model, silence).await,
+        None => read_from_engines(&node, &copy, &model, silence_timeout).await,
     };
     copy.finish(node.clock().now_ms(), end);
 }
 
-/// Follows the holder; `None` where it is gone or has forgotten.
-async fn follow(node: &Node, copy: &Generation) -> Option<End> {
+/// Copies tokens from the holder; `None` if it doesn't answer or doesn't have the generation.
+async fn read_from_holder(node: &Node, copy: &Generation) -> Option<End> {
     let identity = parse_name(copy.name())?;
-    let mut heard_ms = node.clock().now_ms();
+    let mut last_answer_ms = node.clock().now_ms();
     loop {
-        if copy.is_left(node.clock().now_ms(), COPY_GRACE_MS) {
+        if copy.is_abandoned(node.clock().now_ms(), COPY_GRACE_MS) {
             return Some(End::Abandoned);
         }
         let from = copy.next_index();
@@ -76,7 +77,7 @@
             .await;
         match answer {
             Some(FetchAnswer::Tokens { texts, end }) => {
-                heard_ms = node.clock().now_ms();
+                last_answer_ms = node.clock().now_ms();
                 for (offset, text) in texts.iter().enumerate() {
                     copy.push(from + offset as u32, text);
                 }
@@ -89,7 +90,7 @@
                             Finish::Stop
                         }));
                     }
-                    // This caller's own request can't prove what another host's did.
+                    // This caller's request carries no proof of what the other host sent.
                     Some(GenerationEnd::NotRun | GenerationEnd::OutcomeUnknown) => {
                         return Some(End::OutcomeUnknown);
                     }
@@ -97,29 +98,37 @@
             }
             Some(FetchAnswer::Unknown) => return None,
             None => {
-                let silent_ms = node.clock().now_ms().saturating_sub(heard_ms);
-                if silent_ms > HOLDER_BOUND_MS {
+                let silent_ms = node.clock().now_ms().saturating_sub(last_answer_ms);
+                if silent_ms > HOLDER_TIMEOUT_MS {
                     return None;
                 }
-                tokio::time::sleep(HOLDER_PAUSE).await;
+                tokio::time::sleep(HOLDER_RETRY_PAUSE).await;
             }
         }
     }
 }
 
-/// Reads on from whichever engine knows the generation. Nothing is generated again.
-async fn take_over(node: &Node, copy: &Generation, model: &str, silence: Duration) -> End {
-    info!("attach: looking for {} on the engines", copy.name());
+/// Continues reading from whichever engine has the generation. Nothing is generated again.
+async fn read_from_engines(
+    node: &Node,
+    copy: &Generation,
+    model: &str,
+    silence_timeout: Duration,
+) -> End {
+    info!(
+        "attach: holder of {} unavailable; querying the engines",
+        copy.name()
+    );
     for engine in node.engines_of(model) {
         let request = ResumeRequest {
             generation: copy.name().to_owned(),
-            attempt: TAKE_OVER_ATTEMPT,
+            attempt: TAKEOVER_ATTEMPT,
             next_index: copy.next_index(),
         };
         let Ok(mut stream) = engine.resume(&request).await else {
             continue;
         };
-        while let Ok(Some(item)) = stream.next(silence).await {
+        while let Ok(Some(item)) = stream.next(silence_timeout).await {
             match item {
                 StreamItem::Token {
                     generation,
@@ -127,11 +136,11 @@
                     text,
                     ..
                 } if generation == copy.name() => {
-                    let wanted = copy.next_index();
-                    if index > wanted {
+                    let expected = copy.next_index();
+                    if index > expected {
                         break;
                     }
-                    if index == wanted {
+                    if index == expected {
                         copy.push(index, &text);
                     }
                 }
--- a/crates/entry/src/content.rs
+++ b/crates/entry/src/content.rs
@@ -1,11 +1,11 @@
-//! What a request asks for and for whom, by hash.
+//! Hash of a request's content together with its organisation and service.
 
 use std::hash::{Hash, Hasher};
 
 use fulmarpath_policy::{ContentKey, OrganisationKey, ServiceKey};
 use xxhash_rust::xxh3::Xxh3;
 
-/// The content of a request whose text has this hash: the same in each try of its caller.
+/// Content key of a request whose body has this hash. It is the same for each retry by the caller.
 pub(crate) fn content_of(
     organisation: OrganisationKey,
     service: ServiceKey,
--- a/crates/entry/src/crash.rs
+++ b/crates/entry/src/crash.rs
@@ -1,4 +1,4 @@
-//! Generations whose engine ended as it began to run them.
+//! Generations whose engine crashed shortly after it began to run them.
 
 use std::time::Duration;
 
@@ -9,23 +9,23 @@
 use spdlog::warn;
 use tokio::time::{sleep, timeout};
 
-use crate::drive::Driver;
+use crate::driver::Driver;
 use crate::outcome::{End, NotRun, NotRunReason, Unsent};
 
-/// Time for an engine's word that it is there.
-const CHECK_BOUND: Duration = Duration::from_millis(250);
-/// Engines that may end under one generation until it is given up. Without a bound its host took it to
-/// every engine in turn, and each ended with all that ran there.
-const MOST_ENDED: u32 = 3;
-/// After the second of them the homes' decision is waited for, which stands some 400 ms after the
-/// reports; a caller whose answer had not begun can bear that.
-const CIRCUIT_WAIT: Duration = Duration::from_millis(700);
+/// Time limit of the probe whether an engine is still running.
+const PROBE_TIMEOUT: Duration = Duration::from_millis(250);
+/// Engine crashes after which a generation is abandoned. Without a limit, its host would send it to
+/// every engine in turn, and each would crash with everything that runs there.
+const MAX_CRASHED_ENGINES: u32 = 3;
+/// Wait before the last attempt, for the homes' decision on quarantine, which is made some 400 ms
+/// after the crash reports. The delay is acceptable to a caller whose response has not begun.
+const CIRCUIT_DECISION_WAIT: Duration = Duration::from_millis(700);
 
 impl Driver {
-    /// Whether the generation may begin to run, by what its content has done to engines.
+    /// Checks that the generation's content isn't quarantined for crashing engines.
     pub(crate) async fn admit(&self, unsent: &mut Option<Unsent>) -> Result<(), End> {
         let (service, content) = (self.job.request.service, self.job.content);
-        let Err(quarantined) = self.drivers.node.admit(service, content).await else {
+        let Err(quarantined) = self.context.node.admit(service, content).await else {
             return Ok(());
         };
         Err(match unsent.take() {
@@ -34,36 +34,39 @@
         })
     }
 
-    /// Whether a generation that its engine broke off may go on elsewhere. Where the engine itself
-    /// has ended and the generation had just begun there, the homes of its service hear of it.
-    pub(crate) async fn may_go_on(&mut self, permit: &Permit) -> bool {
+    /// Whether a generation that its engine interrupted may continue on another one. If the engine
+    /// itself has crashed and the generation had just begun there, the crash is reported to the
+    /// homes of its service.
+    pub(crate) async fn may_continue(&mut self, permit: &Permit) -> bool {
         let now_ms = self.clock.now_ms();
-        let ran_ms = self.begun_ms.map(|begun| now_ms.saturating_sub(begun));
-        if !is_crash_suspect(ran_ms) || !self.has_ended(permit).await {
+        let ran_ms = self
+            .first_engine_token_ms
+            .map(|started_ms| now_ms.saturating_sub(started_ms));
+        if !is_crash_suspect(ran_ms) || !self.engine_has_exited(permit).await {
             return true;
         }
         let (service, content) = (self.job.request.service, self.job.content);
-        let node = &self.drivers.node;
+        let node = &self.context.node;
         node.report_upstream_crash(service, content, permit.upstream);
-        self.ended_engines += 1;
-        if self.ended_engines >= MOST_ENDED {
+        self.crashed_engines += 1;
+        if self.crashed_engines >= MAX_CRASHED_ENGINES {
             let name = self.job.generation.name();
-            warn!("relay: {name} is given up, {MOST_ENDED} engines ended under it");
+            warn!("relay: {name} abandoned after {MAX_CRASHED_ENGINES} engine crashes");
             return false;
         }
-        if self.ended_engines + 1 == MOST_ENDED {
-            sleep(CIRCUIT_WAIT).await;
+        if self.crashed_engines + 1 == MAX_CRASHED_ENGINES {
+            sleep(CIRCUIT_DECISION_WAIT).await;
         }
         true
     }
 
-    /// Whether an engine has ended without notice, or says nothing any more.
-    async fn has_ended(&self, permit: &Permit) -> bool {
-        if !self.drivers.node.is_engine_live(permit.upstream) {
+    /// Whether an engine that had not announced that it leaves has exited, or doesn't answer.
+    async fn engine_has_exited(&self, permit: &Permit) -> bool {
+        if !self.context.node.is_engine_live(permit.upstream) {
             return false;
         }
         sleep(LISTENER_CLOSE_WAIT).await;
-        match timeout(CHECK_BOUND, permit.engine.load()).await {
+        match timeout(PROBE_TIMEOUT, permit.engine.load()).await {
             Ok(Ok(_)) => false,
             Ok(Err(error)) => matches!(error, EngineError::NotRun(_)),
             Err(_) => true,
--- a/crates/entry/src/drive.rs
+++ b/crates/entry/src/driver.rs
@@ -1,4 +1,5 @@
-//! Drives one generation from its request to its end, over as many engines as it takes.
+//! Runs one generation from its request to its end, and continues it on another engine after a
+//! failure.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -12,19 +13,19 @@
 use tracing::{Instrument, info_span};
 
 use crate::generation::Generation;
-use crate::hop::Hop;
 use crate::metrics::{CallerLabels, Metrics};
 use crate::outcome::{End, NotRun, NotRunReason, Unsent};
-use crate::stay::Relayed;
+use crate::relay::RelayOutcome;
+use crate::trace::RequestTrace;
 
-/// How long a generation with tokens out looks for another engine.
-const RECOVERY_BOUND_MS: Millis = 60_000;
-const RECOVERY_PAUSE: Duration = Duration::from_millis(200);
-const RETRY_SHARE: f32 = 0.1;
-const RETRY_MOST: f32 = 10.0;
+/// How long a generation that was sent to an engine seeks another one after a failure.
+const RECOVERY_TIMEOUT_MS: Millis = 60_000;
+const RECOVERY_RETRY_PAUSE: Duration = Duration::from_millis(200);
+const RETRY_RATIO: f32 = 0.1;
+const MAX_SAVED_RETRIES: f32 = 10.0;
 
-/// What the drivers of a host share.
-pub(crate) struct Drivers {
+/// State shared by the drivers of a host.
+pub(crate) struct DriverContext {
     pub(crate) node: Arc<Node>,
     pub(crate) metrics: Arc<Metrics>,
     pub(crate) silence_timeout: Duration,
@@ -32,7 +33,7 @@
     budgets: Mutex<HashMap<UpstreamKey, RetryBudget>>,
 }
 
-impl Drivers {
+impl DriverContext {
     pub(crate) fn new(
         node: Arc<Node>,
         metrics: Arc<Metrics>,
@@ -48,154 +49,166 @@
         }
     }
 
-    fn budget<T>(&self, upstream: UpstreamKey, use_it: impl FnOnce(&mut RetryBudget) -> T) -> T {
+    fn with_budget<T>(
+        &self,
+        upstream: UpstreamKey,
+        action: impl FnOnce(&mut RetryBudget) -> T,
+    ) -> T {
         let mut budgets = self.budgets.lock();
         let budget = budgets
             .entry(upstream)
-            .or_insert_with(|| RetryBudget::new(RETRY_SHARE, RETRY_MOST));
-        use_it(budget)
+            .or_insert_with(|| RetryBudget::new(RETRY_RATIO, MAX_SAVED_RETRIES));
+        action(budget)
     }
 }
 
-/// A generation that is to run.
+/// A generation to be run.
 pub(crate) struct Job {
     pub(crate) generation: Arc<Generation>,
     pub(crate) content: ContentKey,
     pub(crate) request: PermitRequest,
     pub(crate) prompt: String,
     pub(crate) labels: CallerLabels,
-    pub(crate) since_ms: Millis,
-    pub(crate) hop: Hop,
+    pub(crate) received_at_ms: Millis,
+    pub(crate) trace: RequestTrace,
 }
 
-/// What became of a generation that was sent to an engine.
+/// Result of sending a generation to an engine.
 enum Started {
     Streams(Box<dyn TokenStream>),
-    /// The engine certainly doesn't run it.
+    /// The engine certainly did not run it.
     NotRun,
-    /// The engine was lost with it.
-    Lost,
+    /// The connection failed and the engine could not resume the generation.
+    EngineLost,
 }
 
-/// Runs a generation to its end and records it there.
-pub(crate) async fn drive(drivers: Arc<Drivers>, job: Job, unsent: Unsent) {
+/// Runs a generation to its end and records how it ended.
+pub(crate) async fn drive(context: Arc<DriverContext>, job: Job, unsent: Unsent) {
     let generation = job.generation.clone();
     let mut driver = Driver {
-        clock: drivers.node.clock(),
-        drivers,
+        clock: context.node.clock(),
+        context,
         last_token_ms: None,
-        begun_ms: None,
-        ended_engines: 0,
+        first_engine_token_ms: None,
+        crashed_engines: 0,
         attempt: 0,
         job,
     };
     let end = driver.run(unsent).await;
     if let End::NotRun(not_run) = end {
         let kind = crate::problem::Problem::NotRun(not_run).kind();
-        driver.drivers.metrics.refuse(kind);
+        driver.context.metrics.record_refusal(kind);
     }
     generation.finish(driver.clock.now_ms(), end);
 }
 
 pub(crate) struct Driver {
-    pub(crate) drivers: Arc<Drivers>,
+    pub(crate) context: Arc<DriverContext>,
     pub(crate) clock: Clock,
     pub(crate) job: Job,
     pub(crate) last_token_ms: Option<Millis>,
-    /// When the first token of the present engine came.
-    pub(crate) begun_ms: Option<Millis>,
-    /// Engines that ended when this generation had just begun there.
-    pub(crate) ended_engines: u32,
+    /// When the first token of the current engine arrived.
+    pub(crate) first_engine_token_ms: Option<Millis>,
+    /// Engines that crashed shortly after this generation began to run on them.
+    pub(crate) crashed_engines: u32,
     pub(crate) attempt: u32,
 }
 
 impl Driver {
     async fn run(&mut self, unsent: Unsent) -> End {
         let mut unsent = Some(unsent);
-        let mut without: Vec<UpstreamKey> = Vec::new();
-        let mut moved = None;
-        let mut has_leave = false;
+        let mut excluded: Vec<UpstreamKey> = Vec::new();
+        let mut move_permit = None;
+        let mut is_admitted = false;
         loop {
-            if !std::mem::replace(&mut has_leave, true)
+            if !std::mem::replace(&mut is_admitted, true)
                 && let Err(end) = self.admit(&mut unsent).await
             {
                 return end;
             }
-            let permit = match moved.take() {
+            let permit = match move_permit.take() {
                 Some(permit) => permit,
-                None => match self.permit(&mut unsent, &mut without).await {
+                None => match self.acquire_permit(&mut unsent, &mut excluded).await {
                     Ok(permit) => permit,
                     Err(end) => return end,
                 },
             };
             let upstream = permit.upstream;
             let started = self.start(&permit, &mut unsent).await;
-            if matches!(started, Started::Lost) {
-                has_leave = false;
-                if !self.may_go_on(&permit).await {
+            if matches!(started, Started::EngineLost) {
+                is_admitted = false;
+                if !self.may_continue(&permit).await {
                     return End::OutcomeUnknown;
                 }
             }
             let Started::Streams(stream) = started else {
-                without.push(upstream);
-                if unsent.is_some() && !self.drivers.budget(upstream, RetryBudget::try_retry) {
+                excluded.push(upstream);
+                if unsent.is_some() && !self.context.with_budget(upstream, RetryBudget::try_retry) {
                     let proof = unsent.take().unwrap_or_else(Unsent::refused_by_upstream);
                     return End::NotRun(NotRun::new(proof, NotRunReason::RefusedByUpstream));
                 }
                 continue;
             };
-            match self.stay(stream, &permit).await {
-                Relayed::Complete(finish) => {
+            match self.relay_with_reconnects(stream, &permit).await {
+                RelayOutcome::Complete(finish) => {
                     let (service, content) = (self.job.request.service, self.job.content);
-                    self.drivers.node.note_success(service, content);
+                    self.context.node.note_success(service, content);
                     permit.finish();
                     return End::Complete(finish);
                 }
-                Relayed::CallerLeft => {
+                RelayOutcome::CallerLeft => {
                     self.cancel(&permit).await;
                     return End::Abandoned;
                 }
-                Relayed::Moved(other) => {
-                    self.drivers.metrics.recover("move");
+                RelayOutcome::Moved(other) => {
+                    self.context.metrics.record_recovery("move");
                     self.cancel(&permit).await;
-                    moved = Some(other);
+                    move_permit = Some(other);
                 }
-                Relayed::Interrupted => {
-                    has_leave = false;
-                    if !self.may_go_on(&permit).await {
+                RelayOutcome::Interrupted => {
+                    is_admitted = false;
+                    if !self.may_continue(&permit).await {
                         return End::OutcomeUnknown;
                     }
-                    self.drivers.metrics.recover("other_engine");
-                    warn!("relay: {} leaves an engine", self.job.generation.name());
+                    self.context.metrics.record_recovery("other_engine");
+                    warn!(
+                        "relay: {} lost its engine and continues on another",
+                        self.job.generation.name()
+                    );
                     self.spawn_cancel(permit);
-                    without = vec![upstream];
+                    excluded = vec![upstream];
                 }
             }
         }
     }
 
-    /// Asks for a permit; a generation that was sent once asks until its bound.
-    async fn permit(
+    /// Acquires a permit. A generation that has been sent before retries until
+    /// [`RECOVERY_TIMEOUT_MS`].
+    async fn acquire_permit(
         &self,
         unsent: &mut Option<Unsent>,
-        without: &mut Vec<UpstreamKey>,
+        excluded: &mut Vec<UpstreamKey>,
     ) -> Result<Permit, End> {
-        let since_ms = self.clock.now_ms();
+        let started_ms = self.clock.now_ms();
         loop {
             let mut request = self.job.request.clone();
-            request.excluded = without.clone();
+            request.excluded = excluded.clone();
             request.out_tokens = self.job.generation.next_index();
-            let asked = tokio::select! {
-                asked = self.drivers.node.acquire_permit(&request).instrument(info_span!("home.permit")) => asked,
-                () = self.left() => return Err(self.end_left(unsent)),
+            let result = tokio::select! {
+                result = self
+                    .context
+                    .node
+                    .acquire_permit(&request)
+                    .instrument(info_span!("home.permit")) => result,
+                () = self.caller_left() => return Err(self.end_after_caller_left(unsent)),
             };
-            let error = match asked {
+            let error = match result {
                 Ok(permit) => return Ok(permit),
                 Err(error) => error,
             };
-            if error == NotGranted::NoEngine && !without.is_empty() {
-                without.clear();
-                tokio::time::sleep(RECOVERY_PAUSE).await;
+            if error == NotGranted::NoEngine && !excluded.is_empty() {
+                excluded.clear();
+                tokio::time::sleep(RECOVERY_RETRY_PAUSE).await;
                 if unsent.is_none() {
                     continue;
                 }
@@ -206,29 +219,29 @@
                     NotRunReason::NotGranted(error),
                 )));
             }
-            if self.clock.now_ms().saturating_sub(since_ms) > RECOVERY_BOUND_MS {
+            if self.clock.now_ms().saturating_sub(started_ms) > RECOVERY_TIMEOUT_MS {
                 return Err(End::OutcomeUnknown);
             }
-            tokio::time::sleep(RECOVERY_PAUSE).await;
+            tokio::time::sleep(RECOVERY_RETRY_PAUSE).await;
         }
     }
 
-    fn end_left(&self, unsent: &mut Option<Unsent>) -> End {
+    fn end_after_caller_left(&self, unsent: &mut Option<Unsent>) -> End {
         match unsent.take() {
             Some(proof) => End::NotRun(NotRun::new(proof, NotRunReason::HostClosed)),
             None => End::Abandoned,
         }
     }
 
-    /// Sends the generation to the permit's engine.
+    /// Sends the generation to the engine of the permit.
     async fn start(&mut self, permit: &Permit, unsent: &mut Option<Unsent>) -> Started {
         self.attempt += 1;
-        self.begun_ms = None;
-        self.drivers
-            .budget(permit.upstream, RetryBudget::record_first_attempt);
+        self.first_engine_token_ms = None;
+        self.context
+            .with_budget(permit.upstream, RetryBudget::record_first_attempt);
         let span = info_span!("engine.generate", attempt = self.attempt);
         let request = GenerateRequest {
-            traceparent: self.job.hop.traceparent(&span),
+            traceparent: self.job.trace.traceparent(&span),
             generation: self.job.generation.name().to_owned(),
             attempt: self.attempt,
             model: self.job.request.model.clone(),
@@ -237,29 +250,30 @@
             output_limit_tokens: self.job.request.output_limit_tokens,
             priority: permit.priority,
         };
-        let first = unsent.take().is_some();
+        let is_first_dispatch = unsent.take().is_some();
         let sent = permit.engine.generate(&request);
         match sent.instrument(span).await {
             Ok(stream) => Started::Streams(stream),
             Err(EngineError::NotRun(_)) => {
-                if first {
+                if is_first_dispatch {
                     *unsent = Some(Unsent::refused_by_upstream());
                 }
                 Started::NotRun
             }
             Err(EngineError::UnknownGeneration | EngineError::OutcomeUnknown(_)) => {
-                if !self.drivers.node.has(Safeguard::NotRunProof) {
+                if !self.context.node.has(Safeguard::NotRunProof) {
                     *unsent = Some(Unsent::refused_by_upstream());
                 }
                 match self.resume(permit).await {
                     Some(stream) => Started::Streams(stream),
-                    None => Started::Lost,
+                    None => Started::EngineLost,
                 }
             }
         }
     }
 
-    /// Reads on over a new connection; `None` where the engine doesn't answer or has lost it.
+    /// Resumes the stream over a new connection; `None` if the engine doesn't answer or doesn't
+    /// have the generation any more.
     pub(crate) async fn resume(&mut self, permit: &Permit) -> Option<Box<dyn TokenStream>> {
         self.attempt += 1;
         let request = ResumeRequest {
@@ -270,19 +284,24 @@
         permit.engine.resume(&request).await.ok()
     }
 
-    pub(crate) async fn other_engine(&self, permit: &Permit) -> Option<Permit> {
+    /// Acquires a permit on another engine, without waiting in its queue.
+    pub(crate) async fn acquire_move_permit(&self, permit: &Permit) -> Option<Permit> {
         let mut request = self.job.request.clone();
         request.excluded = vec![permit.upstream];
         request.out_tokens = self.job.generation.next_index();
         request.only_now = true;
-        let other = self.drivers.node.acquire_permit(&request).await.ok()?;
-        info!("relay: {} moves", self.job.generation.name());
+        let other = self.context.node.acquire_permit(&request).await.ok()?;
+        info!(
+            "relay: {} moves to another engine",
+            self.job.generation.name()
+        );
         Some(other)
     }
 
-    /// Resolves once the caller has left a generation that nobody else may ask for.
-    pub(crate) async fn left(&self) {
-        const CHECK: Duration = Duration::from_millis(250);
+    /// Resolves once the caller has abandoned the generation. A keyed generation is never
+    /// abandoned, since a repeat of its key may still ask for it.
+    pub(crate) async fn caller_left(&self) {
+        const POLL_PERIOD: Duration = Duration::from_millis(250);
         if self.job.generation.is_keyed() {
             std::future::pending::<()>().await;
         }
@@ -291,11 +310,11 @@
             if self
                 .job
                 .generation
-                .is_left(now_ms, self.drivers.reconnect_grace_ms)
+                .is_abandoned(now_ms, self.context.reconnect_grace_ms)
             {
                 return;
             }
-            tokio::time::sleep(CHECK).await;
+            tokio::time::sleep(POLL_PERIOD).await;
         }
     }
 
@@ -303,7 +322,7 @@
         let _ = permit.engine.cancel(self.job.generation.name()).await;
     }
 
-    /// Cancels on an engine that may be dead, without waiting for it.
+    /// Cancels the generation on an engine that may be dead, without waiting for the answer.
     fn spawn_cancel(&self, permit: Permit) {
         let name = self.job.generation.name().to_owned();
         let engine = permit.engine.clone();
--- a/crates/entry/src/generation.rs
+++ b/crates/entry/src/generation.rs
@@ -1,4 +1,4 @@
-//! One generation as this host holds it: its tokens so far and how it ended.
+//! One generation as held by this host: its tokens so far and how it ended.
 
 use std::sync::atomic::{AtomicBool, AtomicU32, AtomicU64, Ordering};
 use std::time::Duration;
@@ -12,13 +12,13 @@
 #[derive(Debug, Default)]
 struct Buffer {
     text: String,
-    /// The end in `text` of each token.
+    /// End offset of each token in `text`.
     ends: Vec<u32>,
     end: Option<End>,
 }
 
-/// The tokens of one generation from `base` on. Callers read from here, so that a slow one holds
-/// back nobody and one that lost its connection goes on where it was.
+/// The tokens of one generation from index `base` on. Callers read from this buffer: a slow caller
+/// delays neither the engine nor other readers, and one that reconnects continues where it was.
 #[derive(Debug)]
 pub struct Generation {
     name: String,
@@ -33,15 +33,15 @@
     ended_at_ms: AtomicU64,
 }
 
-/// What a reader gets: tokens from its index on, then the end.
+/// The tokens from a reader's index on, and the end once reached.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub(crate) struct Piece {
+pub(crate) struct TokenBatch {
     pub(crate) texts: Vec<String>,
     pub(crate) end: Option<End>,
 }
 
 impl Generation {
-    /// A generation without tokens, whose first one has index `base`.
+    /// Creates a generation without tokens; its first token will have index `base`.
     pub(crate) fn new(
         name: String,
         organisation: OrganisationKey,
@@ -63,12 +63,12 @@
         }
     }
 
-    /// Its name.
+    /// The unique name.
     pub fn name(&self) -> &str {
         &self.name
     }
 
-    /// Whose it is.
+    /// The organisation that requested it.
     pub fn organisation(&self) -> OrganisationKey {
         self.organisation
     }
@@ -81,7 +81,7 @@
         self.keyed
     }
 
-    /// The index of the next token.
+    /// Index of the next token to be appended.
     pub(crate) fn next_index(&self) -> u32 {
         self.base + self.buffer.lock().ends.len() as u32
     }
@@ -89,8 +89,8 @@
     /// Appends the token at `index`.
     ///
     /// # Panics
-    /// Where `index` isn't the next one, or the generation has ended: a token would reach its
-    /// caller twice, out of order or not at all.
+    /// If `index` isn't the next one, or the generation has ended: a token would reach its caller
+    /// twice, out of order or not at all.
     pub(crate) fn push(&self, index: u32, text: &str) {
         {
             let mut buffer = self.buffer.lock();
@@ -104,7 +104,7 @@
         self.changed.send_replace(());
     }
 
-    /// Ends the generation; only the first end counts.
+    /// Ends the generation; later calls have no effect.
     pub(crate) fn finish(&self, now_ms: Millis, end: End) {
         {
             let mut buffer = self.buffer.lock();
@@ -126,19 +126,19 @@
         (at_ms > 0).then_some(at_ms)
     }
 
-    /// Bytes that it holds.
+    /// Size of the buffers, in bytes.
     pub(crate) fn size_bytes(&self) -> usize {
         let buffer = self.buffer.lock();
         buffer.text.capacity() + buffer.ends.capacity() * size_of::<u32>()
     }
 
-    /// All tokens, for an engine that goes on after them.
+    /// All tokens, for an engine that continues after them.
     pub(crate) fn texts(&self) -> Vec<String> {
-        self.piece(self.base).texts
+        self.tokens_from(self.base).texts
     }
 
-    /// The tokens from `from` on, and the end where it is reached.
-    pub(crate) fn piece(&self, from: u32) -> Piece {
+    /// The tokens from index `from` on, and the end once reached.
+    pub(crate) fn tokens_from(&self, from: u32) -> TokenBatch {
         let buffer = self.buffer.lock();
         let skip = from.saturating_sub(self.base) as usize;
         let mut start = match skip.checked_sub(1) {
@@ -152,30 +152,34 @@
             start = end;
         }
         let end = buffer.end;
-        Piece { texts, end }
+        TokenBatch { texts, end }
     }
 
-    /// Waits until there is something at or after `from`, or the end.
-    pub(crate) async fn wait(&self, from: u32) -> Piece {
+    /// Waits for a token at or after index `from`, or for the end.
+    pub(crate) async fn wait_for_tokens(&self, from: u32) -> TokenBatch {
         let mut changed = self.changed.subscribe();
         loop {
-            let piece = self.piece(from);
-            if !piece.texts.is_empty() || piece.end.is_some() {
-                return piece;
+            let batch = self.tokens_from(from);
+            if !batch.texts.is_empty() || batch.end.is_some() {
+                return batch;
             }
             if changed.changed().await.is_err() {
-                return piece;
+                return batch;
             }
         }
     }
 
-    /// The same, but for at most `bound`.
-    pub(crate) async fn wait_at_most(&self, from: u32, bound: Duration) -> Piece {
-        let waited = tokio::time::timeout(bound, self.wait(from)).await;
-        waited.unwrap_or_else(|_| self.piece(from))
+    /// Like [`Self::wait_for_tokens`], but waits at most `time_limit`.
+    pub(crate) async fn wait_for_tokens_within(
+        &self,
+        from: u32,
+        time_limit: Duration,
+    ) -> TokenBatch {
+        let waited = tokio::time::timeout(time_limit, self.wait_for_tokens(from)).await;
+        waited.unwrap_or_else(|_| self.tokens_from(from))
     }
 
-    /// Somebody reads at this time.
+    /// Records the time of a read.
     pub(crate) fn touch(&self, now_ms: Millis) {
         self.read_at_ms.fetch_max(now_ms, Ordering::Relaxed);
     }
@@ -189,13 +193,12 @@
         self.readers.fetch_sub(1, Ordering::Relaxed);
     }
 
-    /// Its caller wants no more of it.
     pub(crate) fn cancel(&self) {
         self.cancelled.store(true, Ordering::Relaxed);
     }
 
-    /// Whether it was cancelled, or nobody has read for longer than `grace_ms`.
-    pub(crate) fn is_left(&self, now_ms: Millis, grace_ms: Millis) -> bool {
+    /// Whether it was cancelled, or has had no reader for longer than `grace_ms`.
+    pub(crate) fn is_abandoned(&self, now_ms: Millis, grace_ms: Millis) -> bool {
         self.cancelled.load(Ordering::Relaxed)
             || self.readers.load(Ordering::Relaxed) == 0
                 && now_ms.saturating_sub(self.read_at_ms.load(Ordering::Relaxed)) > grace_ms
--- a/crates/entry/src/identity.rs
+++ b/crates/entry/src/identity.rs
@@ -1,7 +1,7 @@
-//! Names of generations: the host that holds it, its organisation and a unique number.
+//! Names of generations: the host that holds the generation, its organisation and a unique number.
 //!
-//! The organisation is part of the name, so that an engine, which knows no organisations, can't
-//! hand one organisation's generation to another: with another organisation it is another name.
+//! Engines know no organisations. With the organisation in the name, generations of different
+//! organisations never share a name, so an engine can't return one organisation's to another.
 
 use fulmarpath_policy::{HostKey, OrganisationKey};
 use uuid::Uuid;
@@ -13,13 +13,13 @@
     pub(crate) organisation: OrganisationKey,
 }
 
-/// A new name.
+/// Creates a unique name.
 pub(crate) fn new_name(host: HostKey, organisation: OrganisationKey) -> String {
     let unique = Uuid::now_v7().simple();
     format!("{:016x}.{:016x}.{unique}", host.0, organisation.0)
 }
 
-/// The parts of a name; `None` where it isn't one.
+/// Parses a name; `None` if it is malformed.
 pub(crate) fn parse_name(name: &str) -> Option<Identity> {
     let mut parts = name.split('.');
     let host = u64::from_str_radix(parts.next()?, 16).ok()?;
@@ -34,12 +34,12 @@
     })
 }
 
-/// The id of an event: a generation's name and a token's index.
+/// Id of a server-sent event: the generation's name and the token's index.
 pub(crate) fn event_id(name: &str, index: u32) -> String {
     format!("{name}:{index}")
 }
 
-/// The parts of an event's id.
+/// Parses the id of a server-sent event.
 pub(crate) fn parse_event_id(id: &str) -> Option<(&str, u32)> {
     let (name, index) = id.rsplit_once(':')?;
     Some((name, index.parse().ok()?))
--- a/crates/entry/src/lib.rs
+++ b/crates/entry/src/lib.rs
@@ -1,12 +1,10 @@
-//! Callers' and operators' HTTP, and the relay between callers and engines.
+//! HTTP interfaces of callers and operators, and the relay between callers and engines.
 
-mod answer;
 mod attach;
 mod content;
 mod crash;
-mod drive;
+mod driver;
 mod generation;
-mod hop;
 mod identity;
 mod metrics;
 mod operator;
@@ -14,11 +12,13 @@
 mod plain;
 mod problem;
 mod registry;
+mod relay;
 mod request;
+mod response;
 mod routes;
 mod server;
-mod stay;
 mod submit;
+mod trace;
 
 pub use generation::Generation;
 pub use metrics::Metrics;
--- a/crates/entry/src/metrics.rs
+++ b/crates/entry/src/metrics.rs
@@ -1,4 +1,4 @@
-//! Counters and histograms of what this host decided and relayed.
+//! Prometheus metrics of a host's decisions and of what it relayed.
 
 use std::collections::HashSet;
 
@@ -11,8 +11,8 @@
 use prometheus_client::metrics::histogram::Histogram;
 use prometheus_client::registry::Registry;
 
-/// Labels of a caller. Organisations beyond the bound share one label, so that the page can't
-/// grow without end.
+/// Labels of a caller. Organisations beyond [`MAX_ORGANISATION_LABELS`] share one label, which
+/// bounds the size of the page.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, EncodeLabelSet)]
 pub(crate) struct CallerLabels {
     pub(crate) organisation: String,
@@ -37,11 +37,11 @@
     pub(crate) upstream: String,
 }
 
-const ORGANISATIONS: usize = 200;
-const BETWEEN_BUCKETS_MS: [f64; 12] = [
+const MAX_ORGANISATION_LABELS: usize = 200;
+const TOKEN_GAP_BUCKETS_MS: [f64; 12] = [
     5.0, 10.0, 15.0, 20.0, 25.0, 35.0, 50.0, 75.0, 100.0, 250.0, 1_000.0, 5_000.0,
 ];
-const FIRST_BUCKETS_MS: [f64; 9] = [
+const FIRST_TOKEN_BUCKETS_MS: [f64; 9] = [
     50.0, 100.0, 250.0, 500.0, 1_000.0, 1_500.0, 3_000.0, 6_000.0, 12_000.0,
 ];
 
@@ -72,7 +72,7 @@
 }
 
 impl Metrics {
-    /// All at zero.
+    /// Registers all metrics.
     pub fn new() -> Self {
         let mut metrics = Self {
             registry: Registry::with_prefix("fulmarpath"),
@@ -82,8 +82,10 @@
             answers: Family::default(),
             refusals: Family::default(),
             recoveries: Family::default(),
-            between_tokens_ms: Family::new_with_constructor(|| Histogram::new(BETWEEN_BUCKETS_MS)),
-            first_token_ms: Family::new_with_constructor(|| Histogram::new(FIRST_BUCKETS_MS)),
+            between_tokens_ms: Family::new_with_constructor(|| {
+                Histogram::new(TOKEN_GAP_BUCKETS_MS)
+            }),
+            first_token_ms: Family::new_with_constructor(|| Histogram::new(FIRST_TOKEN_BUCKETS_MS)),
             engine_running: Family::default(),
             engine_queued: Family::default(),
             engine_used_tokens: Family::default(),
@@ -148,7 +150,8 @@
 
     pub(crate) fn caller(&self, organisation: &str, service: &str) -> CallerLabels {
         let mut known = self.organisations.lock();
-        let organisation = if known.contains(organisation) || known.len() < ORGANISATIONS {
+        let organisation = if known.contains(organisation) || known.len() < MAX_ORGANISATION_LABELS
+        {
             known.insert(organisation.to_owned());
             organisation
         } else {
@@ -160,15 +163,15 @@
         }
     }
 
-    pub(crate) fn refuse(&self, kind: &'static str) {
+    pub(crate) fn record_refusal(&self, kind: &'static str) {
         self.refusals.get_or_create(&KindLabel { kind }).inc();
     }
 
-    pub(crate) fn recover(&self, kind: &'static str) {
+    pub(crate) fn record_recovery(&self, kind: &'static str) {
         self.recoveries.get_or_create(&KindLabel { kind }).inc();
     }
 
-    /// The page in the text form of Prometheus.
+    /// The metrics page in Prometheus text format.
     pub fn page(&self) -> String {
         let mut page = String::new();
         let _ = encode(&mut page, &self.registry);
--- a/crates/entry/src/operator.rs
+++ b/crates/entry/src/operator.rs
@@ -1,4 +1,4 @@
-//! Operators' HTTP: changes of the configuration and what is in force where.
+//! Operators' HTTP interface: configuration changes, history and the status of the hosts.
 
 use std::sync::Arc;
 
@@ -49,8 +49,8 @@
     members: Vec<MemberStatus>,
 }
 
-/// Answers an operator.
-pub(crate) async fn answer(
+/// Handles an operator's request.
+pub(crate) async fn handle(
     entry: &Arc<Entry>,
     method: &Method,
     path: &str,
@@ -75,13 +75,13 @@
             publish(entry, &Change::Rollback { to: body.to }).await
         }
         (&Method::GET, "/operator/declarations") => {
-            let in_force = entry.node.active_configuration();
-            let declarations = in_force.map(|held| held.declarations.clone());
+            let configuration = entry.node.active_configuration();
+            let declarations = configuration.map(|active| active.declarations.clone());
             Ok(json(StatusCode::OK, &declarations.unwrap_or_default()))
         }
         (&Method::GET, "/operator/history") => {
-            let in_force = entry.node.active_configuration();
-            let history = in_force.map(|held| held.root.history.clone());
+            let configuration = entry.node.active_configuration();
+            let history = configuration.map(|active| active.root.history.clone());
             Ok(json(StatusCode::OK, &history.unwrap_or_default()))
         }
         (&Method::GET, "/operator/status") => Ok(json(StatusCode::OK, &status(entry).await)),
@@ -92,13 +92,15 @@
 }
 
 async fn status(entry: &Arc<Entry>) -> Status {
-    let in_force = entry.node.active_configuration();
+    let configuration = entry.node.active_configuration();
     let revisions = entry.node.revisions().await.into_iter();
     let members = revisions.map(|(host, revision)| MemberStatus { host, revision });
     Status {
         host: entry.node.host().to_owned(),
-        revision: in_force.as_ref().map_or(0, |held| held.root.revision),
-        preset: in_force.map_or(String::new(), |held| held.root.preset.clone()),
+        revision: configuration
+            .as_ref()
+            .map_or(0, |active| active.root.revision),
+        preset: configuration.map_or(String::new(), |active| active.root.preset.clone()),
         takes_work: entry.node.takes_work(),
         running: entry.registry.running(),
         members: members.collect(),
--- a/crates/entry/src/outcome.rs
+++ b/crates/entry/src/outcome.rs
@@ -1,4 +1,4 @@
-//! What became of a request, in types that keep "not run" and "outcome unknown" apart.
+//! Outcomes of requests, in types that keep "not run" and "outcome unknown" apart.
 
 use fulmarpath_cluster::{NotGranted, Quarantined};
 use fulmarpath_policy::{LimitExceeded, Millis};
@@ -6,19 +6,19 @@
 
 /// Proof that nothing of a request has been sent to any upstream.
 ///
-/// A request starts with one, and the first dispatch consumes it. A caller who is told "not run"
-/// while an engine runs the request would submit it again and get two findings under one
-/// reference; since [`NotRun`] can't be built without this proof, no code path can say so.
+/// A request starts with one, and the first dispatch consumes it. A caller that gets "not run"
+/// while an engine runs the request would submit it again and get two findings under one reference.
+/// Since [`NotRun`] can't be built without this proof, no code path can report that wrongly.
 #[derive(Debug)]
 pub struct Unsent(());
 
 impl Unsent {
-    /// The proof for a request that has just come in.
+    /// The proof for a request that has just been received.
     pub(crate) fn fresh() -> Self {
         Self(())
     }
 
-    /// An upstream refused the request, or was never reached: it still holds that nothing ran.
+    /// The proof after an upstream refused the request or could not be reached: nothing has run.
     pub(crate) fn refused_by_upstream() -> Self {
         Self(())
     }
@@ -27,31 +27,31 @@
 /// Why a request was not run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub enum NotRunReason {
-    /// No permit to start.
+    /// No permit was granted.
     #[error("{0}")]
     NotGranted(NotGranted),
-    /// LimitExceeded the organisation's rate limit.
+    /// Above the organisation's limit of requests per second.
     #[error("could not accept more requests a second of this organisation")]
-    OverRate,
-    /// LimitExceeded the organisation's limit of requests at once.
+    RateLimit,
+    /// Above the organisation's limit of concurrent requests.
     #[error("could not accept more requests at once of this organisation")]
-    OverConcurrency,
+    ConcurrencyLimit,
     /// This host has too many open streams.
     #[error("could not open more streams on this host")]
     TooManyStreams,
-    /// This host takes no new work now.
+    /// This host accepts no new requests at present.
     #[error("could not take new work on this host")]
     HostClosed,
-    /// The preset in force closes the service.
+    /// The active preset closes the service.
     #[error("could not serve: the preset in force closes the service")]
     ServiceClosed,
     /// The claim of an idempotency key could not be made durable.
     #[error("could not make the claim of the idempotency key durable")]
-    NoClaim,
-    /// Upstreams ended as they began to run the same request.
+    ClaimFailed,
+    /// The content is quarantined: upstreams crashed shortly after they began to run it.
     #[error("{0}")]
     Quarantined(Quarantined),
-    /// The upstream refused, and so did the others that were tried.
+    /// All upstreams that were tried refused.
     #[error("could not start on any upstream")]
     RefusedByUpstream,
 }
@@ -66,7 +66,7 @@
 const RETRY_AFTER_MS: Millis = 1_000;
 
 impl NotRun {
-    /// Tells why a request that was never sent is given up.
+    /// Reports a request that was never sent, with the reason.
     pub(crate) fn new(_proof: Unsent, reason: NotRunReason) -> Self {
         let retry_after_ms = match reason {
             NotRunReason::NotGranted(error) => error.retry_after_ms(),
@@ -79,26 +79,26 @@
         }
     }
 
-    /// The same for a request over its organisation's limits.
-    pub(crate) fn over(_proof: Unsent, over: LimitExceeded) -> Self {
-        match over {
+    /// Reports a request that exceeds its organisation's limits.
+    pub(crate) fn limit_exceeded(_proof: Unsent, exceeded: LimitExceeded) -> Self {
+        match exceeded {
             LimitExceeded::Rate { retry_after_ms } => Self {
-                reason: NotRunReason::OverRate,
+                reason: NotRunReason::RateLimit,
                 retry_after_ms,
             },
             LimitExceeded::Concurrency { retry_after_ms } => Self {
-                reason: NotRunReason::OverConcurrency,
+                reason: NotRunReason::ConcurrencyLimit,
                 retry_after_ms,
             },
         }
     }
 
-    /// Why.
+    /// Why it was not run.
     pub fn reason(&self) -> NotRunReason {
         self.reason
     }
 
-    /// When to come back.
+    /// When the caller may retry, in ms.
     pub fn retry_after_ms(&self) -> Millis {
         self.retry_after_ms
     }
@@ -107,12 +107,12 @@
 /// How a generation ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum End {
-    /// The answer is whole.
+    /// All tokens were generated.
     Complete(Finish),
     /// It certainly never ran.
     NotRun(NotRun),
-    /// It may have run, and can't be finished.
+    /// It may have run, but can't be completed.
     OutcomeUnknown,
-    /// Its caller left it.
+    /// Its caller abandoned or cancelled it.
     Abandoned,
 }
--- a/crates/entry/src/plain.rs
+++ b/crates/entry/src/plain.rs
@@ -1,4 +1,4 @@
-//! Calls to plain services. One that may not be repeated is sent at most once.
+//! Calls to plain services. A call that must not be repeated is sent at most once.
 
 use std::hash::{Hash, Hasher};
 use std::sync::Arc;
@@ -18,8 +18,8 @@
 use crate::problem::Problem;
 use crate::server::Entry;
 
-/// Instances tried where none was reached, or for a call that may be repeated.
-const TRIES: usize = 3;
+/// Instances tried if none was reached, or for a call that may be repeated.
+const MAX_ATTEMPTS: usize = 3;
 
 /// A caller's call to a plain service.
 pub(crate) struct ServiceRequest {
@@ -42,37 +42,37 @@
     }
 }
 
-/// Sends a call to an instance of the service and answers with what it says.
+/// Sends a call to an instance of the service and returns its response.
 pub(crate) async fn call(
     entry: &Arc<Entry>,
-    in_force: Arc<ActiveConfiguration>,
+    configuration: Arc<ActiveConfiguration>,
     organisation: &Organisation,
     request: ServiceRequest,
 ) -> Result<Reply, Problem> {
     const NO_SERVICE: Problem = Problem::NotFound {
         what: "a plain service of this name",
     };
-    let service = in_force.service(&request.service).ok_or(NO_SERVICE)?;
+    let service = configuration.service(&request.service).ok_or(NO_SERVICE)?;
     let ServiceKind::Plain { repeatable_methods } = &service.kind else {
         return Err(NO_SERVICE);
     };
     let may_repeat = repeatable_methods
         .iter()
         .any(|method| method == request.method.as_str());
-    entry.check_open(&in_force, &request.service)?;
+    entry.check_accepts_work(&configuration, &request.service)?;
     let unsent = entry.take_slot(organisation, Unsent::fresh()).await?;
     let key = OrganisationKey::of(&organisation.name);
     let content = request.content(key);
-    let answer = send(entry, &request, content, may_repeat, unsent).await;
+    let response = send(entry, &request, content, may_repeat, unsent).await;
     entry.node.release_slot(key);
-    answer.map(reply)
+    response.map(reply)
 }
 
-/// Tries instances until one answers.
+/// Tries instances until one responds.
 ///
-/// A call that was sent and not answered may have run. Sending it to another instance would run it
-/// twice, so that is done only where the declaration allows it, and its content has not ended other
-/// instances.
+/// A call that was sent and got no response may have run, and another instance would run it twice.
+/// It is sent again only if the service declares the method repeatable and the content isn't
+/// quarantined for crashing instances.
 async fn send(
     entry: &Entry,
     request: &ServiceRequest,
@@ -82,10 +82,10 @@
 ) -> Result<PlainResponse, Problem> {
     let mut unsent = Some(unsent);
     let instances = entry.node.plain(&request.service);
-    let mut has_leave = false;
+    let mut is_admitted = false;
     let mut reason = NotRunReason::RefusedByUpstream;
-    for (upstream, instance) in instances.iter().cycle().take(TRIES) {
-        if !std::mem::replace(&mut has_leave, true)
+    for (upstream, instance) in instances.iter().cycle().take(MAX_ATTEMPTS) {
+        if !std::mem::replace(&mut is_admitted, true)
             && let Err(quarantined) = entry.node.admit(request.key(), content).await
         {
             reason = NotRunReason::Quarantined(quarantined);
@@ -98,16 +98,17 @@
             body: request.body.clone(),
         };
         match instance.call(call).await {
-            Ok(answer) => {
-                // A sick instance fails what it has not run.
-                if answer.status.is_success() {
+            Ok(response) => {
+                // A failing instance responds with an error to calls that it has not run, so only
+                // success counts.
+                if response.status.is_success() {
                     entry.node.note_success(request.key(), content);
                 }
-                return Ok(answer);
+                return Ok(response);
             }
             Err(PlainError::NotRun(_)) => {}
             Err(PlainError::OutcomeUnknown(_)) => {
-                has_leave = false;
+                is_admitted = false;
                 if !instance.is_listening().await {
                     entry
                         .node
@@ -128,9 +129,9 @@
     }
 }
 
-fn reply(answer: PlainResponse) -> Reply {
-    let mut reply = full(answer.status, "application/octet-stream", answer.body);
-    let content_type = answer
+fn reply(response: PlainResponse) -> Reply {
+    let mut reply = full(response.status, "application/octet-stream", response.body);
+    let content_type = response
         .content_type
         .and_then(|value| HeaderValue::from_str(&value).ok());
     if let Some(content_type) = content_type {
--- a/crates/entry/src/problem.rs
+++ b/crates/entry/src/problem.rs
@@ -1,4 +1,4 @@
-//! Refusals in the form of RFC 9457, a `type` for each kind.
+//! Problem details (RFC 9457), with a `type` for each kind of refusal.
 
 use fulmarpath_http::{Reply, full};
 use fulmarpath_policy::Millis;
@@ -8,7 +8,7 @@
 
 use crate::outcome::{NotRun, NotRunReason};
 
-/// What a caller or operator is told instead of an answer.
+/// An error response to a caller or operator.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum Problem {
     /// The request certainly never ran.
@@ -17,50 +17,50 @@
     /// The request may have run.
     #[error("the request may have run; it was not run again")]
     OutcomeUnknown,
-    /// No such key.
+    /// No organisation has this key, or no key was sent.
     #[error("could not find an organisation with this key")]
     Unauthenticated,
     /// No such service, generation or path.
     #[error("could not find {what}")]
     NotFound {
-        /// What was looked for.
+        /// What was requested.
         what: &'static str,
     },
-    /// The request isn't in the form that the protocol asks for.
+    /// The request doesn't conform to the protocol.
     #[error("could not read {what}")]
     Malformed {
         /// Which part.
         what: &'static str,
     },
-    /// A bound on the request's size.
+    /// The request exceeds a size limit.
     #[error("could not accept {what} above {limit} {unit}")]
     TooLarge {
         /// Which part.
         what: &'static str,
-        /// The bound.
+        /// The limit.
         limit: usize,
-        /// Its unit.
+        /// Unit of the limit.
         unit: &'static str,
     },
-    /// The key was used for another request.
+    /// The idempotency key was used for a different request.
     #[error("could not use this idempotency key again: it belongs to another request")]
     KeyReused,
-    /// Another operator's change came first.
+    /// Another operator's change was accepted first.
     #[error("{detail}")]
     Conflict {
-        /// What was found, with the difference.
+        /// The revision that was found, with the differences.
         detail: String,
     },
-    /// A change that can't be accepted as it is.
+    /// The change can't be accepted as it is.
     #[error("{detail}")]
     Unacceptable {
         /// Why.
         detail: String,
     },
-    /// A change that may or may not have been accepted.
+    /// The change may or may not have been accepted.
     #[error("{detail}")]
     ChangeUnknown {
-        /// What to do.
+        /// What the operator can do.
         detail: String,
     },
 }
@@ -76,7 +76,7 @@
 }
 
 impl Problem {
-    /// The kind, as the last part of the `type` URN.
+    /// The kind: the last part of the `type` URN.
     pub fn kind(&self) -> &'static str {
         match self {
             Self::NotRun(not_run) => not_run_kind(not_run.reason()),
@@ -92,11 +92,11 @@
         }
     }
 
-    /// The HTTP status.
+    /// The HTTP status of the response.
     pub fn status(&self) -> StatusCode {
         match self {
             Self::NotRun(not_run) => match not_run.reason() {
-                NotRunReason::OverRate | NotRunReason::OverConcurrency => {
+                NotRunReason::RateLimit | NotRunReason::ConcurrencyLimit => {
                     StatusCode::TOO_MANY_REQUESTS
                 }
                 _ => StatusCode::SERVICE_UNAVAILABLE,
@@ -134,7 +134,7 @@
         }
     }
 
-    /// The body, as JSON.
+    /// The problem details as JSON.
     pub(crate) fn body(&self) -> Vec<u8> {
         let kind = format!("urn:fulmarpath:problem:{}", self.kind());
         let body = Body {
@@ -147,7 +147,7 @@
         serde_json::to_vec(&body).unwrap_or_default()
     }
 
-    /// The whole reply.
+    /// The complete HTTP response.
     pub(crate) fn reply(&self) -> Reply {
         let mut reply = full(self.status(), "application/problem+json", self.body());
         if let Some(retry_after_ms) = self.retry_after_ms() {
@@ -163,12 +163,12 @@
 fn not_run_kind(reason: NotRunReason) -> &'static str {
     match reason {
         NotRunReason::NotGranted(_) => "not-run/no-room",
-        NotRunReason::OverRate => "not-run/rate-limit",
-        NotRunReason::OverConcurrency => "not-run/concurrency-limit",
+        NotRunReason::RateLimit => "not-run/rate-limit",
+        NotRunReason::ConcurrencyLimit => "not-run/concurrency-limit",
         NotRunReason::TooManyStreams => "not-run/stream-limit",
         NotRunReason::HostClosed => "not-run/host-closed",
         NotRunReason::ServiceClosed => "not-run/service-closed",
-        NotRunReason::NoClaim => "not-run/no-claim",
+        NotRunReason::ClaimFailed => "not-run/no-claim",
         NotRunReason::Quarantined(_) => "not-run/quarantined",
         NotRunReason::RefusedByUpstream => "not-run/refused-by-upstream",
     }
--- a/crates/entry/src/registry.rs
+++ b/crates/entry/src/registry.rs
@@ -1,4 +1,4 @@
-//! The generations that this host holds.
+//! Registry of the generations that this host holds.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -14,78 +14,82 @@
 use crate::generation::Generation;
 use crate::outcome::End;
 
-/// How long a finished generation without a key is kept for a caller that lost its connection.
-const UNKEYED_MS: Millis = 60_000;
-/// The most that finished answers may take; the oldest go first.
-const KEPT_BYTES: usize = 48 * 1024 * 1024;
+/// How long a finished generation without an idempotency key is kept for a caller that reconnects.
+const UNKEYED_RETENTION_MS: Millis = 60_000;
+/// Memory limit for finished generations; the oldest are evicted first.
+const MAX_FINISHED_BYTES: usize = 48 * 1024 * 1024;
 const FETCH_WAIT: Duration = Duration::from_millis(300);
 
 /// The generations that this host holds, running and finished.
 pub(crate) struct Registry {
     clock: Clock,
     keyed_retention_ms: Millis,
-    held: Mutex<HashMap<String, Arc<Generation>>>,
+    generations: Mutex<HashMap<String, Arc<Generation>>>,
 }
 
 impl Registry {
-    /// `keyed_retention_ms` is how long the answer of a keyed submission is kept.
+    /// `keyed_retention_ms` is how long the generation of a keyed submission is kept after its end.
     pub(crate) fn new(clock: Clock, keyed_retention_ms: Millis) -> Self {
         Self {
             clock,
             keyed_retention_ms,
-            held: Mutex::default(),
+            generations: Mutex::default(),
         }
     }
 
     pub(crate) fn insert(&self, generation: Arc<Generation>) {
         let name = generation.name().to_owned();
-        self.held.lock().insert(name, generation);
+        self.generations.lock().insert(name, generation);
     }
 
-    /// A generation, if it is that organisation's.
+    /// Finds a generation by name; `None` if it belongs to another organisation.
     pub(crate) fn find(
         &self,
         organisation: OrganisationKey,
         name: &str,
     ) -> Option<Arc<Generation>> {
-        let held = self.held.lock();
-        let generation = held.get(name)?;
+        let generations = self.generations.lock();
+        let generation = generations.get(name)?;
         (generation.organisation() == organisation).then(|| generation.clone())
     }
 
-    /// Generations that still run.
+    /// Number of generations that still run.
     pub(crate) fn running(&self) -> usize {
-        let held = self.held.lock();
-        held.values().filter(|one| one.end().is_none()).count()
+        let generations = self.generations.lock();
+        generations
+            .values()
+            .filter(|generation| generation.end().is_none())
+            .count()
     }
 
-    /// Forgets what is past its time, or the oldest where there is too much.
-    pub(crate) fn tidy(&self) {
+    /// Evicts finished generations past their retention time, then the oldest beyond
+    /// [`MAX_FINISHED_BYTES`].
+    pub(crate) fn evict(&self) {
         let now_ms = self.clock.now_ms();
-        let mut held = self.held.lock();
-        held.retain(|_, generation| {
+        let mut generations = self.generations.lock();
+        generations.retain(|_, generation| {
             let keep_ms = if generation.is_keyed() {
                 self.keyed_retention_ms
             } else {
-                UNKEYED_MS
+                UNKEYED_RETENTION_MS
             };
             let ended_at_ms = generation.ended_at_ms();
             ended_at_ms.is_none_or(|at_ms| now_ms.saturating_sub(at_ms) < keep_ms)
         });
-        let mut finished: Vec<(Millis, String, usize)> = held
+        let mut finished: Vec<(Millis, String, usize)> = generations
             .values()
-            .filter_map(|one| {
-                let at_ms = one.ended_at_ms()?;
-                Some((at_ms, one.name().to_owned(), one.size_bytes()))
+            .filter_map(|generation| {
+                let at_ms = generation.ended_at_ms()?;
+                Some((at_ms, generation.name().to_owned(), generation.size_bytes()))
             })
             .collect();
         let mut total: usize = finished.iter().map(|(_, _, size)| size).sum();
         finished.sort();
         for (_, name, size) in finished {
-            if total <= KEPT_BYTES {
+            if total <= MAX_FINISHED_BYTES {
                 break;
             }
-            held.remove(&name);
+            generations.remove(&name);
             total -= size;
         }
     }
@@ -99,17 +103,17 @@
         generation: &str,
         from: u32,
     ) -> FetchAnswer {
-        let Some(held) = self.find(organisation, generation) else {
+        let Some(found) = self.find(organisation, generation) else {
             return FetchAnswer::Unknown;
         };
-        if from < held.base() {
+        if from < found.base() {
             return FetchAnswer::Unknown;
         }
-        held.touch(self.clock.now_ms());
-        let piece = held.wait_at_most(from, FETCH_WAIT).await;
+        found.touch(self.clock.now_ms());
+        let batch = found.wait_for_tokens_within(from, FETCH_WAIT).await;
         FetchAnswer::Tokens {
-            texts: piece.texts,
-            end: piece.end.map(|end| match end {
+            texts: batch.texts,
+            end: batch.end.map(|end| match end {
                 End::Complete(finish) => GenerationEnd::Complete {
                     by_length: finish == Finish::Length,
                 },
--- a/crates/entry/src/request.rs
+++ b/crates/entry/src/request.rs
@@ -1,35 +1,35 @@
-//! Callers' requests for generations, in the form of OpenAI-compatible clients.
+//! Callers' generation requests, in the format of OpenAI-compatible clients.
 
 use serde::Deserialize;
 use xxhash_rust::xxh3::xxh3_64;
 
 use crate::problem::Problem;
 
-/// Bytes of text that count as one token where no tokenizer is at hand.
+/// Bytes of text counted as one token, as an estimate without a tokenizer.
 const BYTES_PER_TOKEN: usize = 4;
-/// The beginning of a prompt that engines cache in common.
+/// Bytes of a prompt's beginning that identify the prefix that engines cache in common.
 const PREFIX_BYTES: usize = 1_024;
 
-/// The form of an answer.
+/// The API format of a request and its response.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum Form {
+pub(crate) enum ApiFormat {
     Completion,
     Chat,
 }
 
-/// What a caller wants generated.
+/// A caller's generation request.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub(crate) struct Wanted {
-    pub(crate) form: Form,
+pub(crate) struct CallerRequest {
+    pub(crate) format: ApiFormat,
     pub(crate) service: String,
     pub(crate) prompt: String,
-    pub(crate) limit_tokens: Option<u32>,
+    pub(crate) max_tokens: Option<u32>,
     pub(crate) stream: bool,
-    /// Hash of the whole request, to tell whether a key was used for another one.
+    /// Hash of the complete body; detects an idempotency key used for a different request.
     pub(crate) hash: u64,
 }
 
-impl Wanted {
+impl CallerRequest {
     pub(crate) fn prompt_tokens(&self) -> u32 {
         self.prompt.len().div_ceil(BYTES_PER_TOKEN).max(1) as u32
     }
@@ -85,14 +85,14 @@
     text: String,
 }
 
-/// Reads a request's body.
-pub(crate) fn read(form: Form, body: &[u8]) -> Result<Wanted, Problem> {
+/// Parses the body of a request.
+pub(crate) fn parse_request(format: ApiFormat, body: &[u8]) -> Result<CallerRequest, Problem> {
     const MALFORMED: Problem = Problem::Malformed {
         what: "the body as a request for a completion",
     };
     let hash = xxh3_64(body);
-    match form {
-        Form::Completion => {
+    match format {
+        ApiFormat::Completion => {
             let body: CompletionBody = serde_json::from_slice(body).map_err(|_| MALFORMED)?;
             let prompt = match body.prompt {
                 Prompt::One(text) => text,
@@ -102,22 +102,22 @@
                     return Err(Problem::Malformed { what });
                 }
             };
-            Ok(Wanted {
-                form,
+            Ok(CallerRequest {
+                format,
                 service: body.model,
                 prompt,
-                limit_tokens: body.max_tokens,
+                max_tokens: body.max_tokens,
                 stream: body.stream,
                 hash,
             })
         }
-        Form::Chat => {
+        ApiFormat::Chat => {
             let body: ChatBody = serde_json::from_slice(body).map_err(|_| MALFORMED)?;
-            Ok(Wanted {
-                form,
+            Ok(CallerRequest {
+                format,
                 service: body.model,
                 prompt: transcript(body.messages),
-                limit_tokens: body.max_completion_tokens.or(body.max_tokens),
+                max_tokens: body.max_completion_tokens.or(body.max_tokens),
                 stream: body.stream,
                 hash,
             })
--- a/crates/entry/src/answer.rs
+++ b/crates/entry/src/response.rs
@@ -1,4 +1,4 @@
-//! Answers in the form of OpenAI-compatible services, streamed or whole.
+//! Responses in the format of OpenAI-compatible services, streamed or complete.
 
 use std::sync::Arc;
 
@@ -10,59 +10,64 @@
 use hyper::header::{CACHE_CONTROL, HeaderName, HeaderValue};
 use serde_json::{Value, json as value};
 
-use crate::generation::{Generation, Piece};
+use crate::generation::{Generation, TokenBatch};
 use crate::identity::event_id;
 use crate::outcome::End;
 use crate::problem::Problem;
-use crate::request::Form;
+use crate::request::ApiFormat;
 
-/// The header that names the generation, for a caller that wants to resume or cancel it.
+/// Response header with the generation's name, with which a caller can resume or cancel it.
 const GENERATION: HeaderName = HeaderName::from_static("x-generation-id");
 
-/// How an answer is written.
+/// How a response is written.
 #[derive(Debug, Clone)]
-pub(crate) struct Writing {
-    pub(crate) form: Form,
+pub(crate) struct ResponseOptions {
+    pub(crate) format: ApiFormat,
     pub(crate) service: String,
     pub(crate) stream: bool,
-    /// The first token wanted.
+    /// Index of the first token to send.
     pub(crate) from: u32,
     pub(crate) prompt_tokens: u32,
 }
 
-/// Counts a caller as a reader for as long as its answer is being written.
-struct Reading {
+/// Counts a caller as a reader while its response is being written.
+struct ReaderGuard {
     generation: Arc<Generation>,
     clock: Clock,
 }
 
-impl Reading {
+impl ReaderGuard {
     fn start(generation: Arc<Generation>, clock: Clock) -> Self {
         generation.add_reader();
         Self { generation, clock }
     }
 }
 
-impl Drop for Reading {
+impl Drop for ReaderGuard {
     fn drop(&mut self) {
         self.generation.drop_reader(self.clock.now_ms());
     }
 }
 
-/// Answers with a generation's tokens: the status is chosen when the first is there.
-pub(crate) async fn answer(generation: Arc<Generation>, writing: Writing, clock: Clock) -> Reply {
-    let reading = Reading::start(generation.clone(), clock);
-    let first = generation.wait(writing.from).await;
+/// Responds with a generation's tokens. The status is chosen once the first token or the end is
+/// known.
+pub(crate) async fn respond(
+    generation: Arc<Generation>,
+    options: ResponseOptions,
+    clock: Clock,
+) -> Reply {
+    let reader = ReaderGuard::start(generation.clone(), clock);
+    let first = generation.wait_for_tokens(options.from).await;
     if first.texts.is_empty()
         && let Some(end) = first.end
         && let Some(problem) = problem(end)
     {
         return problem.reply();
     }
-    let mut reply = if writing.stream {
-        streamed(reading, writing)
+    let mut reply = if options.stream {
+        streamed_response(reader, options)
     } else {
-        whole(reading, writing).await
+        complete_response(reader, options).await
     };
     if let Ok(name) = HeaderValue::from_str(generation.name()) {
         reply.headers_mut().insert(GENERATION, name);
@@ -78,46 +83,46 @@
     }
 }
 
-async fn whole(reading: Reading, writing: Writing) -> Reply {
-    let generation = &reading.generation;
+async fn complete_response(reader: ReaderGuard, options: ResponseOptions) -> Reply {
+    let generation = &reader.generation;
     let mut text = String::new();
-    let mut next = writing.from;
+    let mut next = options.from;
     loop {
-        let piece = generation.wait(next).await;
-        next += piece.texts.len() as u32;
-        piece.texts.iter().for_each(|part| text.push_str(part));
-        let Some(end) = piece.end else { continue };
+        let batch = generation.wait_for_tokens(next).await;
+        next += batch.texts.len() as u32;
+        batch.texts.iter().for_each(|part| text.push_str(part));
+        let Some(end) = batch.end else { continue };
         if let Some(problem) = problem(end) {
             return problem.reply();
         }
         let End::Complete(finish) = end else { continue };
-        let body = whole_body(generation.name(), &writing, &text, finish, next);
+        let body = complete_body(generation.name(), &options, &text, finish, next);
         return json(StatusCode::OK, &body);
     }
 }
 
-fn streamed(reading: Reading, writing: Writing) -> Reply {
+fn streamed_response(reader: ReaderGuard, options: ResponseOptions) -> Reply {
     struct State {
-        reading: Reading,
-        writing: Writing,
+        reader: ReaderGuard,
+        options: ResponseOptions,
         next: u32,
         done: bool,
     }
     let state = State {
-        next: writing.from,
-        reading,
-        writing,
+        next: options.from,
+        reader,
+        options,
         done: false,
     };
     let chunks = futures::stream::unfold(state, |mut state| async move {
         if state.done {
             return None;
         }
-        let piece = state.reading.generation.wait(state.next).await;
-        state.done = piece.end.is_some();
-        let name = state.reading.generation.name();
-        let chunk = events(name, &state.writing, state.next, &piece);
-        state.next += piece.texts.len() as u32;
+        let batch = state.reader.generation.wait_for_tokens(state.next).await;
+        state.done = batch.end.is_some();
+        let name = state.reader.generation.name();
+        let chunk = sse_events(name, &state.options, state.next, &batch);
+        state.next += batch.texts.len() as u32;
         Some((chunk, state))
     });
     let mut reply = stream(StatusCode::OK, "text/event-stream", chunks);
@@ -126,18 +131,18 @@
     reply
 }
 
-/// The server-sent events of a piece that starts with token `first`.
-fn events(name: &str, writing: &Writing, first: u32, piece: &Piece) -> Bytes {
+/// Server-sent events of a batch whose first token has index `first`.
+fn sse_events(name: &str, options: &ResponseOptions, first: u32, batch: &TokenBatch) -> Bytes {
     let mut out = String::new();
-    for (offset, text) in piece.texts.iter().enumerate() {
+    for (offset, text) in batch.texts.iter().enumerate() {
         let id = event_id(name, first + offset as u32);
-        let data = chunk_body(name, writing, Some(text), None);
+        let data = chunk_body(name, options, Some(text), None);
         out.push_str(&format!("id: {id}\ndata: {data}\n\n"));
     }
-    match piece.end {
+    match batch.end {
         None => {}
         Some(End::Complete(finish)) => {
-            let data = chunk_body(name, writing, None, Some(finish));
+            let data = chunk_body(name, options, None, Some(finish));
             out.push_str(&format!("data: {data}\n\ndata: [DONE]\n\n"));
         }
         Some(end) => {
@@ -156,21 +161,26 @@
     }
 }
 
-fn chunk_body(name: &str, writing: &Writing, text: Option<&str>, finish: Option<Finish>) -> Value {
+fn chunk_body(
+    name: &str,
+    options: &ResponseOptions,
+    text: Option<&str>,
+    finish: Option<Finish>,
+) -> Value {
     let finish_reason = finish.map(finish_text);
-    match writing.form {
-        Form::Completion => value!({
+    match options.format {
+        ApiFormat::Completion => value!({
             "id": name,
             "object": "text_completion",
             "created": created_s(),
-            "model": writing.service,
+            "model": options.service,
             "choices": [{
                 "index": 0,
                 "text": text.unwrap_or_default(),
                 "finish_reason": finish_reason,
             }],
         }),
-        Form::Chat => {
+        ApiFormat::Chat => {
             let delta = match text {
                 Some(text) => value!({ "role": "assistant", "content": text }),
                 None => value!({}),
@@ -179,34 +189,40 @@
                 "id": name,
                 "object": "chat.completion.chunk",
                 "created": created_s(),
-                "model": writing.service,
+                "model": options.service,
                 "choices": [{ "index": 0, "delta": delta, "finish_reason": finish_reason }],
             })
         }
     }
 }
 
-fn whole_body(name: &str, writing: &Writing, text: &str, finish: Finish, tokens: u32) -> Value {
+fn complete_body(
+    name: &str,
+    options: &ResponseOptions,
+    text: &str,
+    finish: Finish,
+    tokens: u32,
+) -> Value {
     let finish_reason = finish_text(finish);
     let usage = value!({
-        "prompt_tokens": writing.prompt_tokens,
+        "prompt_tokens": options.prompt_tokens,
         "completion_tokens": tokens,
-        "total_tokens": writing.prompt_tokens + tokens,
+        "total_tokens": options.prompt_tokens + tokens,
     });
-    match writing.form {
-        Form::Completion => value!({
+    match options.format {
+        ApiFormat::Completion => value!({
             "id": name,
             "object": "text_completion",
             "created": created_s(),
-            "model": writing.service,
+            "model": options.service,
             "choices": [{ "index": 0, "text": text, "finish_reason": finish_reason }],
             "usage": usage,
         }),
-        Form::Chat => value!({
+        ApiFormat::Chat => value!({
             "id": name,
             "object": "chat.completion",
             "created": created_s(),
-            "model": writing.service,
+            "model": options.service,
             "choices": [{
                 "index": 0,
                 "message": { "role": "assistant", "content": text },
--- a/crates/entry/src/routes.rs
+++ b/crates/entry/src/routes.rs
@@ -1,4 +1,4 @@
-//! Which path leads where, and who may go there.
+//! Routing of HTTP requests, and their authentication.
 
 use std::sync::Arc;
 
@@ -11,21 +11,21 @@
 use hyper::header::{AUTHORIZATION, CONTENT_TYPE, HeaderMap};
 use hyper::{Method, Request, StatusCode};
 
-use crate::answer::{Writing, answer};
-use crate::hop::Hop;
 use crate::identity::parse_event_id;
 use crate::outcome::{NotRun, NotRunReason, Unsent};
 use crate::plain;
 use crate::problem::Problem;
-use crate::request::{Form, read};
+use crate::request::{ApiFormat, parse_request};
+use crate::response::{ResponseOptions, respond};
 use crate::server::Entry;
-use crate::submit::{check, reattach, submit, submit_keyed};
+use crate::submit::{reattach, submit, submit_keyed, validate};
+use crate::trace::RequestTrace;
 
-const KEY_LIMIT_BYTES: usize = 255;
+const MAX_KEY_BYTES: usize = 255;
 
-/// Answers one request.
+/// Handles one request.
 pub(crate) async fn route(entry: Arc<Entry>, request: Request<Incoming>) -> Reply {
-    let answered = match request.uri().path() {
+    let result = match request.uri().path() {
         "/healthz" => return full(StatusCode::OK, "text/plain", "ok\n"),
         "/readyz" => return ready(&entry),
         "/metrics" => {
@@ -36,15 +36,15 @@
             );
         }
         path if path.starts_with("/operator/") => operate(&entry, request).await,
-        "/v1/completions" => complete(&entry, request, Form::Completion).await,
-        "/v1/chat/completions" => complete(&entry, request, Form::Chat).await,
+        "/v1/completions" => complete(&entry, request, ApiFormat::Completion).await,
+        "/v1/chat/completions" => complete(&entry, request, ApiFormat::Chat).await,
         "/v1/models" => models(&entry, &request),
         path if path.starts_with("/v1/generations/") => generation(&entry, request).await,
         path if path.starts_with("/services/") => call_plain(&entry, request).await,
         _ => Err(Problem::NotFound { what: "this path" }),
     };
-    answered.unwrap_or_else(|problem| {
-        entry.drivers.metrics.refuse(problem.kind());
+    result.unwrap_or_else(|problem| {
+        entry.driver_context.metrics.record_refusal(problem.kind());
         problem.reply()
     })
 }
@@ -60,7 +60,7 @@
     headers.get(name)?.to_str().ok()
 }
 
-fn bearer(headers: &HeaderMap) -> Option<&str> {
+fn bearer_token(headers: &HeaderMap) -> Option<&str> {
     headers
         .get(AUTHORIZATION)?
         .to_str()
@@ -69,9 +69,9 @@
 }
 
 fn organisation(entry: &Entry, headers: &HeaderMap) -> Result<Organisation, Problem> {
-    let in_force = entry.in_force()?;
-    let key = bearer(headers).ok_or(Problem::Unauthenticated)?;
-    let organisation = in_force.organisation_by_key(key);
+    let configuration = entry.active_configuration()?;
+    let key = bearer_token(headers).ok_or(Problem::Unauthenticated)?;
+    let organisation = configuration.organisation_by_key(key);
     organisation.cloned().ok_or(Problem::Unauthenticated)
 }
 
@@ -90,62 +90,62 @@
 }
 
 async fn operate(entry: &Arc<Entry>, request: Request<Incoming>) -> Result<Reply, Problem> {
-    let key = bearer(request.headers()).ok_or(Problem::Unauthenticated)?;
+    let key = bearer_token(request.headers()).ok_or(Problem::Unauthenticated)?;
     if key_hash(key) != entry.settings.operator_key_sha256 {
         return Err(Problem::Unauthenticated);
     }
     let (parts, incoming) = request.into_parts();
     let bytes = body(entry, incoming).await?;
-    crate::operator::answer(entry, &parts.method, parts.uri.path(), bytes).await
+    crate::operator::handle(entry, &parts.method, parts.uri.path(), bytes).await
 }
 
 async fn complete(
     entry: &Arc<Entry>,
     request: Request<Incoming>,
-    form: Form,
+    format: ApiFormat,
 ) -> Result<Reply, Problem> {
     if request.method() != Method::POST {
         return Ok(empty(StatusCode::METHOD_NOT_ALLOWED));
     }
     let (parts, incoming) = request.into_parts();
     let organisation = organisation(entry, &parts.headers)?;
-    let in_force = entry.in_force()?;
+    let configuration = entry.active_configuration()?;
     let bytes = body(entry, incoming).await?;
-    let wanted = read(form, &bytes)?;
-    let mut writing = Writing {
-        form,
-        service: wanted.service.clone(),
-        stream: wanted.stream,
+    let caller_request = parse_request(format, &bytes)?;
+    let mut options = ResponseOptions {
+        format,
+        service: caller_request.service.clone(),
+        stream: caller_request.stream,
         from: 0,
-        prompt_tokens: wanted.prompt_tokens(),
+        prompt_tokens: caller_request.prompt_tokens(),
     };
     let clock = entry.node.clock();
     if let Some(id) = header(&parts.headers, "last-event-id") {
         let (name, index) = parse_event_id(id).ok_or(Problem::Malformed {
             what: "the Last-Event-ID header",
         })?;
-        writing.from = index + 1;
-        let model = entry.model_of(&wanted.service)?;
+        options.from = index + 1;
+        let model = entry.model_of(&caller_request.service)?;
         let key = OrganisationKey::of(&organisation.name);
-        let generation = reattach(entry, key, name, writing.from, model)?;
-        return Ok(answer(generation, writing, clock).await);
+        let generation = reattach(entry, key, name, options.from, model)?;
+        return Ok(respond(generation, options, clock).await);
     }
     let _stream = entry.open_stream()?;
-    let hop = Hop::start(&parts.headers, &wanted.service);
-    let checked = check(entry, in_force, organisation, wanted, hop)?;
+    let trace = RequestTrace::start(&parts.headers, &caller_request.service);
+    let validated = validate(entry, configuration, organisation, caller_request, trace)?;
     let generation = match header(&parts.headers, "idempotency-key") {
-        Some(key) if key.is_empty() || key.len() > KEY_LIMIT_BYTES => {
+        Some(key) if key.is_empty() || key.len() > MAX_KEY_BYTES => {
             return Err(Problem::Malformed {
                 what: "the Idempotency-Key header: use 1 to 255 bytes",
             });
         }
-        Some(key) => submit_keyed(entry, checked, key).await?,
-        None => submit(entry, checked).await?,
+        Some(key) => submit_keyed(entry, validated, key).await?,
+        None => submit(entry, validated).await?,
     };
-    Ok(answer(generation, writing, clock).await)
+    Ok(respond(generation, options, clock).await)
 }
 
-/// Reads on from a generation by its name, or cancels it.
+/// Cancels a generation by its name.
 async fn generation(entry: &Arc<Entry>, request: Request<Incoming>) -> Result<Reply, Problem> {
     const NOT_FOUND: Problem = Problem::NotFound {
         what: "a generation of this name",
@@ -156,13 +156,13 @@
     let name = path.trim_start_matches("/v1/generations/").to_owned();
     match *request.method() {
         Method::DELETE => {
-            let held = entry.registry.find(key, &name).ok_or(NOT_FOUND)?;
-            if held.is_keyed() {
+            let generation = entry.registry.find(key, &name).ok_or(NOT_FOUND)?;
+            if generation.is_keyed() {
                 return Err(Problem::Unacceptable {
                     detail: "could not cancel a keyed submission: it runs at most once".into(),
                 });
             }
-            held.cancel();
+            generation.cancel();
             Ok(empty(StatusCode::NO_CONTENT))
         }
         _ => Ok(empty(StatusCode::METHOD_NOT_ALLOWED)),
@@ -172,7 +172,7 @@
 async fn call_plain(entry: &Arc<Entry>, request: Request<Incoming>) -> Result<Reply, Problem> {
     let (parts, incoming) = request.into_parts();
     let organisation = organisation(entry, &parts.headers)?;
-    let in_force = entry.in_force()?;
+    let configuration = entry.active_configuration()?;
     let path = parts.uri.path().trim_start_matches("/services/");
     let (service, rest) = path.split_once('/').unwrap_or((path, ""));
     let query = parts.uri.query().map(|query| format!("?{query}"));
@@ -184,13 +184,13 @@
         body: body(entry, incoming).await?,
     };
     let _stream = entry.open_stream()?;
-    plain::call(entry, in_force, &organisation, request).await
+    plain::call(entry, configuration, &organisation, request).await
 }
 
 fn models(entry: &Entry, request: &Request<Incoming>) -> Result<Reply, Problem> {
     organisation(entry, request.headers())?;
-    let in_force = entry.in_force()?;
-    let services = in_force.declarations.services.iter();
+    let configuration = entry.active_configuration()?;
+    let services = configuration.declarations.services.iter();
     let data: Vec<_> = services
         .filter(|service| matches!(service.kind, ServiceKind::Generation { .. }))
         .map(|service| serde_json::json!({ "id": service.name, "object": "model" }))
@@ -200,13 +200,17 @@
 }
 
 impl Entry {
-    fn in_force(&self) -> Result<Arc<fulmarpath_cluster::ActiveConfiguration>, Problem> {
-        self.node.active_configuration().ok_or_else(host_closed)
+    fn active_configuration(
+        &self,
+    ) -> Result<Arc<fulmarpath_cluster::ActiveConfiguration>, Problem> {
+        self.node
+            .active_configuration()
+            .ok_or_else(not_accepting_work)
     }
 
     fn model_of(&self, service: &str) -> Result<String, Problem> {
-        let in_force = self.in_force()?;
-        match in_force.service(service).map(|service| &service.kind) {
+        let configuration = self.active_configuration()?;
+        match configuration.service(service).map(|service| &service.kind) {
             Some(ServiceKind::Generation { model, .. }) => Ok(model.clone()),
             _ => Err(Problem::NotFound {
                 what: "a generation service of this name",
@@ -214,16 +218,16 @@
         }
     }
 
-    /// Whether this host and the preset in force take new work for a service.
-    pub(crate) fn check_open(
+    /// Checks that this host and the active preset accept new requests for a service.
+    pub(crate) fn check_accepts_work(
         &self,
-        in_force: &fulmarpath_cluster::ActiveConfiguration,
+        configuration: &fulmarpath_cluster::ActiveConfiguration,
         service: &str,
     ) -> Result<(), Problem> {
         if !self.node.takes_work() {
-            return Err(host_closed());
+            return Err(not_accepting_work());
         }
-        let closed = &in_force.preset().closed_services;
+        let closed = &configuration.preset().closed_services;
         if closed.iter().any(|name| name == service) {
             let reason = NotRunReason::ServiceClosed;
             return Err(Problem::NotRun(NotRun::new(Unsent::fresh(), reason)));
@@ -232,6 +236,6 @@
     }
 }
 
-fn host_closed() -> Problem {
+fn not_accepting_work() -> Problem {
     Problem::NotRun(NotRun::new(Unsent::fresh(), NotRunReason::HostClosed))
 }
--- a/crates/entry/src/server.rs
+++ b/crates/entry/src/server.rs
@@ -1,4 +1,4 @@
-//! One host's callers' side, from its start to its graceful stop.
+//! HTTP server of one host for callers and operators, from start to graceful shutdown.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicUsize, Ordering};
@@ -12,58 +12,58 @@
 use tokio::task::JoinHandle;
 use tokio::time::Instant;
 
-use crate::drive::Drivers;
+use crate::driver::DriverContext;
 use crate::metrics::{Metrics, UpstreamLabel};
 use crate::outcome::{NotRun, NotRunReason, Unsent};
 use crate::problem::Problem;
 use crate::registry::Registry;
 use crate::routes::route;
 
-/// Bounds and times of the callers' side.
+/// Limits and timeouts of the server.
 #[derive(Debug, Clone)]
 pub struct EntrySettings {
-    /// Longest head of a request.
+    /// Longest request head.
     pub header_limit_bytes: usize,
-    /// Longest body of a request.
+    /// Longest request body.
     pub body_limit_bytes: usize,
-    /// Requests at once.
+    /// Concurrent open requests.
     pub stream_limit: usize,
-    /// Silence after which a stream is resumed over a new connection.
+    /// Silence after which an engine's stream is resumed over a new connection.
     pub silence_timeout: Duration,
-    /// How long a caller that lost its connection may take to come back.
+    /// How long a caller that lost its connection may take to reconnect.
     pub reconnect_grace_ms: Millis,
-    /// How long the answer of a keyed submission is kept.
+    /// How long the generation of a keyed submission is kept after its end.
     pub keyed_retention_ms: Millis,
-    /// How long a stop goes on answering after the host has become unready.
+    /// How long a shutdown keeps accepting connections after the host has become unready.
     pub linger: Duration,
-    /// How long a stop waits for running requests.
+    /// How long a shutdown waits for running requests.
     pub drain_timeout: Duration,
     /// SHA-256, in hex, of the operators' key.
     pub operator_key_sha256: String,
 }
 
-/// What the handlers of one host share.
+/// State shared by the request handlers of a host.
 pub(crate) struct Entry {
     pub(crate) node: Arc<Node>,
     pub(crate) settings: EntrySettings,
     pub(crate) registry: Arc<Registry>,
-    pub(crate) drivers: Arc<Drivers>,
-    open: Arc<AtomicUsize>,
+    pub(crate) driver_context: Arc<DriverContext>,
+    open_requests: Arc<AtomicUsize>,
 }
 
-/// An open request; counts until it is dropped.
-pub(crate) struct OpenStream(Arc<AtomicUsize>);
+/// Counts an open request until it is dropped.
+pub(crate) struct OpenStreamGuard(Arc<AtomicUsize>);
 
-impl Drop for OpenStream {
+impl Drop for OpenStreamGuard {
     fn drop(&mut self) {
         self.0.fetch_sub(1, Ordering::Relaxed);
     }
 }
 
 impl Entry {
-    pub(crate) fn open_stream(&self) -> Result<OpenStream, Problem> {
-        let open = self.open.fetch_add(1, Ordering::Relaxed);
-        let guard = OpenStream(self.open.clone());
+    pub(crate) fn open_stream(&self) -> Result<OpenStreamGuard, Problem> {
+        let open = self.open_requests.fetch_add(1, Ordering::Relaxed);
+        let guard = OpenStreamGuard(self.open_requests.clone());
         if open >= self.settings.stream_limit {
             let reason = NotRunReason::TooManyStreams;
             return Err(Problem::NotRun(NotRun::new(Unsent::fresh(), reason)));
@@ -72,18 +72,18 @@
     }
 
     pub(crate) fn metrics_page(&self) -> String {
-        let metrics = &self.drivers.metrics;
-        for seen in self.node.engine_stats() {
-            let upstream = self.node.upstream_name(seen.upstream);
+        let metrics = &self.driver_context.metrics;
+        for stats in self.node.engine_stats() {
+            let upstream = self.node.upstream_name(stats.upstream);
             let label = UpstreamLabel { upstream };
             let gauges = [
-                (&metrics.engine_running, i64::from(seen.load.running)),
-                (&metrics.engine_queued, i64::from(seen.load.waiting)),
+                (&metrics.engine_running, i64::from(stats.load.running)),
+                (&metrics.engine_queued, i64::from(stats.load.waiting)),
                 (
                     &metrics.engine_used_tokens,
-                    i64::from(seen.load.used_tokens),
+                    i64::from(stats.load.used_tokens),
                 ),
-                (&metrics.engine_preemptions, seen.preemptions as i64),
+                (&metrics.engine_preemptions, stats.preemptions as i64),
             ];
             for (gauge, value) in gauges {
                 gauge.get_or_create(&label).set(value);
@@ -93,22 +93,22 @@
     }
 }
 
-/// How a stop went.
+/// Result of a shutdown.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Stopped {
-    /// Generations that still ran at the bound.
+    /// Generations that the shutdown interrupted.
     pub interrupted: usize,
 }
 
-/// A running callers' side.
+/// A running HTTP server for callers and operators.
 pub struct EntryServer {
     entry: Arc<Entry>,
     stop: watch::Sender<bool>,
     serving: JoinHandle<()>,
 }
 
-const TIDY_PERIOD: Duration = Duration::from_millis(5_000);
-const DRAIN_CHECK: Duration = Duration::from_millis(50);
+const EVICTION_PERIOD: Duration = Duration::from_millis(5_000);
+const DRAIN_POLL_PERIOD: Duration = Duration::from_millis(50);
 
 impl EntryServer {
     /// Serves callers and operators on `listener`.
@@ -116,7 +116,7 @@
         let metrics = Arc::new(Metrics::new());
         let registry = Arc::new(Registry::new(node.clock(), settings.keyed_retention_ms));
         node.set_generations(registry.clone());
-        let drivers = Arc::new(Drivers::new(
+        let driver_context = Arc::new(DriverContext::new(
             node.clone(),
             metrics,
             settings.silence_timeout,
@@ -125,20 +125,20 @@
         let entry = Arc::new(Entry {
             node,
             registry,
-            drivers,
-            open: Arc::default(),
+            driver_context,
+            open_requests: Arc::default(),
             settings,
         });
-        let (stop, stopped) = watch::channel(false);
+        let (stop, stopping) = watch::channel(false);
         let shared = entry.clone();
         let header_limit_bytes = entry.settings.header_limit_bytes;
         let serving = tokio::spawn(fulmarpath_http::serve(
             listener,
             header_limit_bytes,
-            stopped,
+            stopping,
             move |request| route(shared.clone(), request),
         ));
-        tokio::spawn(tidy(entry.clone()));
+        tokio::spawn(evict(entry.clone()));
         Self {
             entry,
             stop,
@@ -146,46 +146,49 @@
         }
     }
 
-    /// Stops gracefully: unready, no new work, peers told, every running request to its end.
+    /// Shuts down gracefully: becomes unready, announces to its peers that it leaves, accepts no
+    /// new requests and waits for the running ones.
     ///
-    /// The balancer and the peers learn first, while connections are still taken, so that nobody
-    /// meets a closed door; what runs past the bound, or past `hurry`, is cut and counted.
-    pub async fn stop(self, hurry: impl Future<Output = ()>) -> Stopped {
+    /// The load balancer and the peers are informed while connections are still accepted, so that
+    /// no request is refused a connection. Generations that still run after `drain_timeout`, or
+    /// once `force` resolves, are interrupted and counted.
+    pub async fn stop(self, force: impl Future<Output = ()>) -> Stopped {
         self.entry.node.leave().await;
-        let linger = Instant::now() + self.entry.settings.linger;
+        let linger_until = Instant::now() + self.entry.settings.linger;
         let deadline = tokio::time::sleep(self.entry.settings.drain_timeout);
-        tokio::pin!(deadline, hurry);
-        let busy = |entry: &Entry| entry.registry.running() + entry.open.load(Ordering::Relaxed);
-        let drains = self.entry.node.has(Safeguard::Drain);
-        while drains && (busy(&self.entry) > 0 || Instant::now() < linger) {
+        tokio::pin!(deadline, force);
+        let busy =
+            |entry: &Entry| entry.registry.running() + entry.open_requests.load(Ordering::Relaxed);
+        let waits_for_requests = self.entry.node.has(Safeguard::Drain);
+        while waits_for_requests && (busy(&self.entry) > 0 || Instant::now() < linger_until) {
             tokio::select! {
-                () = tokio::time::sleep(DRAIN_CHECK) => {}
+                () = tokio::time::sleep(DRAIN_POLL_PERIOD) => {}
                 () = &mut deadline => break,
-                () = &mut hurry => break,
+                () = &mut force => break,
             }
         }
         let interrupted = self.entry.registry.running();
         if interrupted > 0 {
-            warn!("entry: the stop cuts {} generations", interrupted);
-            let cuts = &self.entry.drivers.metrics.cut_by_stop;
-            cuts.inc_by(interrupted as u64);
+            warn!("entry: shutdown interrupts {} generations", interrupted);
+            let counter = &self.entry.driver_context.metrics.cut_by_stop;
+            counter.inc_by(interrupted as u64);
         }
         self.stop.send_replace(true);
         let mut serving = self.serving;
-        // Answers that are whole here may still be on their way to slow readers.
+        // Completed responses may still be on their way to slow readers.
         tokio::select! {
             _ = &mut serving, if interrupted == 0 => {}
             () = &mut deadline => serving.abort(),
-            () = &mut hurry => serving.abort(),
+            () = &mut force => serving.abort(),
         }
         info!("entry: stopped");
         Stopped { interrupted }
     }
 }
 
-async fn tidy(entry: Arc<Entry>) {
+async fn evict(entry: Arc<Entry>) {
     loop {
-        tokio::time::sleep(TIDY_PERIOD).await;
-        entry.registry.tidy();
+        tokio::time::sleep(EVICTION_PERIOD).await;
+        entry.registry.evict();
     }
 }
--- a/crates/entry/src/submit.rs
+++ b/crates/entry/src/submit.rs
@@ -1,4 +1,5 @@
-//! Takes in a caller's request for a generation: checks, claims, limits, then the driver.
+//! Accepts a caller's generation request: validates it, claims its idempotency key, applies the
+//! organisation's limits and starts its driver.
 
 use std::sync::Arc;
 
@@ -9,39 +10,41 @@
 use tracing::Instrument;
 use xxhash_rust::xxh3::xxh3_128;
 
-use crate::attach::{Standing, mirror, standing};
+use crate::attach::{RunStatus, mirror, query_run_status};
 use crate::content::content_of;
-use crate::drive::{Job, drive};
+use crate::driver::{Job, drive};
 use crate::generation::Generation;
-use crate::hop::Hop;
 use crate::identity::{new_name, parse_name};
 use crate::outcome::{End, NotRun, NotRunReason, Unsent};
 use crate::problem::Problem;
-use crate::request::Wanted;
+use crate::request::CallerRequest;
 use crate::server::Entry;
+use crate::trace::RequestTrace;
 
-/// A request whose service and bounds have been checked.
-pub(crate) struct Checked {
-    pub(crate) in_force: Arc<ActiveConfiguration>,
+/// A request whose service and size limits have been validated.
+pub(crate) struct ValidatedRequest {
+    pub(crate) configuration: Arc<ActiveConfiguration>,
     pub(crate) organisation: Organisation,
     pub(crate) model: String,
     pub(crate) output_limit_tokens: u32,
-    pub(crate) wanted: Wanted,
-    pub(crate) hop: Hop,
+    pub(crate) caller_request: CallerRequest,
+    pub(crate) trace: RequestTrace,
 }
 
-/// Checks a request against the declarations in force.
-pub(crate) fn check(
+/// Validates a request against the active configuration.
+pub(crate) fn validate(
     entry: &Entry,
-    in_force: Arc<ActiveConfiguration>,
+    configuration: Arc<ActiveConfiguration>,
     organisation: Organisation,
-    wanted: Wanted,
-    hop: Hop,
-) -> Result<Checked, Problem> {
+    caller_request: CallerRequest,
+    trace: RequestTrace,
+) -> Result<ValidatedRequest, Problem> {
     const NO_SERVICE: Problem = Problem::NotFound {
         what: "a generation service of this name",
     };
-    let service = in_force.service(&wanted.service).ok_or(NO_SERVICE)?;
+    let service = configuration
+        .service(&caller_request.service)
+        .ok_or(NO_SERVICE)?;
     let ServiceKind::Generation {
         model,
         output_limit_tokens,
@@ -50,58 +53,61 @@
     else {
         return Err(NO_SERVICE);
     };
-    let (model, most) = (model.clone(), *output_limit_tokens);
-    if wanted.prompt_tokens() > *prompt_limit_tokens {
+    let (model, max_output_tokens) = (model.clone(), *output_limit_tokens);
+    if caller_request.prompt_tokens() > *prompt_limit_tokens {
         return Err(Problem::TooLarge {
             what: "a prompt",
             limit: *prompt_limit_tokens as usize,
             unit: "tokens",
         });
     }
-    entry.check_open(&in_force, &wanted.service)?;
-    let output_limit_tokens = wanted.limit_tokens.unwrap_or(most).clamp(1, most);
-    Ok(Checked {
-        in_force,
+    entry.check_accepts_work(&configuration, &caller_request.service)?;
+    let output_limit_tokens = caller_request
+        .max_tokens
+        .unwrap_or(max_output_tokens)
+        .clamp(1, max_output_tokens);
+    Ok(ValidatedRequest {
+        configuration,
         organisation,
         model,
         output_limit_tokens,
-        wanted,
-        hop,
+        caller_request,
+        trace,
     })
 }
 
-/// Starts a request without a key.
+/// Starts a request without an idempotency key.
 pub(crate) async fn submit(
     entry: &Arc<Entry>,
-    checked: Checked,
+    validated: ValidatedRequest,
 ) -> Result<Arc<Generation>, Problem> {
     let unsent = Unsent::fresh();
-    let unsent = entry.take_slot(&checked.organisation, unsent).await?;
-    let organisation = OrganisationKey::of(&checked.organisation.name);
+    let unsent = entry.take_slot(&validated.organisation, unsent).await?;
+    let organisation = OrganisationKey::of(&validated.organisation.name);
     let name = new_name(entry.host(), organisation);
-    Ok(start(entry, checked, name, false, unsent))
+    Ok(start(entry, validated, name, false, unsent))
 }
 
-/// Starts a request under an idempotency key, or answers with the one that holds it.
+/// Starts a request under an idempotency key, or returns the generation that already claimed it.
 ///
-/// The claim is durable before anything is sent, so a second host with the same key can't start a
-/// second run whatever happens to this one.
+/// The claim is durable before anything is sent, so another host that gets the same key can't start
+/// a second run even if this host fails.
 pub(crate) async fn submit_keyed(
     entry: &Arc<Entry>,
-    checked: Checked,
+    validated: ValidatedRequest,
     key: &str,
 ) -> Result<Arc<Generation>, Problem> {
-    let organisation = OrganisationKey::of(&checked.organisation.name);
+    let organisation = OrganisationKey::of(&validated.organisation.name);
     let name = new_name(entry.host(), organisation);
     let mut supersedes = None;
     loop {
-        let ask = ClaimRequest {
-            key: xxh3_128(format!("{}/{key}", checked.organisation.name).as_bytes()),
-            request_hash: checked.wanted.hash,
+        let claim = ClaimRequest {
+            key: xxh3_128(format!("{}/{key}", validated.organisation.name).as_bytes()),
+            request_hash: validated.caller_request.hash,
             generation: name.clone(),
             supersedes: supersedes.clone(),
         };
-        match entry.node.claim(ask).await {
+        match entry.node.claim(claim).await {
             ClaimAnswer::Claimed => break,
             ClaimAnswer::Taken {
                 same_request: false,
@@ -113,23 +119,23 @@
                     supersedes = Some(generation);
                     continue;
                 }
-                return Ok(attach(entry, organisation, generation, 0, checked.model));
+                return Ok(attach(entry, organisation, generation, 0, validated.model));
             }
-            // The claim may stand in the log under this name: remember that it never ran, so that
-            // a repeat can take its place.
+            // The claim may be in the log under this name. Recording that the generation never ran
+            // lets a repeat of the request supersede the claim.
             ClaimAnswer::Unsure | ClaimAnswer::NotClaimed => {
-                let not_run = NotRun::new(Unsent::fresh(), NotRunReason::NoClaim);
-                entry.remember_not_run(&name, organisation, not_run);
+                let not_run = NotRun::new(Unsent::fresh(), NotRunReason::ClaimFailed);
+                entry.record_not_run(&name, organisation, not_run);
                 return Err(Problem::NotRun(not_run));
             }
         }
     }
     let unsent = Unsent::fresh();
-    match entry.take_slot(&checked.organisation, unsent).await {
-        Ok(unsent) => Ok(start(entry, checked, name, true, unsent)),
+    match entry.take_slot(&validated.organisation, unsent).await {
+        Ok(unsent) => Ok(start(entry, validated, name, true, unsent)),
         Err(problem) => {
             if let Problem::NotRun(not_run) = &problem {
-                entry.remember_not_run(&name, organisation, *not_run);
+                entry.record_not_run(&name, organisation, *not_run);
             }
             Err(problem)
         }
@@ -137,13 +143,14 @@
 }
 
 async fn never_ran(entry: &Arc<Entry>, organisation: OrganisationKey, name: &str) -> bool {
-    if let Some(held) = entry.registry.find(organisation, name) {
-        return matches!(held.end(), Some(End::NotRun(_)));
+    if let Some(generation) = entry.registry.find(organisation, name) {
+        return matches!(generation.end(), Some(End::NotRun(_)));
     }
-    standing(&entry.node, name).await == Standing::NeverRan
+    query_run_status(&entry.node, name).await == RunStatus::NeverRan
 }
 
-/// A generation that runs or has run, held here or copied from where it is, from `from` on.
+/// Returns a generation that runs or has run, with its tokens from index `from` on: the local one,
+/// or a copy that is filled from its holder.
 pub(crate) fn attach(
     entry: &Arc<Entry>,
     organisation: OrganisationKey,
@@ -151,24 +158,24 @@
     from: u32,
     model: String,
 ) -> Arc<Generation> {
-    if let Some(held) = entry.registry.find(organisation, &name)
-        && held.base() <= from
+    if let Some(generation) = entry.registry.find(organisation, &name)
+        && generation.base() <= from
     {
-        return held;
+        return generation;
     }
     let now_ms = entry.node.clock().now_ms();
     let copy = Arc::new(Generation::new(name, organisation, from, true, now_ms));
-    // A copy is kept under its own host's name only there; here it lives as long as its readers.
+    // The copy isn't entered in the registry; it lives as long as its readers.
     tokio::spawn(mirror(
         entry.node.clone(),
         copy.clone(),
         model,
-        entry.drivers.silence_timeout,
+        entry.driver_context.silence_timeout,
     ));
     copy
 }
 
-/// A generation by its name, for a caller that lost its connection.
+/// Finds a generation by its name, for a caller that reconnects.
 pub(crate) fn reattach(
     entry: &Arc<Entry>,
     organisation: OrganisationKey,
@@ -188,48 +195,48 @@
 
 fn start(
     entry: &Arc<Entry>,
-    checked: Checked,
+    validated: ValidatedRequest,
     name: String,
     keyed: bool,
     unsent: Unsent,
 ) -> Arc<Generation> {
-    let organisation = OrganisationKey::of(&checked.organisation.name);
+    let organisation = OrganisationKey::of(&validated.organisation.name);
     let now_ms = entry.node.clock().now_ms();
     let generation = Arc::new(Generation::new(name, organisation, 0, keyed, now_ms));
     entry.registry.insert(generation.clone());
-    let wanted = checked.wanted;
-    let share = checked.in_force.share(&checked.organisation);
+    let caller_request = validated.caller_request;
+    let share = validated.configuration.share(&validated.organisation);
     let request = PermitRequest {
         organisation,
-        service: ServiceKey::of(&wanted.service),
-        weight: checked.organisation.weight,
+        service: ServiceKey::of(&caller_request.service),
+        weight: validated.organisation.weight,
         share,
-        model: checked.model,
-        prefix: wanted.prefix(),
-        prompt_tokens: wanted.prompt_tokens(),
+        model: validated.model,
+        prefix: caller_request.prefix(),
+        prompt_tokens: caller_request.prompt_tokens(),
         out_tokens: 0,
-        output_limit_tokens: checked.output_limit_tokens,
-        max_wait_ms: checked.in_force.preset().refuse_after_ms,
+        output_limit_tokens: validated.output_limit_tokens,
+        max_wait_ms: validated.configuration.preset().refuse_after_ms,
         only_now: false,
         excluded: Vec::new(),
     };
-    let metrics = &entry.drivers.metrics;
+    let metrics = &entry.driver_context.metrics;
     let job = Job {
         generation: generation.clone(),
-        content: content_of(organisation, request.service, wanted.hash),
+        content: content_of(organisation, request.service, caller_request.hash),
         request,
-        labels: metrics.caller(&checked.organisation.name, &wanted.service),
-        prompt: wanted.prompt,
-        since_ms: now_ms,
-        hop: checked.hop,
+        labels: metrics.caller(&validated.organisation.name, &caller_request.service),
+        prompt: caller_request.prompt,
+        received_at_ms: now_ms,
+        trace: validated.trace,
     };
-    let span = job.hop.span.clone();
+    let span = job.trace.span.clone();
     let entry = entry.clone();
-    let driving = async move {
-        drive(entry.drivers.clone(), job, unsent).await;
+    let run = async move {
+        drive(entry.driver_context.clone(), job, unsent).await;
         entry.node.release_slot(organisation);
     };
-    tokio::spawn(driving.instrument(span));
+    tokio::spawn(run.instrument(span));
     generation
 }
 
@@ -238,25 +245,25 @@
         HostKey::of(self.node.host())
     }
 
-    /// Takes a slot under the organisation's limits; the proof comes back with it.
+    /// Takes a slot under the organisation's limits, and returns the proof that was passed in.
     pub(crate) async fn take_slot(
         &self,
         organisation: &Organisation,
         unsent: Unsent,
     ) -> Result<Unsent, Problem> {
-        let bounds = RequestLimits {
+        let limits = RequestLimits {
             requests_per_s: organisation.requests_per_s,
             concurrent: organisation.concurrent_requests,
         };
         let key = OrganisationKey::of(&organisation.name);
-        match self.node.take_slot(key, bounds).await {
+        match self.node.take_slot(key, limits).await {
             Ok(()) => Ok(unsent),
-            Err(over) => Err(Problem::NotRun(NotRun::over(unsent, over))),
+            Err(exceeded) => Err(Problem::NotRun(NotRun::limit_exceeded(unsent, exceeded))),
         }
     }
 
-    /// Keeps, for repeats of its key, that a claimed generation never ran.
-    pub(crate) fn remember_not_run(
+    /// Records that a claimed generation never ran, so that a repeat with its key can run.
+    pub(crate) fn record_not_run(
         &self,
         name: &str,
         organisation: OrganisationKey,
--- a/crates/entry/src/hop.rs
+++ b/crates/entry/src/trace.rs
@@ -1,4 +1,4 @@
-//! The trace of a request over its hops: caller, host, home, engine.
+//! Distributed trace of a request across caller, host, home and engine.
 
 use std::collections::HashMap;
 
@@ -7,19 +7,19 @@
 use tracing::Span;
 use tracing_opentelemetry::OpenTelemetrySpanExt;
 
-/// The header that carries a trace (W3C Trace Context).
+/// Header that carries the trace (W3C Trace Context).
 const TRACEPARENT: &str = "traceparent";
 
-/// Where a request stands in its trace.
+/// Position of a request in its trace.
 #[derive(Debug, Clone)]
-pub(crate) struct Hop {
+pub(crate) struct RequestTrace {
     pub(crate) span: Span,
-    /// As the caller sent it; goes on unchanged where no spans are exported.
+    /// The header as the caller sent it; passed on unchanged if no spans are exported.
     received: Option<String>,
 }
 
-impl Hop {
-    /// The span of a request that has just come in, below its caller's.
+impl RequestTrace {
+    /// Opens the span of a new request, as a child of its caller's span.
     pub(crate) fn start(headers: &HeaderMap, service: &str) -> Self {
         let received = headers
             .get(TRACEPARENT)
@@ -28,16 +28,19 @@
         let span = tracing::info_span!("entry.request", service);
         if let Some(parent) = &received {
             let carrier = HashMap::from([(TRACEPARENT.to_owned(), parent.clone())]);
-            let context = global::get_text_map_propagator(|one| one.extract(&carrier));
+            let context =
+                global::get_text_map_propagator(|propagator| propagator.extract(&carrier));
             let _ = span.set_parent(context);
         }
         Self { span, received }
     }
 
-    /// What the next hop below `span` is to be told.
+    /// The `traceparent` to send to the next hop below `span`.
     pub(crate) fn traceparent(&self, span: &Span) -> Option<String> {
         let mut carrier = HashMap::new();
-        global::get_text_map_propagator(|one| one.inject_context(&span.context(), &mut carrier));
+        global::get_text_map_propagator(|propagator| {
+            propagator.inject_context(&span.context(), &mut carrier)
+        });
         carrier
             .remove(TRACEPARENT)
             .or_else(|| self.received.clone())
