--- a/crates/bench/src/cmd/relay.rs
+++ b/crates/bench/src/cmd/relay.rs
@@ -4,8 +4,8 @@
 use std::time::{Duration, Instant};
 
 use bpaf::Bpaf;
-use fulmarpath::dev::caller::{Ask, open};
-use fulmarpath::dev::{CALLER_KEY, Deployment, DevError, Size};
+use fulmarpath::dev::caller::{CallerRequest, open};
+use fulmarpath::dev::{CALLER_KEY, Deployment, DeploymentSpec, DevError};
 use fulmarpath_http::{Call, HttpError, Lines, post_json};
 use fulmarpath_standin::EngineSpec;
 use fulmarpath_upstream::GenerateRequest;
@@ -52,7 +52,7 @@
 
     async fn measure(&self) -> Result<Row, DevError> {
         // A step of a fixed 25 ms whatever the batch: gaps beyond it are the path's.
-        let size = Size {
+        let size = DeploymentSpec {
             hosts: 1,
             engines: 1,
             engine: EngineSpec {
@@ -63,7 +63,7 @@
                 prompt_ms_per_token: 0.0,
                 ..EngineSpec::default()
             },
-            ..Size::default()
+            ..DeploymentSpec::default()
         };
         let deployment = Deployment::start(size).await?;
         let engine = deployment.engines[0].address;
@@ -122,10 +122,10 @@
     }
 
     async fn relayed(&self, host: SocketAddr, number: usize) -> Result<Call, HttpError> {
-        let ask = Ask {
+        let ask = CallerRequest {
             key: CALLER_KEY,
             prompt: format!("relayed {number} #{}", self.tokens),
-            ..Ask::default()
+            ..CallerRequest::default()
         };
         open(host, &ask).await
     }
--- a/crates/bench/src/cmd/spread.rs
+++ b/crates/bench/src/cmd/spread.rs
@@ -4,7 +4,7 @@
 
 use bpaf::Bpaf;
 use fulmarpath::cluster::Change;
-use fulmarpath::dev::{Deployment, DevError, Size};
+use fulmarpath::dev::{Deployment, DeploymentSpec, DevError};
 use serde::Serialize;
 use std::sync::atomic::Ordering;
 
@@ -47,10 +47,10 @@
     }
 
     async fn measure(&self) -> Result<Row, DevError> {
-        let size = Size {
+        let size = DeploymentSpec {
             hosts: self.hosts,
             engines: 3,
-            ..Size::default()
+            ..DeploymentSpec::default()
         };
         let deployment = Deployment::start(size).await?;
         let platform = &deployment.object_api;
@@ -63,14 +63,14 @@
             let node = &deployment.host(change % self.hosts).node;
             platform
                 .faults
-                .blind_watches
+                .suppress_watches
                 .store(self.api_down, Ordering::Relaxed);
             let revision = node.publish(&Change::UsePreset { preset }).await?;
             platform.faults.down.store(self.api_down, Ordering::Relaxed);
             let accepted = Instant::now();
             loop {
                 let mut lags = false;
-                for (host, seen) in deployment.live().zip(&mut seen) {
+                for (host, seen) in deployment.running_hosts().zip(&mut seen) {
                     let held = host
                         .node
                         .active_configuration()
@@ -88,7 +88,7 @@
             platform.faults.down.store(false, Ordering::Relaxed);
             platform
                 .faults
-                .blind_watches
+                .suppress_watches
                 .store(false, Ordering::Relaxed);
             tokio::time::sleep(Duration::from_millis(300)).await;
         }
--- a/crates/bench/src/faults/fault.rs
+++ b/crates/bench/src/faults/fault.rs
@@ -116,10 +116,13 @@
     let platform = deployment.object_api.faults.clone();
     let mut struck = Struck::default();
     match fault {
-        Fault::EngineDies => engine.faults.dead.store(true, Ordering::Relaxed),
+        Fault::EngineDies => engine.faults.unresponsive.store(true, Ordering::Relaxed),
         Fault::EngineLeaves => engine.leave(),
         Fault::ConnectionsGoSilent => {
-            deployment.engines.iter().for_each(|one| one.silence_open());
+            deployment
+                .engines
+                .iter()
+                .for_each(|one| one.silence_open_streams());
         }
         Fault::StreamsBreak => {
             let after = rng.random_range(4..40);
@@ -129,13 +132,13 @@
         Fault::ResumesTooEarly => {
             for one in &deployment.engines {
                 let faults = &one.faults;
-                faults.resume_too_early_tokens.store(5, Ordering::Relaxed);
+                faults.resume_rewind_tokens.store(5, Ordering::Relaxed);
                 faults.break_after_tokens.store(25, Ordering::Relaxed);
             }
         }
         Fault::StrangersTokens => {
             for one in &deployment.engines {
-                one.faults.crossed.store(true, Ordering::Relaxed);
+                one.faults.foreign_tokens.store(true, Ordering::Relaxed);
             }
         }
         Fault::HostKilled => deployment.kill(host),
@@ -152,19 +155,19 @@
         }
         Fault::AnswersLost => {
             let lost = rng.random_range(1..4);
-            platform.lose_write_answers.store(lost, Ordering::Relaxed);
+            platform.drop_write_responses.store(lost, Ordering::Relaxed);
         }
-        Fault::PlainAnswersLost => deployment.plain.lose_answers.store(3, Ordering::Relaxed),
+        Fault::PlainAnswersLost => deployment.plain.drop_responses.store(3, Ordering::Relaxed),
         Fault::OperatorsRace => struck.accepted = race(deployment, rng).await,
         Fault::PresetSwitched => struck.accepted.extend(switch(deployment, rng).await),
         Fault::PlatformDownAfterChange => {
-            platform.blind_watches.store(true, Ordering::Relaxed);
+            platform.suppress_watches.store(true, Ordering::Relaxed);
             struck.accepted.extend(switch(deployment, rng).await);
             platform.down.store(true, Ordering::Relaxed);
             let down = platform.clone();
             tokio::spawn(async move {
                 tokio::time::sleep(LONG_OUTAGE).await;
-                down.blind_watches.store(false, Ordering::Relaxed);
+                down.suppress_watches.store(false, Ordering::Relaxed);
                 down.down.store(false, Ordering::Relaxed);
             });
         }
@@ -188,7 +191,7 @@
     let old = serde_json::to_vec(&held.root).ok()?;
     let revision = switch(deployment, rng).await?;
     tokio::time::sleep(CROSSED_AFTER).await;
-    for host in deployment.live() {
+    for host in deployment.running_hosts() {
         let address = host.peer_address;
         let connect = tarpc::serde_transport::tcp::connect(address, Bincode::default).await;
         let client = PeerClient::new(Config::default(), connect.ok()?).spawn();
--- a/crates/bench/src/faults/judge.rs
+++ b/crates/bench/src/faults/judge.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, HashSet};
 
 use fulmarpath::dev::Deployment;
-use fulmarpath::dev::caller::{Got, expected};
+use fulmarpath::dev::caller::{CallerResponse, expected};
 use fulmarpath_standin::answer_token;
 use serde::Serialize;
 
@@ -108,7 +108,7 @@
         }
     }
 
-    fn judge_tokens(&mut self, outcome: &Outcome, got: &Got) {
+    fn judge_tokens(&mut self, outcome: &Outcome, got: &CallerResponse) {
         if matches!(outcome.part.kind, Kind::Get | Kind::Post) {
             return;
         }
@@ -117,11 +117,11 @@
             return;
         }
         let wanted = wanted.split_inclusive(' ').count();
-        let distinct: HashSet<&String> = got.texts.iter().collect();
+        let distinct: HashSet<&String> = got.tokens.iter().collect();
         let prompt = outcome.part.prompt();
-        if got.texts.iter().any(|text| !is_own(&prompt, text)) {
+        if got.tokens.iter().any(|text| !is_own(&prompt, text)) {
             self.crossed += 1;
-        } else if distinct.len() < got.texts.len() {
+        } else if distinct.len() < got.tokens.len() {
             self.doubled += 1;
         } else if distinct.len() < wanted {
             self.lost += 1;
@@ -132,7 +132,7 @@
 
     pub(crate) fn judge_leaving(&mut self, deployment: &Deployment) {
         for engine in &deployment.engines {
-            if engine.record().last_ask_after_leaving_ms > LEAVING_BOUND_MS {
+            if engine.record().last_start_after_leaving_ms > LEAVING_BOUND_MS {
                 self.late_to_leaving += 1;
             }
         }
@@ -146,9 +146,9 @@
     index.is_some_and(|index| answer_token(prompt, index) == text)
 }
 
-fn is_answered(outcome: &Outcome, got: &Got) -> bool {
+fn is_answered(outcome: &Outcome, got: &CallerResponse) -> bool {
     match outcome.part.kind {
-        Kind::Plain | Kind::Keyed => got.whole,
+        Kind::Plain | Kind::Keyed => got.is_complete,
         Kind::Get | Kind::Post => got.status == 200,
     }
 }
--- a/crates/bench/src/faults/round.rs
+++ b/crates/bench/src/faults/round.rs
@@ -5,7 +5,7 @@
 use std::time::{Duration, Instant};
 
 use fulmarpath::cluster::{Node, Safeguard};
-use fulmarpath::dev::{Deployment, DevError, Size};
+use fulmarpath::dev::{Deployment, DeploymentSpec, DevError};
 use futures::future::join_all;
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -34,12 +34,12 @@
 /// Plays one round.
 pub(crate) async fn run(settings: RoundSettings) -> Result<Verdict, DevError> {
     let mut rng = ChaCha8Rng::seed_from_u64(settings.seed);
-    let size = Size {
+    let size = DeploymentSpec {
         hosts: settings.hosts,
         engines: 3,
         silence_bound_ms: SILENCE_BOUND_MS,
-        without: settings.without,
-        ..Size::default()
+        disabled_safeguard: settings.without,
+        ..DeploymentSpec::default()
     };
     let deployment = Deployment::start(size).await?;
     let drawn = draw_faults(&mut rng);
@@ -56,7 +56,10 @@
     let addresses: Vec<_> = (0..settings.hosts)
         .map(|host| deployment.caller_address(host))
         .collect();
-    let nodes: Vec<Arc<Node>> = deployment.live().map(|host| host.node.clone()).collect();
+    let nodes: Vec<Arc<Node>> = deployment
+        .running_hosts()
+        .map(|host| host.node.clone())
+        .collect();
     let watched = Watch::start(nodes);
     let callers: Vec<_> = parts
         .into_iter()
@@ -105,7 +108,7 @@
 async fn in_force(deployment: &Deployment, revision: u64) -> Duration {
     let started = Instant::now();
     let lags = || {
-        deployment.live().any(|host| {
+        deployment.running_hosts().any(|host| {
             let held = host.node.active_configuration();
             held.is_none_or(|held| held.root.revision < revision)
         })
--- a/crates/bench/src/faults/session.rs
+++ b/crates/bench/src/faults/session.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use fulmarpath::dev::CALLER_KEY;
-use fulmarpath::dev::caller::{Ask, Got, call, open, read};
+use fulmarpath::dev::caller::{CallerRequest, CallerResponse, call, open, read};
 use hyper::Method;
 use rand::Rng;
 use rand_chacha::ChaCha8Rng;
@@ -37,7 +37,7 @@
 pub(crate) struct Outcome {
     pub(crate) part: Part,
     /// The answers it was given, one for each host it asked in the end.
-    pub(crate) answers: Vec<Got>,
+    pub(crate) answers: Vec<CallerResponse>,
 }
 
 impl Part {
@@ -94,8 +94,13 @@
 }
 
 /// Asks until there is an answer; goes on at the next host where a connection broke.
-async fn insist(part: &Part, addresses: &[SocketAddr], host: usize, key: Option<String>) -> Got {
-    let mut ask = Ask {
+async fn insist(
+    part: &Part,
+    addresses: &[SocketAddr],
+    host: usize,
+    key: Option<String>,
+) -> CallerResponse {
+    let mut ask = CallerRequest {
         key: CALLER_KEY,
         prompt: part.prompt(),
         idempotency_key: key,
@@ -108,22 +113,23 @@
     for attempt in 0..TRIES {
         let address = addresses[(host + attempt) % addresses.len()];
         let mut got = read(open(address, &ask).await, usize::MAX).await;
-        sofar.append(&mut got.texts);
-        got.texts.clone_from(&sofar);
-        if let Some(id) = got.ids.last() {
+        sofar.append(&mut got.tokens);
+        got.tokens.clone_from(&sofar);
+        if let Some(id) = got.event_ids.last() {
             ask.last_event_id = Some(id.clone());
             ask.idempotency_key = None;
         }
         let problem = got.problem.clone().unwrap_or_default();
-        let final_word = got.whole || (!problem.is_empty() && !problem.starts_with("not-run"));
+        let final_word =
+            got.is_complete || (!problem.is_empty() && !problem.starts_with("not-run"));
         // A plain connection that broke before anything came may have run: asking again would be
         // a second request, which a caller without a key has to decide for itself.
         let unsure =
-            got.status == 0 && !got.unsent && ask.idempotency_key.is_none() && sofar.is_empty();
-        silences += usize::from(!got.unsent && !got.whole && problem.is_empty());
+            got.status == 0 && !got.is_unsent && ask.idempotency_key.is_none() && sofar.is_empty();
+        silences += usize::from(!got.is_unsent && !got.is_complete && problem.is_empty());
         // A closed door is no answer: a balancer would not have sent the caller to a host that has
         // stopped. What it was told before stands; who was never told anything is still lost.
-        if !got.unsent || last.is_none() {
+        if !got.is_unsent || last.is_none() {
             last = Some(got);
         }
         if final_word || unsure || silences >= SILENCES {
@@ -135,7 +141,7 @@
 }
 
 /// Calls the plain service; at the next host only where the first was certainly never reached.
-async fn plain(part: &Part, addresses: &[SocketAddr], method: Method) -> Got {
+async fn plain(part: &Part, addresses: &[SocketAddr], method: Method) -> CallerResponse {
     let path = format!("/services/lookup{}", part.path());
     let bearer = format!("Bearer {CALLER_KEY}");
     let headers = [("authorization", bearer.as_str())];
@@ -144,7 +150,7 @@
         let address = addresses[host % addresses.len()];
         let answer = call(address, method.clone(), &path, &headers, "body".into()).await;
         let got = read(answer, usize::MAX).await;
-        if !got.unsent || host > part.hosts[0] + TRIES {
+        if !got.is_unsent || host > part.hosts[0] + TRIES {
             return got;
         }
         host += 1;
--- a/crates/bench/src/slopes/cpu.rs
+++ b/crates/bench/src/slopes/cpu.rs
@@ -2,7 +2,7 @@
 
 use std::time::Instant;
 
-use fulmarpath::dev::{Deployment, Size};
+use fulmarpath::dev::{Deployment, DeploymentSpec};
 use fulmarpath_policy::{
     EnginePermitRequest, HostKey, OrganisationKey, PermitKey, PermitRequestId, RequestLimits,
     ServiceKey, UpstreamKey,
@@ -51,10 +51,10 @@
 }
 
 pub(crate) async fn measure() -> Vec<Slope> {
-    let size = Size {
+    let size = DeploymentSpec {
         hosts: 2,
         engines: 1,
-        ..Size::default()
+        ..DeploymentSpec::default()
     };
     let deployment = Deployment::start(size).await.expect("a deployment");
     let address = deployment.host(0).peer_address;
--- a/crates/bench/src/slopes/memory.rs
+++ b/crates/bench/src/slopes/memory.rs
@@ -3,8 +3,8 @@
 use std::hint::black_box;
 
 use fulmarpath::cluster::Members;
-use fulmarpath::dev::caller::{Ask as CallerAsk, open};
-use fulmarpath::dev::{CALLER_KEY, Deployment, Size};
+use fulmarpath::dev::caller::{CallerRequest, open};
+use fulmarpath::dev::{CALLER_KEY, Deployment, DeploymentSpec};
 use fulmarpath_policy::{
     EnginePermitRequest, Home, HomeSettings, HostKey, Lengths, OrganisationKey, PermitRequestId,
     ServiceKey, Weights,
@@ -110,7 +110,7 @@
 /// Quiet streams through one host. The caller's and the engine's ends are in this process too, so
 /// this is more than the host's own share.
 async fn streams() -> Slope {
-    let size = Size {
+    let size = DeploymentSpec {
         hosts: 1,
         engines: 1,
         engine: EngineSpec {
@@ -120,7 +120,7 @@
             ..EngineSpec::default()
         },
         silence_bound_ms: 20_000,
-        ..Size::default()
+        ..DeploymentSpec::default()
     };
     let deployment = Deployment::start(size).await.expect("a deployment");
     let address = deployment.caller_address(0);
@@ -131,10 +131,10 @@
         let asks = (0..200).map(|number| {
             let prompt = format!("quiet {step} {number} #4000");
             async move {
-                let ask = CallerAsk {
+                let ask = CallerRequest {
                     key: CALLER_KEY,
                     prompt,
-                    ..CallerAsk::default()
+                    ..CallerRequest::default()
                 };
                 open(address, &ask).await
             }
--- a/crates/standin/src/engine.rs
+++ b/crates/standin/src/engine.rs
@@ -31,22 +31,22 @@
 /// Faults that a test orders; all off at first.
 #[derive(Debug, Default)]
 pub struct EngineFaults {
-    /// Raised by [`StandinEngine::silence_open`]: streams opened before go silent for good.
+    /// Raised by [`StandinEngine::silence_open_streams`]: streams opened before go silent for good.
     silence: AtomicU32,
     /// Each stream also carries a token of another generation and one of another attempt.
-    pub crossed: AtomicBool,
+    pub foreign_tokens: AtomicBool,
     /// Nothing answers any more, as a dead process would.
-    pub dead: AtomicBool,
+    pub unresponsive: AtomicBool,
     /// The load report says leaving, and nothing new is taken.
     leaving: AtomicBool,
     /// A resumed stream starts so many tokens too early.
-    pub resume_too_early_tokens: AtomicU32,
+    pub resume_rewind_tokens: AtomicU32,
     /// Each stream breaks after so many tokens; 0 for never.
     pub break_after_tokens: AtomicU32,
     /// A prompt with this text ends the engine as it begins to run it; empty for none.
-    pub ends_on: Mutex<String>,
+    pub crash_on: Mutex<String>,
     /// It has ended: connections are refused, and its streams break.
-    ended: CancellationToken,
+    crashed: CancellationToken,
     /// Old fencing numbers are taken as well.
     pub ignores_fencing: AtomicBool,
 }
@@ -81,7 +81,7 @@
             work: Arc::default(),
         };
         let server = engine.clone();
-        let server_ended = engine.faults.ended.clone();
+        let server_ended = engine.faults.crashed.clone();
         let (stop, stopped) = watch::channel(false);
         tokio::spawn(async move {
             let _stop = stop;
@@ -102,7 +102,7 @@
     }
 
     /// Every open stream goes silent for good; new ones work.
-    pub fn silence_open(&self) {
+    pub fn silence_open_streams(&self) {
         self.faults.silence.fetch_add(1, Ordering::Relaxed);
     }
 
@@ -113,17 +113,17 @@
     }
 
     /// Whether a prompt has ended it.
-    pub fn has_ended(&self) -> bool {
-        self.faults.ended.is_cancelled()
+    pub fn has_crashed(&self) -> bool {
+        self.faults.crashed.is_cancelled()
     }
 
     /// Ends in a moment, where the prompt is one that does that.
     fn end_on(&self, prompt: &str) {
-        let text = self.faults.ends_on.lock().clone();
+        let text = self.faults.crash_on.lock().clone();
         if text.is_empty() || !prompt.contains(&text) {
             return;
         }
-        let ended = self.faults.ended.clone();
+        let ended = self.faults.crashed.clone();
         tokio::spawn(async move {
             tokio::time::sleep(ENDS_AFTER).await;
             ended.cancel();
@@ -136,7 +136,7 @@
     }
 
     /// Loses all generations, as a restart would; the record stays.
-    pub fn forget_all(&self) {
+    pub fn drop_generations(&self) {
         let mut state = self.state.lock();
         let ids: Vec<u64> = state.runs.keys().copied().collect();
         for id in ids {
@@ -152,7 +152,7 @@
     }
 
     fn is_dead(&self) -> bool {
-        self.faults.dead.load(Ordering::Relaxed)
+        self.faults.unresponsive.load(Ordering::Relaxed)
     }
 
     async fn run(self) {
@@ -228,7 +228,7 @@
             let mut state = self.state.lock();
             let since = state.leaving_since.map(|since| since.elapsed());
             state.record.refused_starts += 1;
-            state.record.last_ask_after_leaving_ms =
+            state.record.last_start_after_leaving_ms =
                 since.map_or(0, |elapsed| elapsed.as_millis() as u64);
             return empty(StatusCode::SERVICE_UNAVAILABLE);
         }
@@ -283,7 +283,7 @@
             return empty(StatusCode::NOT_FOUND);
         }
         run.attempt = request.attempt;
-        let too_early = self.faults.resume_too_early_tokens.load(Ordering::Relaxed);
+        let too_early = self.faults.resume_rewind_tokens.load(Ordering::Relaxed);
         let from = request.next_index.saturating_sub(too_early);
         let from = from.max(run.first_index);
         drop(state);
@@ -326,7 +326,7 @@
             return;
         };
         loop {
-            if self.has_ended() {
+            if self.has_crashed() {
                 return;
             }
             let is_silent = self.faults.silence.load(Ordering::Relaxed) != silence;
@@ -337,7 +337,7 @@
             }
             let items = self.state.lock().items(id, attempt, next);
             let Some(mut items) = items else { return };
-            if self.faults.crossed.load(Ordering::Relaxed) {
+            if self.faults.foreign_tokens.load(Ordering::Relaxed) {
                 items.splice(0..0, strangers(attempt, next));
             }
             for item in items {
@@ -359,7 +359,7 @@
             }
             let changed = tokio::select! {
                 changed = tokio::time::timeout(HEARTBEAT, changed.changed()) => changed,
-                () = self.faults.ended.cancelled() => return,
+                () = self.faults.crashed.cancelled() => return,
             };
             if changed.is_err() {
                 let mut line = serde_json::to_vec(&StreamItem::Heartbeat).unwrap_or_default();
--- a/crates/standin/src/object_api.rs
+++ b/crates/standin/src/object_api.rs
@@ -25,9 +25,9 @@
     /// Every call is refused with status 503.
     pub down: AtomicBool,
     /// So many coming writes take effect and are never answered.
-    pub lose_write_answers: AtomicU32,
+    pub drop_write_responses: AtomicU32,
     /// Watches tell nothing new; reads still do.
-    pub blind_watches: AtomicBool,
+    pub suppress_watches: AtomicBool,
     /// Time added to each call.
     pub delay_ms: AtomicU64,
 }
@@ -141,7 +141,7 @@
         let mut changed = self.changed.subscribe();
         let wait = async {
             loop {
-                let is_blind = self.faults.blind_watches.load(Ordering::Relaxed);
+                let is_blind = self.faults.suppress_watches.load(Ordering::Relaxed);
                 let current = self.objects.lock().get(key).cloned().filter(|_| !is_blind);
                 if let Some((version, value)) = current.filter(|(version, _)| *version > after) {
                     return found(version, value);
@@ -179,7 +179,7 @@
             version
         };
         self.changed.send_modify(|count| *count += 1);
-        let lose = &self.faults.lose_write_answers;
+        let lose = &self.faults.drop_write_responses;
         let lost = lose.fetch_update(Ordering::Relaxed, Ordering::Relaxed, |left| {
             left.checked_sub(1)
         });
--- a/crates/standin/src/plain.rs
+++ b/crates/standin/src/plain.rs
@@ -23,11 +23,11 @@
     /// Where it listens.
     pub address: SocketAddr,
     /// So many coming calls are run and never answered.
-    pub lose_answers: Arc<AtomicU32>,
+    pub drop_responses: Arc<AtomicU32>,
     /// A body with this text ends the service as it begins to run it; empty for none.
-    pub ends_on: Arc<Mutex<String>>,
+    pub crash_on: Arc<Mutex<String>>,
     /// Connections are refused, and nothing is answered any more.
-    ended: CancellationToken,
+    crashed: CancellationToken,
     runs: Arc<AtomicU64>,
     by_path: Arc<Mutex<HashMap<String, u32>>>,
 }
@@ -37,14 +37,14 @@
     pub fn start(listener: TcpListener) -> std::io::Result<Self> {
         let plain = Self {
             address: listener.local_addr()?,
-            lose_answers: Arc::default(),
-            ends_on: Arc::default(),
-            ended: CancellationToken::new(),
+            drop_responses: Arc::default(),
+            crash_on: Arc::default(),
+            crashed: CancellationToken::new(),
             runs: Arc::default(),
             by_path: Arc::default(),
         };
         let server = plain.clone();
-        let ended = plain.ended.clone();
+        let ended = plain.crashed.clone();
         let (stop, stopped) = watch::channel(false);
         tokio::spawn(async move {
             let _stop = stop;
@@ -61,8 +61,8 @@
     }
 
     /// Whether a call has ended it.
-    pub fn has_ended(&self) -> bool {
-        self.ended.is_cancelled()
+    pub fn has_crashed(&self) -> bool {
+        self.crashed.is_cancelled()
     }
 
     /// Calls that were run.
@@ -83,7 +83,7 @@
         let path = request.uri().path().to_owned();
         *self.by_path.lock().entry(path.clone()).or_default() += 1;
         let lost = self
-            .lose_answers
+            .drop_responses
             .fetch_update(Ordering::Relaxed, Ordering::Relaxed, |left| {
                 left.checked_sub(1)
             });
@@ -93,9 +93,9 @@
         let body = request.into_body().collect().await;
         let body = body.map(|body| body.to_bytes()).unwrap_or_default();
         let body = String::from_utf8_lossy(&body);
-        let ends_on = self.ends_on.lock().clone();
-        if !ends_on.is_empty() && body.contains(&ends_on) {
-            self.ended.cancel();
+        let crash_on = self.crash_on.lock().clone();
+        if !crash_on.is_empty() && body.contains(&crash_on) {
+            self.crashed.cancel();
             // The answer breaks off, as that of a process that is gone.
             let broken = once(ready(Err(BodyInterrupted)));
             return hyper::Response::new(stream_body(broken));
--- a/crates/standin/src/runs.rs
+++ b/crates/standin/src/runs.rs
@@ -19,7 +19,7 @@
     /// The traces that starts belonged to.
     pub traceparents: Vec<String>,
     /// How long after the engine began to leave the last start was asked of it.
-    pub last_ask_after_leaving_ms: u64,
+    pub last_start_after_leaving_ms: u64,
     /// Tokens computed by generation.
     pub computed_tokens: HashMap<String, u32>,
     /// Generations that were cancelled.
--- a/src/cmd/dev.rs
+++ b/src/cmd/dev.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use bpaf::Bpaf;
-use fulmarpath::dev::{CALLER_KEY, Deployment, Size};
+use fulmarpath::dev::{CALLER_KEY, Deployment, DeploymentSpec};
 use fulmarpath::init_log;
 use fulmarpath::settings::LogFormat;
 use fulmarpath_http::{Lines, send};
@@ -35,7 +35,7 @@
             spdlog::default_logger().set_level_filter(spdlog::LevelFilter::Off);
         }
         block_on(async {
-            let deployment = Deployment::start(Size::default()).await?;
+            let deployment = Deployment::start(DeploymentSpec::default()).await?;
             let address = deployment.caller_address(0);
             match &self.ask {
                 Some(prompt) => ask(address, prompt).await,
--- a/src/dev.rs
+++ b/src/dev.rs
@@ -22,7 +22,7 @@
 /// The caller's key of the first organisation in [`declarations`].
 pub const CALLER_KEY: &str = "dev-caller";
 /// The caller's key of the second organisation, a rival of the first.
-pub const RIVAL_KEY: &str = "dev-rival";
+pub const OTHER_CALLER_KEY: &str = "dev-rival";
 /// The operators' key of a [`Deployment`].
 pub const OPERATOR_KEY: &str = "dev-operator";
 
@@ -34,7 +34,7 @@
 
 /// What a deployment consists of.
 #[derive(Debug, Clone, Copy)]
-pub struct Size {
+pub struct DeploymentSpec {
     /// Entry hosts.
     pub hosts: usize,
     /// Engines of the one model.
@@ -44,17 +44,17 @@
     /// Silence after which a stream is resumed.
     pub silence_bound_ms: u64,
     /// A safeguard that all hosts lack.
-    pub without: Option<Safeguard>,
+    pub disabled_safeguard: Option<Safeguard>,
 }
 
-impl Default for Size {
+impl Default for DeploymentSpec {
     fn default() -> Self {
         Self {
             hosts: 3,
             engines: 4,
             engine: EngineSpec::default(),
             silence_bound_ms: 1_000,
-            without: None,
+            disabled_safeguard: None,
         }
     }
 }
@@ -93,7 +93,7 @@
     pub object_api: StandinObjectApi,
     /// The host list.
     pub host_list: StandinHostList,
-    size: Size,
+    size: DeploymentSpec,
 }
 
 impl Drop for Deployment {
@@ -113,7 +113,7 @@
     ///
     /// # Errors
     /// [`DevError`]
-    pub async fn start(size: Size) -> Result<Self, DevError> {
+    pub async fn start(size: DeploymentSpec) -> Result<Self, DevError> {
         let object_api = StandinObjectApi::start(listener().await?)?;
         let host_list = StandinHostList::start(listener().await?)?;
         let plain = StandinPlain::start(listener().await?)?;
@@ -141,10 +141,10 @@
             declarations: Box::new(declarations()),
             onto: None,
         };
-        if let Some(host) = deployment.live().next() {
+        if let Some(host) = deployment.running_hosts().next() {
             host.node.publish(&change).await?;
         }
-        deployment.ready().await?;
+        deployment.wait_until_ready().await?;
         Ok(deployment)
     }
 
@@ -160,8 +160,8 @@
             .enable_all()
             .build()?;
         let settings = self.host_settings(number, &name);
-        let without = self.size.without;
-        let start = async move { Host::start_without(&settings, without).await };
+        let disabled = self.size.disabled_safeguard;
+        let start = async move { Host::start_with_safeguard_disabled(&settings, disabled).await };
         let host = runtime
             .spawn(start)
             .await
@@ -214,7 +214,7 @@
     }
 
     /// The hosts that were not stopped.
-    pub fn live(&self) -> impl Iterator<Item = &Host> {
+    pub fn running_hosts(&self) -> impl Iterator<Item = &Host> {
         self.hosts.iter().flatten().map(|running| &running.host)
     }
 
@@ -244,12 +244,12 @@
     ///
     /// # Errors
     /// [`DevError::NotReady`]
-    pub async fn ready(&self) -> Result<(), DevError> {
-        let wanted = self.live().count();
+    pub async fn wait_until_ready(&self) -> Result<(), DevError> {
+        let wanted = self.running_hosts().count();
         let all_ready = async {
             loop {
                 let ready = self
-                    .live()
+                    .running_hosts()
                     .all(|host| host.node.takes_work() && host.node.member_count() >= wanted);
                 if ready {
                     return;
@@ -303,7 +303,7 @@
     Declarations {
         organisations: vec![
             organisation("inspectors", CALLER_KEY, 2.0),
-            organisation("rivals", RIVAL_KEY, 1.0),
+            organisation("rivals", OTHER_CALLER_KEY, 1.0),
         ],
         services: vec![
             generation("reports", caller::OUTPUT_LIMIT_TOKENS),
--- a/src/dev/caller.rs
+++ b/src/dev/caller.rs
@@ -14,7 +14,7 @@
 
 /// What a caller asks for.
 #[derive(Debug, Clone, Default)]
-pub struct Ask {
+pub struct CallerRequest {
     /// The organisation's key.
     pub key: &'static str,
     /// The prompt.
@@ -29,36 +29,36 @@
 
 /// What a caller got.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Got {
+pub struct CallerResponse {
     /// The status of the answer; 0 where none came.
     pub status: u16,
     /// The tokens, in the order they came.
-    pub texts: Vec<String>,
+    pub tokens: Vec<String>,
     /// The events' ids.
-    pub ids: Vec<String>,
+    pub event_ids: Vec<String>,
     /// Whether the end was reached.
-    pub whole: bool,
+    pub is_complete: bool,
     /// The kind of problem, without its URN's prefix.
     pub problem: Option<String>,
     /// Whether no connection was made: the host never saw the request.
-    pub unsent: bool,
+    pub is_unsent: bool,
 }
 
-impl Got {
+impl CallerResponse {
     fn nothing() -> Self {
         Self {
             status: 0,
-            texts: Vec::new(),
-            ids: Vec::new(),
-            whole: false,
+            tokens: Vec::new(),
+            event_ids: Vec::new(),
+            is_complete: false,
             problem: None,
-            unsent: false,
+            is_unsent: false,
         }
     }
 
     /// The tokens as one text.
     pub fn text(&self) -> String {
-        self.texts.concat()
+        self.tokens.concat()
     }
 }
 
@@ -86,7 +86,7 @@
 ///
 /// # Errors
 /// [`HttpError`] where no answer came.
-pub async fn open(address: SocketAddr, ask: &Ask) -> Result<Call, HttpError> {
+pub async fn open(address: SocketAddr, ask: &CallerRequest) -> Result<Call, HttpError> {
     let bearer = format!("Bearer {}", ask.key);
     let mut headers = vec![("authorization", bearer.as_str())];
     if let Some(key) = &ask.idempotency_key {
@@ -104,12 +104,12 @@
 }
 
 /// Reads a streamed answer to its end, or as many tokens as `most`.
-pub async fn read(opened: Result<Call, HttpError>, most: usize) -> Got {
-    let mut got = Got::nothing();
+pub async fn read(opened: Result<Call, HttpError>, most: usize) -> CallerResponse {
+    let mut got = CallerResponse::nothing();
     let call = match opened {
         Ok(call) => call,
         Err(error) => {
-            got.unsent = error.is_unsent();
+            got.is_unsent = error.is_unsent();
             return got;
         }
     };
@@ -121,20 +121,20 @@
     }
     let mut lines = Lines::new(call);
     let mut is_error = false;
-    while got.texts.len() < most {
+    while got.tokens.len() < most {
         let Ok(Some(line)) = lines.next(SILENCE_BOUND).await else {
             return got;
         };
         let line = String::from_utf8_lossy(&line).into_owned();
         if let Some(id) = line.strip_prefix("id: ") {
-            got.ids.push(id.to_owned());
+            got.event_ids.push(id.to_owned());
         }
         is_error |= line == "event: error";
         let Some(data) = line.strip_prefix("data: ") else {
             continue;
         };
         if data == "[DONE]" {
-            got.whole = true;
+            got.is_complete = true;
             return got;
         }
         let data: Value = serde_json::from_str(data).unwrap_or_default();
@@ -144,7 +144,7 @@
         }
         let text = data["choices"][0]["text"].as_str().unwrap_or_default();
         if !text.is_empty() {
-            got.texts.push(text.to_owned());
+            got.tokens.push(text.to_owned());
         }
     }
     got
@@ -157,7 +157,7 @@
 }
 
 /// Asks and reads the whole answer.
-pub async fn complete(address: SocketAddr, ask: &Ask) -> Got {
+pub async fn complete(address: SocketAddr, ask: &CallerRequest) -> CallerResponse {
     read(open(address, ask).await, usize::MAX).await
 }
 
--- a/src/error.rs
+++ b/src/error.rs
@@ -42,7 +42,7 @@
     /// The logs don't speak of the request.
     #[error(transparent)]
     #[diagnostic(help("name the logs of all hosts; only the host that took it writes its line"))]
-    NotFound(#[from] fulmarpath::NotFound),
+    NotFound(#[from] fulmarpath::RequestNotFound),
     /// The log could not be set up.
     #[error("could not log")]
     Log(#[from] LogError),
--- a/src/explain.rs
+++ b/src/explain.rs
@@ -19,7 +19,7 @@
 
 /// One line that speaks of the request.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Trace {
+pub struct MatchingLine {
     /// Milliseconds since 1970, by the clock of the host that wrote it.
     pub at_ms: u64,
     /// The file that it stands in.
@@ -34,7 +34,7 @@
     /// Why it ended as it did, one sentence for each host that took it.
     pub causes: Vec<String>,
     /// The lines that speak of it, oldest first.
-    pub traces: Vec<Trace>,
+    pub lines: Vec<MatchingLine>,
     /// Lines that could not be read.
     pub unreadable: usize,
 }
@@ -42,7 +42,7 @@
 /// No line speaks of the request.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 #[error("could not find request {id} in {lines} lines ({unreadable} of them unreadable)")]
-pub struct NotFound {
+pub struct RequestNotFound {
     /// The request.
     pub id: String,
     /// Lines that were looked at.
@@ -54,8 +54,8 @@
 /// Looks for a request in the logs of several hosts; each is a name and its text.
 ///
 /// # Errors
-/// [`NotFound`]
-pub fn explain(id: &str, logs: &[(String, String)]) -> Result<Explanation, NotFound> {
+/// [`RequestNotFound`]
+pub fn explain(id: &str, logs: &[(String, String)]) -> Result<Explanation, RequestNotFound> {
     let mut lines = 0;
     let mut unreadable = 0;
     let mut all = Vec::new();
@@ -99,18 +99,18 @@
             || (payload.starts_with(STORE_RESTORED_PREFIX) && is_near(line.timestamp))
             || (on_content && content.is_some_and(|content| payload.contains(content)))
     };
-    let mut traces: Vec<Trace> = all
+    let mut matching: Vec<MatchingLine> = all
         .iter()
         .filter(|(_, line)| speaks(line))
-        .map(|(source, line)| Trace {
+        .map(|(source, line)| MatchingLine {
             at_ms: line.timestamp,
             source: (*source).clone(),
             text: line.payload.clone(),
         })
         .collect();
-    traces.sort();
-    if traces.is_empty() {
-        return Err(NotFound {
+    matching.sort();
+    if matching.is_empty() {
+        return Err(RequestNotFound {
             id: id.to_owned(),
             lines,
             unreadable,
@@ -118,7 +118,7 @@
     }
     Ok(Explanation {
         causes: records.iter().map(RequestRecord::cause).collect(),
-        traces,
+        lines: matching,
         unreadable,
     })
 }
@@ -140,8 +140,8 @@
         for cause in &self.causes {
             writeln!(out, "{cause}")?;
         }
-        for trace in &self.traces {
-            writeln!(out, "  {} {} {}", trace.at_ms, trace.source, trace.text)?;
+        for line in &self.lines {
+            writeln!(out, "  {} {} {}", line.at_ms, line.source, line.text)?;
         }
         if self.unreadable > 0 {
             writeln!(out, "  {} lines could not be read", self.unreadable)?;
--- a/src/host.rs
+++ b/src/host.rs
@@ -49,11 +49,11 @@
     /// # Errors
     /// [`HostError`]
     pub async fn start(settings: &HostSettings) -> Result<Self, HostError> {
-        Self::start_without(settings, None).await
+        Self::start_with_safeguard_disabled(settings, None).await
     }
 
     /// Starts a host that lacks a safeguard, for a fault run that must notice it.
-    pub(crate) async fn start_without(
+    pub(crate) async fn start_with_safeguard_disabled(
         settings: &HostSettings,
         without: Option<Safeguard>,
     ) -> Result<Self, HostError> {
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -8,7 +8,7 @@
 mod log;
 mod trace;
 
-pub use explain::{Explanation, NotFound, Trace, explain};
+pub use explain::{Explanation, MatchingLine, RequestNotFound, explain};
 pub use fulmarpath_cluster as cluster;
 pub use fulmarpath_entry as entry;
 pub use fulmarpath_gateway as gateway;
@@ -16,4 +16,4 @@
 pub use fulmarpath_settings as settings;
 pub use host::{Host, HostError};
 pub use log::{LogError, dropped_lines, init as init_log, init_gateway as init_gateway_log};
-pub use trace::{TraceError, Traces, init as init_traces};
+pub use trace::{TraceError, TraceGuard, init as init_traces};
--- a/src/trace.rs
+++ b/src/trace.rs
@@ -19,13 +19,13 @@
     Exporter(#[from] ExporterBuildError),
     /// Another subscriber is in place.
     #[error("could not set up traces twice")]
-    Twice,
+    AlreadySet,
 }
 
 /// Sends what is left when dropped.
-pub struct Traces(SdkTracerProvider);
+pub struct TraceGuard(SdkTracerProvider);
 
-impl Drop for Traces {
+impl Drop for TraceGuard {
     fn drop(&mut self) {
         let _ = self.0.shutdown();
     }
@@ -35,7 +35,7 @@
 ///
 /// # Errors
 /// [`TraceError`]
-pub fn init(address: SocketAddr, host: &str) -> Result<Traces, TraceError> {
+pub fn init(address: SocketAddr, host: &str) -> Result<TraceGuard, TraceError> {
     let exporter = SpanExporter::builder()
         .with_http()
         .with_endpoint(format!("http://{address}/v1/traces"))
@@ -50,6 +50,6 @@
     global::set_text_map_propagator(TraceContextPropagator::new());
     let layer = tracing_opentelemetry::layer().with_tracer(provider.tracer("fulmarpath"));
     let installed = tracing_subscriber::registry().with(layer).try_init();
-    installed.map_err(|_| TraceError::Twice)?;
-    Ok(Traces(provider))
+    installed.map_err(|_| TraceError::AlreadySet)?;
+    Ok(TraceGuard(provider))
 }
--- a/tests/answers.rs
+++ b/tests/answers.rs
@@ -1,18 +1,20 @@
 //! Whole answers through a running deployment.
 
-use fulmarpath::dev::caller::{Ask, complete, expected, open, read};
-use fulmarpath::dev::{CALLER_KEY, Deployment, RIVAL_KEY, Size};
+use fulmarpath::dev::caller::{CallerRequest, complete, expected, open, read};
+use fulmarpath::dev::{CALLER_KEY, Deployment, DeploymentSpec, OTHER_CALLER_KEY};
 use rstest::rstest;
 
 async fn deployment() -> Deployment {
-    Deployment::start(Size::default()).await.expect("it starts")
+    Deployment::start(DeploymentSpec::default())
+        .await
+        .expect("it starts")
 }
 
-fn ask(prompt: &str) -> Ask {
-    Ask {
+fn ask(prompt: &str) -> CallerRequest {
+    CallerRequest {
         key: CALLER_KEY,
         prompt: prompt.to_owned(),
-        ..Ask::default()
+        ..CallerRequest::default()
     }
 }
 
@@ -30,7 +32,7 @@
     let deployment = deployment().await;
     let got = complete(deployment.caller_address(case.host), &ask(case.prompt)).await;
     assert_eq!(got.status, 200);
-    assert!(got.whole);
+    assert!(got.is_complete);
     assert_eq!(got.text(), expected(case.prompt));
 }
 
@@ -46,7 +48,7 @@
         }
     });
     for (prompt, got) in futures::future::join_all(asks).await {
-        assert!(got.whole, "{prompt}: {got:?}");
+        assert!(got.is_complete, "{prompt}: {got:?}");
         assert_eq!(got.text(), expected(&prompt));
     }
 }
@@ -58,15 +60,15 @@
     let deployment = deployment().await;
     let prompt = "a report that is cut #200";
     let first = read(open(deployment.caller_address(0), &ask(prompt)).await, 20).await;
-    let again = Ask {
-        last_event_id: first.ids.last().cloned(),
+    let again = CallerRequest {
+        last_event_id: first.event_ids.last().cloned(),
         ..ask(prompt)
     };
     let rest = complete(deployment.caller_address(1), &again).await;
     assert_eq!(first.text() + &rest.text(), expected(prompt));
-    assert!(rest.whole);
-    let rival = Ask {
-        key: RIVAL_KEY,
+    assert!(rest.is_complete);
+    let rival = CallerRequest {
+        key: OTHER_CALLER_KEY,
         ..again
     };
     let refused = complete(deployment.caller_address(1), &rival).await;
@@ -78,7 +80,7 @@
 async fn a_trace_goes_on_to_the_engine() {
     let deployment = deployment().await;
     let trace = "00-0af7651916cd43dd8448eb211c80319c-b7ad6b7169203331-01";
-    let traced = Ask {
+    let traced = CallerRequest {
         traceparent: Some(trace.to_owned()),
         ..ask("traced #2")
     };
--- a/tests/explain.rs
+++ b/tests/explain.rs
@@ -101,7 +101,7 @@
         ("host-b".to_owned(), format!("{other}\n{home}")),
     ];
     let explanation = explain("9c41", &logs).expect("it is found");
-    let order: Vec<u64> = explanation.traces.iter().map(|trace| trace.at_ms).collect();
+    let order: Vec<u64> = explanation.lines.iter().map(|line| line.at_ms).collect();
     assert_eq!(order, [20, 30, 40]);
     assert_eq!(explanation.unreadable, 1);
     let shown = explanation.to_string();
@@ -122,7 +122,7 @@
     let refused = request_line(30, &record("quarantined", 503, &[]));
     let text = [crashed, opened, other, refused].join("\n");
     let explanation = explain("9c41", &[("host-a".to_owned(), text)]).expect("it is found");
-    let order: Vec<u64> = explanation.traces.iter().map(|trace| trace.at_ms).collect();
+    let order: Vec<u64> = explanation.lines.iter().map(|line| line.at_ms).collect();
     assert_eq!(order, [10, 20, 30]);
     assert!(explanation.causes[0].contains("content 00000000000000cc"));
 }
@@ -153,7 +153,7 @@
     let refused = request_line(30, &record(case.outcome, 503, &[]));
     let text = [told, other, refused].join("\n");
     let explanation = explain("9c41", &[("host-a".to_owned(), text)]).expect("it is found");
-    let order: Vec<u64> = explanation.traces.iter().map(|trace| trace.at_ms).collect();
+    let order: Vec<u64> = explanation.lines.iter().map(|line| line.at_ms).collect();
     assert_eq!(order, [20, 30]);
     assert!(explanation.causes[0].contains(case.names));
 }
--- a/tests/failures_configuration.rs
+++ b/tests/failures_configuration.rs
@@ -4,23 +4,23 @@
 use std::time::{Duration, Instant};
 
 use fulmarpath::cluster::{Change, PublishError};
-use fulmarpath::dev::caller::{Ask, complete, expected, open, read};
-use fulmarpath::dev::{CALLER_KEY, Deployment, Size, declarations};
+use fulmarpath::dev::caller::{CallerRequest, complete, expected, open, read};
+use fulmarpath::dev::{CALLER_KEY, Deployment, DeploymentSpec, declarations};
 
 const IN_FORCE_BOUND: Duration = Duration::from_millis(3_000);
 
-fn ask(prompt: &str) -> Ask {
-    Ask {
+fn ask(prompt: &str) -> CallerRequest {
+    CallerRequest {
         key: CALLER_KEY,
         prompt: prompt.to_owned(),
-        ..Ask::default()
+        ..CallerRequest::default()
     }
 }
 
 async fn deployment(hosts: usize) -> Deployment {
-    let size = Size {
+    let size = DeploymentSpec {
         hosts,
-        ..Size::default()
+        ..DeploymentSpec::default()
     };
     Deployment::start(size).await.expect("it starts")
 }
@@ -41,7 +41,7 @@
 }
 
 fn revisions(deployment: &Deployment) -> Vec<u64> {
-    let hosts = deployment.live();
+    let hosts = deployment.running_hosts();
     hosts
         .map(|host| {
             host.node
@@ -94,7 +94,7 @@
         .down
         .store(true, Ordering::Relaxed);
     let host = deployment.add_host().await.expect("it starts");
-    deployment.ready().await.expect("it takes work");
+    deployment.wait_until_ready().await.expect("it takes work");
     in_force(&deployment, revision).await;
     let got = complete(deployment.caller_address(host), &ask("by the new host #9")).await;
     assert_eq!(got.text(), expected("by the new host #9"));
@@ -117,7 +117,7 @@
     };
     assert_eq!(lost, PublishError::Conflict { seen: 1, found: 2 });
     in_force(&deployment, 2).await;
-    for host in deployment.live() {
+    for host in deployment.running_hosts() {
         let held = host.node.active_configuration().expect("a configuration");
         assert_eq!(held.declarations.organisations[0].weight, weight);
     }
@@ -143,7 +143,7 @@
             .expect("it is accepted then");
     }
     in_force(&deployment, 3).await;
-    for host in deployment.live() {
+    for host in deployment.running_hosts() {
         let held = host.node.active_configuration().expect("a configuration");
         assert_eq!(held.root.preset, "peak");
         assert_eq!(held.declarations.organisations[0].weight, 3.0);
@@ -156,7 +156,7 @@
 async fn a_lost_answer_is_found_in_the_history() {
     let deployment = deployment(3).await;
     let faults = &deployment.object_api.faults;
-    faults.lose_write_answers.store(1, Ordering::Relaxed);
+    faults.drop_write_responses.store(1, Ordering::Relaxed);
     let revision = deployment.host(0).node.publish(&use_preset("peak")).await;
     let revision = revision.expect("the change is accepted");
     in_force(&deployment, revision).await;
@@ -225,5 +225,8 @@
         .faults
         .down
         .store(false, Ordering::Relaxed);
-    deployment.ready().await.expect("it takes work again");
+    deployment
+        .wait_until_ready()
+        .await
+        .expect("it takes work again");
 }
--- a/tests/failures_crashing.rs
+++ b/tests/failures_crashing.rs
@@ -3,8 +3,8 @@
 use std::net::Ipv4Addr;
 use std::time::Duration;
 
-use fulmarpath::dev::caller::{Ask, Got, call, complete, expected};
-use fulmarpath::dev::{CALLER_KEY, Deployment, Size};
+use fulmarpath::dev::caller::{CallerRequest, CallerResponse, call, complete, expected};
+use fulmarpath::dev::{CALLER_KEY, Deployment, DeploymentSpec};
 use fulmarpath_standin::StandinPlain;
 use fulmarpath_store::{HostEntry, ListedState, Role};
 use hyper::Method;
@@ -21,27 +21,27 @@
 const ALLOWED: usize = 3;
 
 async fn deployment() -> Deployment {
-    let size = Size {
+    let size = DeploymentSpec {
         engines: UPSTREAMS,
-        ..Size::default()
+        ..DeploymentSpec::default()
     };
     let deployment = Deployment::start(size).await.expect("it starts");
     for engine in &deployment.engines {
-        ENDS.clone_into(&mut engine.faults.ends_on.lock());
+        ENDS.clone_into(&mut engine.faults.crash_on.lock());
     }
-    ENDS.clone_into(&mut deployment.plain.ends_on.lock());
+    ENDS.clone_into(&mut deployment.plain.crash_on.lock());
     deployment
 }
 
-fn ask(prompt: &str) -> Ask {
-    Ask {
+fn ask(prompt: &str) -> CallerRequest {
+    CallerRequest {
         key: CALLER_KEY,
         prompt: prompt.to_owned(),
-        ..Ask::default()
+        ..CallerRequest::default()
     }
 }
 
-async fn repeat(deployment: &Deployment, prompt: &str) -> Vec<Got> {
+async fn repeat(deployment: &Deployment, prompt: &str) -> Vec<CallerResponse> {
     let ask = ask(prompt);
     let mut got = Vec::new();
     for number in 0..TRIES {
@@ -52,7 +52,7 @@
 }
 
 /// What a caller gets that comes back as it is told, where there was no room.
-async fn come_back(deployment: &Deployment, prompt: &str) -> Got {
+async fn come_back(deployment: &Deployment, prompt: &str) -> CallerResponse {
     let ask = ask(prompt);
     let mut got = complete(deployment.caller_address(0), &ask).await;
     for number in 0..TRIES {
@@ -80,7 +80,7 @@
     });
     let (ending, others) = futures::join!(ending, futures::future::join_all(others));
     let engines = deployment.engines.iter();
-    let ended = engines.filter(|one| one.has_ended()).count();
+    let ended = engines.filter(|one| one.has_crashed()).count();
     assert!(ended <= ALLOWED, "{ended} ended, {ending:?}");
     let last = &ending[TRIES - 1];
     assert_eq!(last.status, 503, "{ending:?}");
@@ -98,7 +98,7 @@
     for number in 0..UPSTREAMS {
         let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).await;
         let plain = StandinPlain::start(listener.expect("a free port")).expect("it starts");
-        ENDS.clone_into(&mut plain.ends_on.lock());
+        ENDS.clone_into(&mut plain.crash_on.lock());
         deployment.host_list.put(HostEntry {
             name: format!("ending-{number}"),
             role: Role::Plain,
@@ -121,7 +121,7 @@
         statuses.push(answer.map(|answer| answer.status().as_u16()));
         tokio::time::sleep(BETWEEN).await;
     }
-    let ended = instances.iter().filter(|one| one.has_ended()).count();
+    let ended = instances.iter().filter(|one| one.has_crashed()).count();
     assert!(ended <= ALLOWED, "{ended} ended, {statuses:?}");
     assert!(matches!(statuses[TRIES - 1], Ok(503)), "{statuses:?}");
 }
--- a/tests/failures_submissions.rs
+++ b/tests/failures_submissions.rs
@@ -2,23 +2,27 @@
 
 use std::sync::atomic::Ordering;
 
-use fulmarpath::dev::caller::{Ask, Got, call, complete, expected, open, read};
-use fulmarpath::dev::{CALLER_KEY, Deployment, Size};
+use fulmarpath::dev::caller::{
+    CallerRequest, CallerResponse, call, complete, expected, open, read,
+};
+use fulmarpath::dev::{CALLER_KEY, Deployment, DeploymentSpec};
 use fulmarpath_standin::StandinEngine;
 use hyper::{Method, StatusCode};
 use rstest::rstest;
 
-fn keyed(prompt: &str, key: &str) -> Ask {
-    Ask {
+fn keyed(prompt: &str, key: &str) -> CallerRequest {
+    CallerRequest {
         key: CALLER_KEY,
         prompt: prompt.to_owned(),
         idempotency_key: Some(key.to_owned()),
-        ..Ask::default()
+        ..CallerRequest::default()
     }
 }
 
 async fn deployment() -> Deployment {
-    Deployment::start(Size::default()).await.expect("it starts")
+    Deployment::start(DeploymentSpec::default())
+        .await
+        .expect("it starts")
 }
 
 fn starts(deployment: &Deployment) -> u32 {
@@ -36,7 +40,7 @@
     let prompt = "findings under one reference #60";
     let ask = keyed(prompt, "ref-1");
     let at_once = (0..9).map(|number| complete(deployment.caller_address(number % 3), &ask));
-    let mut answers: Vec<Got> = futures::future::join_all(at_once).await;
+    let mut answers: Vec<CallerResponse> = futures::future::join_all(at_once).await;
     answers.push(complete(deployment.caller_address(1), &ask).await);
     for got in answers {
         assert_eq!(got.text(), expected(prompt), "{got:?}");
@@ -62,7 +66,7 @@
     let prompt = "a long finding #300";
     let ask = keyed(prompt, "ref-3");
     let first = read(open(deployment.caller_address(0), &ask).await, 10).await;
-    assert_eq!(first.texts.len(), 10);
+    assert_eq!(first.tokens.len(), 10);
     deployment.kill(0);
     let again = complete(deployment.caller_address(1), &ask).await;
     assert_eq!(again.text(), expected(prompt), "{again:?}");
@@ -77,7 +81,7 @@
     read(open(deployment.caller_address(0), &ask).await, 10).await;
     deployment.kill(0);
     for engine in &deployment.engines {
-        engine.forget_all();
+        engine.drop_generations();
     }
     let again = complete(deployment.caller_address(1), &ask).await;
     assert_eq!(again.problem.as_deref(), Some("outcome-unknown"));
@@ -97,7 +101,7 @@
     let ask = keyed("no claim #8", "ref-5");
     let refused = complete(deployment.caller_address(0), &ask).await;
     assert_eq!(refused.problem.as_deref(), Some("not-run/no-claim"));
-    let unkeyed = Ask {
+    let unkeyed = CallerRequest {
         idempotency_key: None,
         ..ask.clone()
     };
@@ -123,7 +127,7 @@
 async fn lost_answers_of_claims_never_run_twice(#[case] lost: u32) {
     let deployment = deployment().await;
     let faults = &deployment.object_api.faults;
-    faults.lose_write_answers.store(lost, Ordering::Relaxed);
+    faults.drop_write_responses.store(lost, Ordering::Relaxed);
     let ask = keyed("answer lost #12", "ref-6");
     let first = complete(deployment.caller_address(0), &ask).await;
     let ran = starts(&deployment);
@@ -131,7 +135,7 @@
         assert_eq!(first.problem.as_deref(), Some("not-run/no-claim"));
         assert_eq!(ran, 0, "told not run");
     }
-    faults.lose_write_answers.store(0, Ordering::Relaxed);
+    faults.drop_write_responses.store(0, Ordering::Relaxed);
     let again = complete(deployment.caller_address(2), &ask).await;
     assert_eq!(again.text(), expected("answer lost #12"), "{again:?}");
     assert_eq!(starts(&deployment), 1);
@@ -151,7 +155,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn plain_calls_are_sent_at_most_once(#[case] case: PlainCase) {
     let deployment = deployment().await;
-    deployment.plain.lose_answers.store(1, Ordering::Relaxed);
+    deployment.plain.drop_responses.store(1, Ordering::Relaxed);
     let bearer = format!("Bearer {CALLER_KEY}");
     let headers = [("authorization", bearer.as_str())];
     let address = deployment.caller_address(0);
--- a/tests/failures_tokens.rs
+++ b/tests/failures_tokens.rs
@@ -3,26 +3,26 @@
 use std::sync::atomic::Ordering;
 use std::time::Duration;
 
-use fulmarpath::dev::caller::{Ask, complete, expected, open, read};
-use fulmarpath::dev::{CALLER_KEY, Deployment, Size};
+use fulmarpath::dev::caller::{CallerRequest, complete, expected, open, read};
+use fulmarpath::dev::{CALLER_KEY, Deployment, DeploymentSpec};
 use fulmarpath_standin::StandinEngine;
 use rstest::rstest;
 
 const PROMPT: &str = "a report that meets a failure #150";
 
-fn ask(prompt: &str) -> Ask {
-    Ask {
+fn ask(prompt: &str) -> CallerRequest {
+    CallerRequest {
         key: CALLER_KEY,
         prompt: prompt.to_owned(),
-        ..Ask::default()
+        ..CallerRequest::default()
     }
 }
 
 async fn deployment(engines: usize) -> Deployment {
-    let size = Size {
+    let size = DeploymentSpec {
         engines,
         silence_bound_ms: 500,
-        ..Size::default()
+        ..DeploymentSpec::default()
     };
     Deployment::start(size).await.expect("it starts")
 }
@@ -50,11 +50,11 @@
 /// on another engine, with prompt plus the tokens already out, where it has not.
 #[rstest]
 #[case::engine_dies(Failure {
-    strike: |engine| engine.faults.dead.store(true, Ordering::Relaxed),
+    strike: |engine| engine.faults.unresponsive.store(true, Ordering::Relaxed),
     starts: 2,
 })]
 #[case::open_connections_go_silent_for_good(Failure {
-    strike: StandinEngine::silence_open,
+    strike: StandinEngine::silence_open_streams,
     starts: 1,
 })]
 #[case::every_stream_breaks_soon(Failure {
@@ -63,13 +63,13 @@
 })]
 #[case::resumes_from_a_wrong_index(Failure {
     strike: |engine| {
-        engine.faults.resume_too_early_tokens.store(7, Ordering::Relaxed);
+        engine.faults.resume_rewind_tokens.store(7, Ordering::Relaxed);
         engine.faults.break_after_tokens.store(20, Ordering::Relaxed);
     },
     starts: 1,
 })]
 #[case::tokens_of_others_and_of_older_attempts(Failure {
-    strike: |engine| engine.faults.crossed.store(true, Ordering::Relaxed),
+    strike: |engine| engine.faults.foreign_tokens.store(true, Ordering::Relaxed),
     starts: 1,
 })]
 #[case::leaves_while_it_decodes(Failure {
@@ -83,7 +83,7 @@
     let reading = tokio::spawn(read(call, usize::MAX));
     (failure.strike)(busy(&deployment));
     let got = reading.await.expect("the caller reads");
-    assert!(got.whole, "{got:?}");
+    assert!(got.is_complete, "{got:?}");
     assert_eq!(got.text(), expected(PROMPT));
     assert_eq!(starts(&deployment), failure.starts);
 }
@@ -94,7 +94,7 @@
 async fn crossed_and_broken_streams_reach_their_own_callers() {
     let deployment = deployment(3).await;
     for engine in &deployment.engines {
-        engine.faults.crossed.store(true, Ordering::Relaxed);
+        engine.faults.foreign_tokens.store(true, Ordering::Relaxed);
         engine
             .faults
             .break_after_tokens
--- a/tests/golden.rs
+++ b/tests/golden.rs
@@ -4,28 +4,28 @@
 use std::sync::atomic::Ordering;
 use std::time::Duration;
 
-use fulmarpath::dev::caller::{Ask, call, open};
-use fulmarpath::dev::{CALLER_KEY, Deployment, OPERATOR_KEY, Size, declarations};
+use fulmarpath::dev::caller::{CallerRequest, call, open};
+use fulmarpath::dev::{CALLER_KEY, Deployment, DeploymentSpec, OPERATOR_KEY, declarations};
 use fulmarpath_http::Call;
 use hyper::Method;
 
 const BOUND: Duration = Duration::from_millis(20_000);
 
 async fn deployment() -> Deployment {
-    let size = Size {
+    let size = DeploymentSpec {
         hosts: 2,
         engines: 2,
         silence_bound_ms: 500,
-        ..Size::default()
+        ..DeploymentSpec::default()
     };
     Deployment::start(size).await.expect("it starts")
 }
 
-fn ask(prompt: &str) -> Ask {
-    Ask {
+fn ask(prompt: &str) -> CallerRequest {
+    CallerRequest {
         key: CALLER_KEY,
         prompt: prompt.to_owned(),
-        ..Ask::default()
+        ..CallerRequest::default()
     }
 }
 
@@ -94,7 +94,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn a_refusal() {
     let deployment = deployment().await;
-    let stranger = Ask {
+    let stranger = CallerRequest {
         key: "nobody",
         ..ask("not for you")
     };
@@ -113,7 +113,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn a_keyed_repeat() {
     let deployment = deployment().await;
-    let keyed = Ask {
+    let keyed = CallerRequest {
         idempotency_key: Some("inspection-4711".to_owned()),
         ..ask("a finding #3")
     };
--- a/tests/processes.rs
+++ b/tests/processes.rs
@@ -8,7 +8,7 @@
 use std::sync::{Arc, Mutex, OnceLock};
 use std::time::{Duration, Instant};
 
-use fulmarpath::dev::caller::{Ask, Got, complete, expected, open, read};
+use fulmarpath::dev::caller::{CallerRequest, CallerResponse, complete, expected, open, read};
 
 const OPERATOR_KEY: &str = "change-me-operator";
 const CALLER_KEY: &str = "change-me-aerocert-ag";
@@ -231,7 +231,7 @@
         }
     }
 
-    async fn answer(&self, host: usize, prompt: &str) -> Got {
+    async fn answer(&self, host: usize, prompt: &str) -> CallerResponse {
         let started = Instant::now();
         loop {
             let got = complete(self.hosts[host].1, &ask(prompt)).await;
@@ -244,11 +244,11 @@
     }
 }
 
-fn ask(prompt: &str) -> Ask {
-    Ask {
+fn ask(prompt: &str) -> CallerRequest {
+    CallerRequest {
         key: CALLER_KEY,
         prompt: prompt.to_owned(),
-        ..Ask::default()
+        ..CallerRequest::default()
     }
 }
 
@@ -283,7 +283,7 @@
     hosts.apply();
     hosts.answer(0, "ready? #2").await;
     let prompt = "runs into SIGTERM #120";
-    let traced = Ask {
+    let traced = CallerRequest {
         traceparent: Some("00-0af7651916cd43dd8448eb211c80319c-b7ad6b7169203331-01".to_owned()),
         ..ask(prompt)
     };
