--- a/crates/gateway/src/cells.rs
+++ b/crates/gateway/src/cells.rs
@@ -46,7 +46,7 @@
     pub(crate) fn apply_directory(
         &self,
         now_ms: Millis,
-        in_force: &ActiveConfiguration,
+        active: &ActiveConfiguration,
         directory: &Directory,
         availability_of: impl Fn(UpstreamKey) -> Availability,
     ) -> bool {
@@ -57,7 +57,7 @@
         let mut by_engine = CellsByEngine::new();
         let mut is_new = false;
         let mut tables = self.tables.lock();
-        for service in &in_force.configuration.services {
+        for service in &active.configuration.services {
             let Some(traits) = &service.engine else {
                 continue;
             };
