--- a/crates/policy/src/lag.rs
+++ b/crates/policy/src/lag.rs
@@ -1,9 +1,9 @@
 //! When a host that is behind its peers fetches a peer's complete list.
 //!
 //! Updates normally reach a host within moments. With hundreds of changes per second some peer is
-//! always slightly ahead. When each ping of such a peer caused a fetch of its complete list, 300
-//! hosts in front of 3,000 engines transferred 0.8 MB/s each and served a fifth of their callers.
-//! Only a host that is still behind a peer's earlier revision has missed an update.
+//! always slightly ahead. If each ping of such a peer caused a fetch of its complete list, 300
+//! hosts in front of 3,000 engines would transfer 0.8 MB/s each and serve only a fifth of their
+//! callers. Only a host that is still behind a peer's earlier revision has missed an update.
 
 use crate::key::Millis;
 use crate::revision::Revision;
--- a/crates/policy/tests/broadcast.rs
+++ b/crates/policy/tests/broadcast.rs
@@ -49,7 +49,7 @@
         );
         assert!(
             rest.iter().all(|one| one.0 == relay.0),
-            "a second way remote"
+            "a second message to another data centre"
         );
         let onward = split_branch(rest);
         assert!(onward.len() <= 3);
