--- a/crates/bench/src/slopes/bytes.rs
+++ b/crates/bench/src/slopes/bytes.rs
@@ -1,11 +1,12 @@
 //! The bytes of each control message as it goes over the wire.
 
 use fulmarpath_policy::{
-    Ask, AskId, Bounds, EngineLoad, HostKey, OrganisationKey, PermitKey, ServiceKey, UpstreamKey,
+    EngineLoad, EnginePermitRequest, HostKey, OrganisationKey, PermitKey, PermitRequestId,
+    RequestLimits, ServiceKey, UpstreamKey,
 };
 use fulmarpath_wire::{
-    AskAnswer, AskReply, ClaimAnswer, ClaimAsk, LimitAnswer, MemberNote, MemberState, PermitId,
-    Ping, Pong, Progress, ProgressReply, Rumour, RunState, SlotAsk, Versions,
+    ClaimAnswer, ClaimRequest, LimitAnswer, MemberInfo, MemberState, PermitAnswer, PermitId,
+    PermitReply, Ping, Pong, Progress, ProgressReply, Rumour, RunState, SlotRequest, Versions,
 };
 use serde::Serialize;
 use tarpc::tokio_serde::Serializer;
@@ -62,8 +63,8 @@
 const BAD_SECOND_RUMOURS: usize = 8;
 
 pub(crate) fn measure() -> Vec<CallBytes> {
-    let ask = Ask {
-        id: AskId(u64::MAX),
+    let ask = EnginePermitRequest {
+        id: PermitRequestId(u64::MAX),
         host: HostKey(u64::MAX),
         organisation: OrganisationKey(u64::MAX),
         service: ServiceKey(u64::MAX),
@@ -72,7 +73,7 @@
         prompt_tokens: 900,
         out_tokens: 0,
         output_limit_tokens: 8_000,
-        patience_ms: 10_000,
+        max_wait_ms: 10_000,
         only_now: false,
         known_tokens: None,
     };
@@ -80,8 +81,8 @@
         epoch: u64::MAX,
         key: PermitKey::default(),
     };
-    let granted = AskReply {
-        answer: AskAnswer::Granted {
+    let granted = PermitReply {
+        answer: PermitAnswer::Granted {
             permit,
             priority: 1,
         },
@@ -95,15 +96,15 @@
     };
     let report = |count| (HostKey(u64::MAX), vec![progress; count]);
     let nothing = ProgressReply::default();
-    let slot = SlotAsk {
+    let slot = SlotRequest {
         organisation: OrganisationKey(u64::MAX),
         host: HostKey(u64::MAX),
-        bounds: Bounds {
+        bounds: RequestLimits {
             requests_per_s: 40.0,
             concurrent: 400,
         },
     };
-    let claim = ClaimAsk {
+    let claim = ClaimRequest {
         key: u128::MAX,
         request_hash: u64::MAX,
         generation: "0123456789abcdef.0123456789abcdef.0123456789abcdef0123456789abcdef".into(),
@@ -118,7 +119,7 @@
             &pong(BAD_SECOND_RUMOURS),
         ),
         call("ask, granted", &(UpstreamKey(1), ask), &granted),
-        call("withdraw", &(UpstreamKey(1), AskId(1)), &()),
+        call("withdraw", &(UpstreamKey(1), PermitRequestId(1)), &()),
         call("progress of 1 permit", &report(1), &nothing),
         call("progress of 11 permits", &report(11), &nothing),
         call("slot under a limit", &slot, &LimitAnswer::Taken),
@@ -133,7 +134,7 @@
 
 fn rumour() -> Rumour {
     Rumour {
-        member: MemberNote {
+        member: MemberInfo {
             name: "zrh-a-entry-117".into(),
             data_centre: "zrh-a".into(),
             address: ([10, 0, 0, 1], 7_080).into(),
--- a/crates/bench/src/slopes/cpu.rs
+++ b/crates/bench/src/slopes/cpu.rs
@@ -2,12 +2,13 @@
 
 use std::time::Instant;
 
-use fulmarpath::dev::{Deployment, Size};
+use fulmarpath::dev::{Deployment, DeploymentSpec};
 use fulmarpath_policy::{
-    Ask, AskId, Bounds, HostKey, OrganisationKey, PermitKey, ServiceKey, UpstreamKey,
+    EnginePermitRequest, HostKey, OrganisationKey, PermitKey, PermitRequestId, RequestLimits,
+    ServiceKey, UpstreamKey,
 };
 use fulmarpath_wire::{
-    MemberNote, MemberState, PeerClient, PermitId, Ping, Progress, Rumour, RunState, SlotAsk,
+    MemberInfo, MemberState, PeerClient, PermitId, Ping, Progress, Rumour, RunState, SlotRequest,
     Versions,
 };
 use tarpc::client::Config;
@@ -50,10 +51,10 @@
 }
 
 pub(crate) async fn measure() -> Vec<Slope> {
-    let size = Size {
+    let size = DeploymentSpec {
         hosts: 2,
         engines: 1,
-        ..Size::default()
+        ..DeploymentSpec::default()
     };
     let deployment = Deployment::start(size).await.expect("a deployment");
     let address = deployment.host(0).peer_address;
@@ -73,10 +74,10 @@
         }
     })
     .await;
-    let slot = SlotAsk {
+    let slot = SlotRequest {
         organisation: OrganisationKey(1),
         host: HostKey(1),
-        bounds: Bounds {
+        bounds: RequestLimits {
             requests_per_s: 1e9,
             concurrent: u32::MAX,
         },
@@ -106,9 +107,9 @@
     (used_us() - before_us) / WATCHED.as_micros() as f64
 }
 
-fn ask(number: u32) -> Ask {
-    Ask {
-        id: AskId(u64::from(number)),
+fn ask(number: u32) -> EnginePermitRequest {
+    EnginePermitRequest {
+        id: PermitRequestId(u64::from(number)),
         host: HostKey(1),
         organisation: OrganisationKey(u64::from(number % 10)),
         service: ServiceKey(1),
@@ -117,7 +118,7 @@
         prompt_tokens: 60,
         out_tokens: 0,
         output_limit_tokens: 8_000,
-        patience_ms: 10_000,
+        max_wait_ms: 10_000,
         only_now: true,
         known_tokens: None,
     }
@@ -138,7 +139,7 @@
 fn ping(address: std::net::SocketAddr) -> Ping {
     Ping {
         from: Rumour {
-            member: MemberNote {
+            member: MemberInfo {
                 name: "host-1".into(),
                 data_centre: "zrh-b".into(),
                 address,
--- a/crates/bench/src/slopes/memory.rs
+++ b/crates/bench/src/slopes/memory.rs
@@ -3,13 +3,14 @@
 use std::hint::black_box;
 
 use fulmarpath::cluster::Members;
-use fulmarpath::dev::caller::{Ask as CallerAsk, open};
-use fulmarpath::dev::{CALLER_KEY, Deployment, Size};
+use fulmarpath::dev::caller::{CallerRequest, open};
+use fulmarpath::dev::{CALLER_KEY, Deployment, DeploymentSpec};
 use fulmarpath_policy::{
-    Ask, AskId, Home, HomeSettings, HostKey, Lengths, OrganisationKey, ServiceKey, Weights,
+    EnginePermitRequest, Home, HomeSettings, HostKey, Lengths, OrganisationKey, PermitRequestId,
+    ServiceKey, Weights,
 };
 use fulmarpath_standin::EngineSpec;
-use fulmarpath_wire::MemberNote;
+use fulmarpath_wire::MemberInfo;
 use futures::future::join_all;
 
 use super::{Slope, fit};
@@ -69,7 +70,7 @@
 }
 
 fn members(count: u32) -> Members {
-    let note = |number: u32| MemberNote {
+    let note = |number: u32| MemberInfo {
         name: format!("zrh-a-entry-{number}"),
         data_centre: "zrh-a".into(),
         address: ([10, 0, (number >> 8) as u8, number as u8], 7_080).into(),
@@ -86,8 +87,8 @@
     let mut home = Home::new(settings);
     let lengths = Lengths::new();
     for number in 0..permits {
-        let ask = Ask {
-            id: AskId(number),
+        let ask = EnginePermitRequest {
+            id: PermitRequestId(number),
             host: HostKey(number),
             organisation: OrganisationKey(number % 10),
             service: ServiceKey(1),
@@ -96,11 +97,11 @@
             prompt_tokens: 900,
             out_tokens: 0,
             output_limit_tokens: 8_000,
-            patience_ms: 10_000,
+            max_wait_ms: 10_000,
             only_now: false,
             known_tokens: None,
         };
-        home.ask(1, ask, &lengths);
+        home.request_permit(1, ask, &lengths);
     }
     home.step(1, &lengths, &mut Vec::new());
     home
@@ -109,7 +110,7 @@
 /// Quiet streams through one host. The caller's and the engine's ends are in this process too, so
 /// this is more than the host's own share.
 async fn streams() -> Slope {
-    let size = Size {
+    let size = DeploymentSpec {
         hosts: 1,
         engines: 1,
         engine: EngineSpec {
@@ -119,7 +120,7 @@
             ..EngineSpec::default()
         },
         silence_bound_ms: 20_000,
-        ..Size::default()
+        ..DeploymentSpec::default()
     };
     let deployment = Deployment::start(size).await.expect("a deployment");
     let address = deployment.caller_address(0);
@@ -130,10 +131,10 @@
         let asks = (0..200).map(|number| {
             let prompt = format!("quiet {step} {number} #4000");
             async move {
-                let ask = CallerAsk {
+                let ask = CallerRequest {
                     key: CALLER_KEY,
                     prompt,
-                    ..CallerAsk::default()
+                    ..CallerRequest::default()
                 };
                 open(address, &ask).await
             }
--- a/crates/cluster/src/documents.rs
+++ b/crates/cluster/src/documents.rs
@@ -1,4 +1,4 @@
-//! The documents that every host holds: the configuration in force and the host list.
+//! The documents replicated to every host: the active configuration and the host list.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -11,7 +11,7 @@
 use fulmarpath_wire::Versions;
 use parking_lot::Mutex;
 
-use crate::configuration::InForce;
+use crate::configuration::ActiveConfiguration;
 use crate::engines::Engines;
 
 /// A listed upstream with its client.
@@ -22,7 +22,7 @@
     pub(crate) engine: Arc<dyn Engine>,
 }
 
-/// The host list, ready for look-ups.
+/// The host list, indexed for lookups.
 #[derive(Default)]
 pub(crate) struct Listing {
     pub(crate) document: HostListing,
@@ -38,13 +38,13 @@
             match entry.role {
                 Role::Entry => {}
                 Role::Plain => {
-                    let same = listing.plain.entry(entry.serves.clone()).or_default();
-                    same.push(entry.clone());
+                    let group = listing.plain.entry(entry.serves.clone()).or_default();
+                    group.push(entry.clone());
                 }
                 Role::Engine => {
                     let key = UpstreamKey::of(&entry.name);
-                    let same = listing.by_model.entry(entry.serves.clone()).or_default();
-                    same.push(key);
+                    let group = listing.by_model.entry(entry.serves.clone()).or_default();
+                    group.push(key);
                     let upstream = Upstream {
                         key,
                         entry: entry.clone(),
@@ -67,34 +67,34 @@
 
     /// The live instances of a plain service.
     pub(crate) fn plain(&self, service: &str) -> impl Iterator<Item = &HostEntry> {
-        let same = self.plain.get(service).into_iter().flatten();
-        same.filter(|entry| entry.state == ListedState::Live)
+        let group = self.plain.get(service).into_iter().flatten();
+        group.filter(|entry| entry.state == ListedState::Live)
     }
 }
 
-/// What this host holds. A document is only ever replaced by a newer one.
+/// The documents held by this host. A document is only ever replaced by a newer one.
 pub(crate) struct Documents {
-    in_force: ArcSwapOption<InForce>,
+    active: ArcSwapOption<ActiveConfiguration>,
     listing: ArcSwap<Listing>,
     adopting: Mutex<()>,
-    confirmed_at_ms: AtomicU64,
-    /// A fault run has taken the comparison of revisions away.
-    takes_any: bool,
+    last_contact_ms: AtomicU64,
+    /// Set when a fault run disables the comparison of revisions.
+    accepts_any_revision: bool,
 }
 
 impl Documents {
-    pub(crate) fn new(takes_any: bool) -> Self {
+    pub(crate) fn new(accepts_any_revision: bool) -> Self {
         Self {
-            takes_any,
-            in_force: ArcSwapOption::empty(),
+            accepts_any_revision,
+            active: ArcSwapOption::empty(),
             listing: ArcSwap::from_pointee(Listing::default()),
             adopting: Mutex::new(()),
-            confirmed_at_ms: AtomicU64::new(0),
+            last_contact_ms: AtomicU64::new(0),
         }
     }
 
-    pub(crate) fn in_force(&self) -> Option<Arc<InForce>> {
-        self.in_force.load_full()
+    pub(crate) fn active(&self) -> Option<Arc<ActiveConfiguration>> {
+        self.active.load_full()
     }
 
     pub(crate) fn listing(&self) -> Arc<Listing> {
@@ -102,7 +102,7 @@
     }
 
     pub(crate) fn versions(&self) -> Versions {
-        let root = self.in_force.load();
+        let root = self.active.load();
         Versions {
             root: root.as_ref().map_or(0, |held| held.root.revision),
             host_list: self.listing.load().document.version,
@@ -110,25 +110,26 @@
         }
     }
 
-    /// Takes a configuration with a higher revision; true where it was taken.
+    /// Adopts a configuration with a higher revision; true where it was adopted.
     ///
-    /// Announcements come late and crossed. Taking an older one would revert an accepted change;
-    /// comparing revisions under the lock is enough, since the root's revision only grows.
-    pub(crate) fn adopt_root(&self, newer: InForce) -> bool {
+    /// Announcements arrive late and out of order. Adopting an older one would revert an accepted
+    /// change. Comparing revisions under the lock is sufficient, since the root's revision only
+    /// grows.
+    pub(crate) fn adopt_root(&self, newer: ActiveConfiguration) -> bool {
         let _adopting = self.adopting.lock();
         let held = self.versions().root;
-        if newer.root.revision <= held && !self.takes_any {
+        if newer.root.revision <= held && !self.accepts_any_revision {
             return false;
         }
-        self.in_force.store(Some(Arc::new(newer)));
+        self.active.store(Some(Arc::new(newer)));
         assert!(
-            self.takes_any || self.versions().root > held,
+            self.accepts_any_revision || self.versions().root > held,
             "the revision must grow"
         );
         true
     }
 
-    /// Takes a newer host list; true where it was taken.
+    /// Adopts a newer host list; true where it was adopted.
     pub(crate) fn adopt_listing(&self, newer: HostListing, clients: &dyn Engines) -> bool {
         let _adopting = self.adopting.lock();
         if newer.version <= self.versions().host_list {
@@ -138,12 +139,12 @@
         true
     }
 
-    /// The platform or a peer has just been heard.
-    pub(crate) fn confirm(&self, now_ms: Millis) {
-        self.confirmed_at_ms.fetch_max(now_ms, Ordering::Relaxed);
+    /// Records contact with the platform or a peer.
+    pub(crate) fn record_contact(&self, now_ms: Millis) {
+        self.last_contact_ms.fetch_max(now_ms, Ordering::Relaxed);
     }
 
-    pub(crate) fn confirmed_at_ms(&self) -> Millis {
-        self.confirmed_at_ms.load(Ordering::Relaxed)
+    pub(crate) fn last_contact_ms(&self) -> Millis {
+        self.last_contact_ms.load(Ordering::Relaxed)
     }
 }
--- a/crates/cluster/src/engines.rs
+++ b/crates/cluster/src/engines.rs
@@ -1,4 +1,4 @@
-//! The border to the engines.
+//! Clients of engines and plain services.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -6,19 +6,19 @@
 
 use fulmarpath_upstream::{Engine, HttpEngine, HttpPlain, Plain};
 
-/// Makes clients of engines and plain services.
+/// Creates clients of engines and plain services.
 pub trait Engines: Send + Sync {
-    /// A client of the engine at `address`.
+    /// Creates a client of the engine at `address`.
     fn engine(&self, address: SocketAddr) -> Arc<dyn Engine>;
-    /// A client of the plain service at `address`.
+    /// Creates a client of the plain service at `address`.
     fn plain(&self, address: SocketAddr) -> Arc<dyn Plain>;
 }
 
-/// Upstreams over HTTP.
+/// Clients of upstreams over HTTP.
 #[derive(Debug, Clone, Copy)]
 pub struct HttpEngines {
-    /// How long a plain service may take to answer.
-    pub plain_bound: Duration,
+    /// Timeout of a request to a plain service.
+    pub plain_timeout: Duration,
 }
 
 impl Engines for HttpEngines {
@@ -27,6 +27,6 @@
     }
 
     fn plain(&self, address: SocketAddr) -> Arc<dyn Plain> {
-        Arc::new(HttpPlain::new(address, self.plain_bound))
+        Arc::new(HttpPlain::new(address, self.plain_timeout))
     }
 }
--- a/crates/cluster/src/homes.rs
+++ b/crates/cluster/src/homes.rs
@@ -1,15 +1,15 @@
-//! The engines whose home this host is.
+//! Permits of the engines whose home this host is.
 
 use std::collections::HashMap;
 use std::sync::Arc;
 use std::time::Duration;
 
 use fulmarpath_policy::{
-    Ask, AskId, EngineLoad, Home, HomeSettings, HostKey, Lengths, Millis, Outcome, UpstreamKey,
-    Weights,
+    EngineLoad, EnginePermitRequest, Home, HomeSettings, HostKey, Lengths, Millis, Outcome,
+    PermitRequestId, UpstreamKey, Weights,
 };
 use fulmarpath_upstream::{EngineState, LoadReport};
-use fulmarpath_wire::{AskAnswer, AskReply, PermitId, Progress, ProgressReply, RunState};
+use fulmarpath_wire::{PermitAnswer, PermitId, PermitReply, Progress, ProgressReply, RunState};
 use futures::future::join_all;
 use parking_lot::Mutex;
 use spdlog::warn;
@@ -19,36 +19,36 @@
 use crate::node::Node;
 use crate::safeguard::Safeguard;
 
-/// How long one call waits for an outcome; the asker then asks again.
-const ASK_WAIT: Duration = Duration::from_millis(300);
+/// How long one call waits for a decision; the requesting host then polls again.
+const MAX_CALL_WAIT: Duration = Duration::from_millis(300);
 const STEP_PERIOD: Duration = Duration::from_millis(10);
-const LOAD_PERIOD: Duration = Duration::from_millis(500);
-const LOAD_BOUND: Duration = Duration::from_millis(700);
-/// Polls without an answer after which an engine gets nothing new.
-const SILENT_POLLS: u32 = 2;
+const POLL_PERIOD: Duration = Duration::from_millis(500);
+const POLL_TIMEOUT: Duration = Duration::from_millis(700);
+/// Consecutive polls without an answer after which an engine gets no new generations.
+const MAX_FAILED_POLLS: u32 = 2;
 
-/// What the metrics page shows of an engine whose home this host is.
+/// Statistics of an engine whose home this host is, for the metrics page.
 #[derive(Debug, Clone, Copy)]
-pub struct EngineSeen {
-    /// The engine.
+pub struct EngineStats {
+    /// Key of the engine.
     pub upstream: UpstreamKey,
-    /// Its load as the home counts it.
+    /// Load, as the home counts it.
     pub load: EngineLoad,
-    /// Its own count of preemptions.
+    /// The engine's own count of preemptions.
     pub preemptions: u64,
 }
 
 struct Entry {
     home: Home,
     load: EngineLoad,
-    /// The engine's own count since it started.
+    /// The engine's own count since its start.
     preemptions: u64,
-    silent_polls: u32,
-    said_leaving: bool,
+    failed_polls: u32,
+    reported_leaving: bool,
 }
 
 impl Entry {
-    /// The home's own count; the engine's report only where it shows more.
+    /// The load as the home counts it. The engine's report is used only where it shows more.
     fn load(&self) -> EngineLoad {
         let own = self.home.load();
         EngineLoad {
@@ -60,24 +60,24 @@
     }
 }
 
-struct Tables {
+struct State {
     entries: HashMap<UpstreamKey, Entry>,
     lengths: Lengths,
-    waiters: HashMap<AskId, oneshot::Sender<AskAnswer>>,
+    waiters: HashMap<PermitRequestId, oneshot::Sender<PermitAnswer>>,
     moves: HashMap<HostKey, Vec<PermitId>>,
 }
 
-/// All homes of this host, behind one lock that is held for one decision at a time.
+/// The homes on this host, behind one lock that is held for one decision at a time.
 pub(crate) struct HomeTable {
     epoch: u64,
-    tables: Mutex<Tables>,
+    state: Mutex<State>,
 }
 
 impl HomeTable {
     pub(crate) fn new(epoch: u64) -> Self {
         Self {
             epoch,
-            tables: Mutex::new(Tables {
+            state: Mutex::new(State {
                 entries: HashMap::new(),
                 lengths: Lengths::new(),
                 waiters: HashMap::new(),
@@ -86,53 +86,53 @@
         }
     }
 
-    pub(crate) async fn ask(
+    pub(crate) async fn request_permit(
         &self,
         now_ms: Millis,
         upstream: UpstreamKey,
         settings: HomeSettings,
-        ask: Ask,
-    ) -> AskReply {
+        request: EnginePermitRequest,
+    ) -> PermitReply {
         let (sender, receiver) = oneshot::channel();
         {
-            let mut tables = self.tables.lock();
-            let tables = &mut *tables;
-            let entry = tables
+            let mut state = self.state.lock();
+            let state = &mut *state;
+            let entry = state
                 .entries
                 .entry(upstream)
                 .or_insert_with(|| new_entry(settings));
-            if let Some((key, priority)) = entry.home.granted(ask.id) {
+            if let Some((key, priority)) = entry.home.granted_permit(request.id) {
                 let permit = PermitId {
                     epoch: self.epoch,
                     key,
                 };
-                let answer = AskAnswer::Granted { permit, priority };
+                let answer = PermitAnswer::Granted { permit, priority };
                 let load = entry.load();
-                return AskReply { answer, load };
+                return PermitReply { answer, load };
             }
-            tables.waiters.insert(ask.id, sender);
-            entry.home.ask(now_ms, ask, &tables.lengths);
-            self.step(now_ms, tables, upstream);
+            state.waiters.insert(request.id, sender);
+            entry.home.request_permit(now_ms, request, &state.lengths);
+            self.step(now_ms, state, upstream);
         }
-        let answer = tokio::time::timeout(ASK_WAIT, receiver).await;
+        let answer = tokio::time::timeout(MAX_CALL_WAIT, receiver).await;
         let answer = answer.ok().and_then(Result::ok);
-        let mut tables = self.tables.lock();
-        tables.waiters.remove(&ask.id);
-        let load = tables.entries.get(&upstream).map(Entry::load);
-        AskReply {
-            answer: answer.unwrap_or(AskAnswer::Queued),
+        let mut state = self.state.lock();
+        state.waiters.remove(&request.id);
+        let load = state.entries.get(&upstream).map(Entry::load);
+        PermitReply {
+            answer: answer.unwrap_or(PermitAnswer::Queued),
             load: load.unwrap_or_default(),
         }
     }
 
-    fn step(&self, now_ms: Millis, tables: &mut Tables, upstream: UpstreamKey) {
-        let Some(entry) = tables.entries.get_mut(&upstream) else {
+    fn step(&self, now_ms: Millis, state: &mut State, upstream: UpstreamKey) {
+        let Some(entry) = state.entries.get_mut(&upstream) else {
             return;
         };
         let mut outcomes = Vec::new();
-        entry.home.step(now_ms, &tables.lengths, &mut outcomes);
+        entry.home.step(now_ms, &state.lengths, &mut outcomes);
         for outcome in outcomes {
-            let (ask, answer) = match outcome {
+            let (request, answer) = match outcome {
                 Outcome::Granted {
                     ask,
                     permit,
@@ -143,7 +143,7 @@
                         epoch: self.epoch,
                         key: permit,
                     };
-                    (ask, AskAnswer::Granted { permit, priority })
+                    (ask, PermitAnswer::Granted { permit, priority })
                 }
                 Outcome::Refused {
                     ask,
@@ -151,7 +151,7 @@
                     retry_after_ms,
                     ..
                 } => {
-                    let answer = AskAnswer::Refused {
+                    let answer = PermitAnswer::Refused {
                         reason,
                         retry_after_ms,
                     };
@@ -162,36 +162,36 @@
                         epoch: self.epoch,
                         key: permit,
                     };
-                    tables.moves.entry(host).or_default().push(permit);
+                    state.moves.entry(host).or_default().push(permit);
                     continue;
                 }
             };
-            if let Some(waiter) = tables.waiters.remove(&ask) {
+            if let Some(waiter) = state.waiters.remove(&request) {
                 let _ = waiter.send(answer);
             }
         }
     }
 
     fn step_all(&self, now_ms: Millis) {
-        let mut tables = self.tables.lock();
-        let tables = &mut *tables;
-        let busy: Vec<UpstreamKey> = tables
+        let mut state = self.state.lock();
+        let state = &mut *state;
+        let active: Vec<UpstreamKey> = state
             .entries
             .iter()
             .filter(|(_, entry)| entry.home.load().queued > 0 || entry.home.load().running > 0)
             .map(|(key, _)| *key)
             .collect();
-        for upstream in busy {
-            self.step(now_ms, tables, upstream);
+        for upstream in active {
+            self.step(now_ms, state, upstream);
         }
     }
 
-    pub(crate) fn withdraw(&self, now_ms: Millis, upstream: UpstreamKey, ask: AskId) {
-        let mut tables = self.tables.lock();
-        if let Some(entry) = tables.entries.get_mut(&upstream) {
-            entry.home.withdraw(ask);
+    pub(crate) fn withdraw(&self, now_ms: Millis, upstream: UpstreamKey, request: PermitRequestId) {
+        let mut state = self.state.lock();
+        if let Some(entry) = state.entries.get_mut(&upstream) {
+            entry.home.withdraw(request);
         }
-        self.step(now_ms, &mut tables, upstream);
+        self.step(now_ms, &mut state, upstream);
     }
 
     pub(crate) fn restore(
@@ -199,64 +199,64 @@
         now_ms: Millis,
         upstream: UpstreamKey,
         settings: HomeSettings,
-        ask: Ask,
+        request: EnginePermitRequest,
     ) -> PermitId {
-        let mut tables = self.tables.lock();
-        let entry = tables
+        let mut state = self.state.lock();
+        let entry = state
             .entries
             .entry(upstream)
             .or_insert_with(|| new_entry(settings));
         PermitId {
             epoch: self.epoch,
-            key: entry.home.restore(now_ms, ask),
+            key: entry.home.restore(now_ms, request),
         }
     }
 
     pub(crate) fn progress(&self, now_ms: Millis, progress: &[Progress]) -> ProgressReply {
-        let mut tables = self.tables.lock();
-        let tables = &mut *tables;
+        let mut state = self.state.lock();
+        let state = &mut *state;
         let mut reply = ProgressReply::default();
-        for one in progress {
-            let home = tables
+        for item in progress {
+            let home = state
                 .entries
-                .get_mut(&one.upstream)
+                .get_mut(&item.upstream)
                 .map(|entry| &mut entry.home)
-                .filter(|home| one.permit.epoch == self.epoch && home.knows(one.permit.key));
+                .filter(|home| item.permit.epoch == self.epoch && home.has_permit(item.permit.key));
             let Some(home) = home else {
-                reply.unknown.push(one.permit);
+                reply.unknown.push(item.permit);
                 continue;
             };
-            let key = one.permit.key;
-            home.progress(now_ms, key, one.out_tokens);
-            match one.state {
+            let key = item.permit.key;
+            home.progress(now_ms, key, item.out_tokens);
+            match item.state {
                 RunState::Running => {}
-                RunState::Whole => {
-                    home.finish(now_ms, key, one.out_tokens, &mut tables.lengths);
+                RunState::Complete => {
+                    home.finish(now_ms, key, item.out_tokens, &mut state.lengths);
                 }
-                RunState::Left => home.cancel(key),
+                RunState::Incomplete => home.cancel(key),
             }
-            if one.state != RunState::Running {
-                self.step(now_ms, tables, one.upstream);
+            if item.state != RunState::Running {
+                self.step(now_ms, state, item.upstream);
             }
         }
         reply
     }
 
-    /// Permits of `host` that had better move.
+    /// Takes the permits of `host` whose generations should move.
     pub(crate) fn take_moves(&self, host: HostKey) -> Vec<PermitId> {
-        self.tables.lock().moves.remove(&host).unwrap_or_default()
+        self.state.lock().moves.remove(&host).unwrap_or_default()
     }
 
     fn report(&self, now_ms: Millis, upstream: UpstreamKey, report: Option<LoadReport>) {
-        let mut tables = self.tables.lock();
-        let Some(entry) = tables.entries.get_mut(&upstream) else {
+        let mut state = self.state.lock();
+        let Some(entry) = state.entries.get_mut(&upstream) else {
             return;
         };
         match report {
             Some(report) => {
-                entry.silent_polls = 0;
+                entry.failed_polls = 0;
                 entry.preemptions = report.preemptions;
-                entry.said_leaving = report.state == EngineState::Leaving;
+                entry.reported_leaving = report.state == EngineState::Leaving;
                 entry.load = EngineLoad {
                     running: report.running,
                     waiting: report.waiting,
@@ -265,20 +265,22 @@
                 };
                 entry.home.report(now_ms, entry.load);
             }
-            None => entry.silent_polls += 1,
+            None => entry.failed_polls += 1,
         }
-        let is_gone = entry.silent_polls >= SILENT_POLLS;
-        if entry.silent_polls == SILENT_POLLS {
+        let is_unresponsive = entry.failed_polls >= MAX_FAILED_POLLS;
+        if entry.failed_polls == MAX_FAILED_POLLS {
             warn!("homes: an engine does not answer and gets nothing new");
         }
-        entry.home.set_leaving(entry.said_leaving || is_gone);
-        self.step(now_ms, &mut tables, upstream);
+        entry
+            .home
+            .set_leaving(entry.reported_leaving || is_unresponsive);
+        self.step(now_ms, &mut state, upstream);
     }
 
-    /// Homes decide by new settings from now on; what runs stays.
+    /// Applies new settings to later decisions; running generations keep their permits.
     pub(crate) fn set_settings(&self, settings: impl Fn(UpstreamKey) -> Option<HomeSettings>) {
-        let mut tables = self.tables.lock();
-        for (key, entry) in &mut tables.entries {
+        let mut state = self.state.lock();
+        for (key, entry) in &mut state.entries {
             if let Some(settings) = settings(*key) {
                 entry.home.set_settings(settings);
             }
@@ -286,19 +288,19 @@
     }
 
     fn ensure(&self, upstream: UpstreamKey, settings: HomeSettings) {
-        let mut tables = self.tables.lock();
-        tables
+        let mut state = self.state.lock();
+        state
             .entries
             .entry(upstream)
             .or_insert_with(|| new_entry(settings));
     }
 
-    /// The home's count of each engine, for the metrics page.
-    pub(crate) fn loads(&self) -> Vec<EngineSeen> {
-        let tables = self.tables.lock();
-        let entries = tables.entries.iter();
+    /// The statistics of all engines whose home this host is.
+    pub(crate) fn engine_stats(&self) -> Vec<EngineStats> {
+        let state = self.state.lock();
+        let entries = state.entries.iter();
         entries
-            .map(|(key, entry)| EngineSeen {
+            .map(|(key, entry)| EngineStats {
                 upstream: *key,
                 load: entry.load(),
                 preemptions: entry.preemptions,
@@ -315,18 +317,18 @@
             ..EngineLoad::default()
         },
         preemptions: 0,
-        silent_polls: 0,
-        said_leaving: false,
+        failed_polls: 0,
+        reported_leaving: false,
     }
 }
 
 impl Node {
-    /// How the home of `upstream` decides under the preset in force.
+    /// The settings of the home of `upstream` under the active preset.
     pub(crate) fn home_settings_of(&self, upstream: UpstreamKey) -> Option<HomeSettings> {
         let listing = self.documents.listing();
-        let in_force = self.documents.in_force()?;
-        let model = in_force.model(&listing.engines.get(&upstream)?.entry.serves)?;
-        let preset = in_force.preset();
+        let configuration = self.documents.active()?;
+        let model = configuration.model(&listing.engines.get(&upstream)?.entry.serves)?;
+        let preset = configuration.preset();
         let weights = Weights {
             stall: preset.stall_weight,
             preemptions: preset.preemptions_weight,
@@ -340,13 +342,13 @@
         ))
     }
 
-    /// Gives homes the settings of the preset in force.
+    /// Applies the settings of the active preset to all homes.
     pub(crate) fn apply_preset(&self) {
         self.homes
             .set_settings(|upstream| self.home_settings_of(upstream));
     }
 
-    /// Decides what time alone makes due: pacing, deadlines, lapses.
+    /// Runs decisions that become due by time alone: pacing, deadlines and expiries.
     pub(crate) async fn step_homes(self: Arc<Self>) {
         loop {
             tokio::time::sleep(STEP_PERIOD).await;
@@ -357,14 +359,14 @@
     /// Polls the engines whose home this host is.
     pub(crate) async fn poll_engines(self: Arc<Self>) {
         loop {
-            tokio::time::sleep(LOAD_PERIOD).await;
+            tokio::time::sleep(POLL_PERIOD).await;
             let listing = self.documents.listing();
             let all = listing.engines.values();
-            let mine = all.filter(|upstream| {
+            let own = all.filter(|upstream| {
                 let home = self.engine_homes(upstream.key, 1).pop();
                 home.is_some_and(|(key, _)| key == self.key)
             });
-            let polls = mine.map(|upstream| self.poll_engine(upstream));
+            let polls = own.map(|upstream| self.poll_engine(upstream));
             join_all(polls).await;
         }
     }
@@ -376,7 +378,7 @@
         if let Some(settings) = self.home_settings_of(upstream.key) {
             self.homes.ensure(upstream.key, settings);
         }
-        let polled = tokio::time::timeout(LOAD_BOUND, upstream.engine.load()).await;
+        let polled = tokio::time::timeout(POLL_TIMEOUT, upstream.engine.load()).await;
         let report = polled.ok().and_then(Result::ok);
         self.homes.report(self.clock.now_ms(), upstream.key, report);
     }
--- a/crates/cluster/src/lib.rs
+++ b/crates/cluster/src/lib.rs
@@ -1,5 +1,5 @@
-//! What entry hosts agree on: who is alive, who is home of what, the configuration in force, and
-//! which submissions have been claimed.
+//! Coordination of entry hosts: membership, homes of engines and cells, the active configuration,
+//! and the claims of submissions.
 
 mod circuit_breakers;
 mod claims;
@@ -25,13 +25,13 @@
 pub use circuit_breakers::{CRASH_HOMES, CircuitBreakers, Evaluation};
 pub use claims::{ClaimError, ClaimLog, ClaimSettings};
 pub use clock::Clock;
-pub use configuration::{ChangeKind, Entry, InForce, Parts, Root};
+pub use configuration::{ActiveConfiguration, ChangeKind, HistoryEntry, Parts, Root};
 pub use engines::{Engines, HttpEngines};
-pub use homes::EngineSeen;
-pub use lease::{LEASE_MS, Lease, LeaseRecord, ORDER_MS, Turn};
+pub use homes::EngineStats;
+pub use lease::{LEASE_MS, Lease, LeaseAction, LeaseRecord, ORDER_TIMEOUT_MS};
 pub use members::Members;
 pub use node::{Generations, Node, NodeSettings, StartError};
-pub use orders::{Orderer, Wanted};
+pub use orders::{DesiredVersion, OrderDispatcher};
 pub use permits::{NotGranted, Permit, PermitRequest};
 pub use poison::Quarantined;
 pub use publish::{Change, PublishError, Publisher};
--- a/crates/cluster/src/orders.rs
+++ b/crates/cluster/src/orders.rs
@@ -1,4 +1,4 @@
-//! Orders to engines: each model's engines are to have the version that is declared.
+//! Orders to engines, which bring each model's engines to the declared version.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -12,70 +12,71 @@
 use xxhash_rust::xxh3::xxh3_64;
 
 use crate::clock::Clock;
-use crate::lease::{Lease, LeaseRecord, ORDER_MS, Turn};
+use crate::lease::{Lease, LeaseAction, LeaseRecord, ORDER_TIMEOUT_MS};
 use crate::node::Node;
 
 const PERIOD: Duration = Duration::from_millis(1_000);
-/// Orders given in one period: loads read from the weight store, which is rate-limited.
-const LOADS_A_PERIOD: usize = 2;
+/// Limit on orders per period, since loading a model reads from the rate-limited weight store.
+const ORDERS_PER_PERIOD: usize = 2;
 
-/// What an engine is to have, and the engine.
-pub struct Wanted {
-    /// The engine's name.
+/// The model version that an engine should load.
+pub struct DesiredVersion {
+    /// Name of the engine.
     pub engine: String,
-    /// Its client.
+    /// Client of the engine.
     pub client: Arc<dyn Engine>,
-    /// The model.
+    /// Name of the model.
     pub model: String,
-    /// The version.
+    /// Declared version of the model.
     pub version: String,
 }
 
-/// Gives the orders of one model while it holds the model's lease.
-pub struct Orderer {
+/// Sends the orders of one model while it holds the model's lease.
+pub struct OrderDispatcher {
     api: Arc<dyn ObjectApi>,
     clock: Clock,
-    me: String,
+    host: String,
     key: String,
     lease: Lease,
-    /// Versions that engines took from this holder under its present fencing number.
-    given: HashMap<String, (u64, String)>,
+    /// Versions that engines accepted from this holder, by engine, with the fencing number.
+    accepted: HashMap<String, (u64, String)>,
 }
 
-impl Orderer {
-    /// An orderer that holds nothing yet.
-    pub fn new(api: Arc<dyn ObjectApi>, clock: Clock, me: &str, model: &str) -> Self {
+impl OrderDispatcher {
+    /// Creates a dispatcher that doesn't hold the lease yet.
+    pub fn new(api: Arc<dyn ObjectApi>, clock: Clock, host: &str, model: &str) -> Self {
         Self {
             api,
             clock,
-            me: me.to_owned(),
+            host: host.to_owned(),
             key: format!("fulmarpath/orders/{model}"),
             lease: Lease::default(),
-            given: HashMap::new(),
+            accepted: HashMap::new(),
         }
     }
 
-    /// Takes or renews the lease where it can, then gives the orders that are due; tells how many.
+    /// Acquires or renews the lease where possible, then sends the orders that are due. Returns the
+    /// number of accepted orders.
     ///
     /// # Errors
-    /// The platform's; no order is given without a lease that was renewed in time.
-    pub async fn turn(&mut self, wanted: &[Wanted]) -> Result<usize, PlatformError> {
-        self.hold().await?;
+    /// [`PlatformError`]; no order is sent without a lease that was renewed in time.
+    pub async fn run_once(&mut self, desired: &[DesiredVersion]) -> Result<usize, PlatformError> {
+        self.renew_lease().await?;
         let mut count = 0;
-        for one in wanted {
-            if count == LOADS_A_PERIOD {
+        for target in desired {
+            if count == ORDERS_PER_PERIOD {
                 break;
             }
-            // Asked before each order: the process may have been paused since the last one.
-            let Some(fencing) = self.lease.may_order(self.now_ms()) else {
+            // Checked before each order: the process may have been paused since the last one.
+            let Some(fencing) = self.lease.order_fencing(self.now_ms()) else {
                 return Ok(count);
             };
-            let due = (fencing, one.version.clone());
-            if self.given.get(&one.engine) == Some(&due) {
+            let due = (fencing, target.version.clone());
+            if self.accepted.get(&target.engine) == Some(&due) {
                 continue;
             }
-            if give(one, fencing).await {
-                self.given.insert(one.engine.clone(), due);
+            if send_order(target, fencing).await {
+                self.accepted.insert(target.engine.clone(), due);
                 count += 1;
             }
         }
@@ -86,14 +87,14 @@
         self.clock.now_ms()
     }
 
-    async fn hold(&mut self) -> Result<(), PlatformError> {
+    async fn renew_lease(&mut self) -> Result<(), PlatformError> {
         let object = self.api.read(&self.key).await?;
         let read = object.and_then(|object| {
             let record: LeaseRecord = serde_json::from_slice(&object.value).ok()?;
             Some((object.version, record))
         });
-        let turn = self.lease.decide(self.now_ms(), &self.me, read);
-        let Turn::Write { over, record } = turn else {
+        let action = self.lease.decide(self.now_ms(), &self.host, read);
+        let LeaseAction::Write { over, record } = action else {
             return Ok(());
         };
         let sent_ms = self.now_ms();
@@ -107,71 +108,80 @@
                 self.lease.accepted(sent_ms, record, version);
                 Ok(())
             }
-            // Somebody else was quicker; the next read tells who.
+            // Another host wrote the lease first; the next read returns its record.
             Err(PlatformError::Conflict { .. }) => Ok(()),
             Err(error) => Err(error),
         }
     }
 }
 
-async fn give(wanted: &Wanted, fencing: u64) -> bool {
+async fn send_order(desired: &DesiredVersion, fencing: u64) -> bool {
     let order = Order {
         fencing,
         kind: OrderKind::LoadModel {
-            model: wanted.model.clone(),
-            version: wanted.version.clone(),
+            model: desired.model.clone(),
+            version: desired.version.clone(),
         },
     };
-    let bound = Duration::from_millis(ORDER_MS);
-    let answer = tokio::time::timeout(bound, wanted.client.order(&order)).await;
+    let bound = Duration::from_millis(ORDER_TIMEOUT_MS);
+    let answer = tokio::time::timeout(bound, desired.client.order(&order)).await;
     match answer {
         Ok(Ok(true)) => {
-            info!("orders: {} loads version {}", wanted.engine, wanted.version);
+            info!(
+                "orders: {} loads version {}",
+                desired.engine, desired.version
+            );
             true
         }
         Ok(Ok(false)) => {
-            warn!("orders: {} has seen a newer holder", wanted.engine);
+            warn!(
+                "orders: {} has an order from a newer lease holder",
+                desired.engine
+            );
             false
         }
         _ => {
-            warn!("orders: {} does not answer", wanted.engine);
+            warn!("orders: {} does not answer", desired.engine);
             false
         }
     }
 }
 
 impl Node {
-    /// Gives orders for the models whose home this host is.
-    pub(crate) async fn give_orders(self: Arc<Self>) {
-        let mut orderers: HashMap<String, Orderer> = HashMap::new();
+    /// Sends orders for the models whose home this host is.
+    pub(crate) async fn send_orders(self: Arc<Self>) {
+        let mut dispatchers: HashMap<String, OrderDispatcher> = HashMap::new();
         loop {
             tokio::time::sleep(PERIOD).await;
-            let Some(in_force) = self.documents.in_force() else {
+            let Some(configuration) = self.documents.active() else {
                 continue;
             };
-            for model in &in_force.declarations.models {
-                let thing = xxh3_64(format!("orders/{}", model.name).as_bytes());
-                let home = self.members.lock().homes_of(thing, 1).pop();
+            for model in &configuration.declarations.models {
+                let resource = xxh3_64(format!("orders/{}", model.name).as_bytes());
+                let home = self.members.lock().homes_of(resource, 1).pop();
                 if home.is_none_or(|(key, _)| key != self.key) {
-                    orderers.remove(&model.name);
+                    dispatchers.remove(&model.name);
                     continue;
                 }
                 let listing = self.documents.listing();
-                let wanted: Vec<Wanted> = listing
+                let desired: Vec<DesiredVersion> = listing
                     .engines_of(&model.name)
-                    .map(|upstream| Wanted {
+                    .map(|upstream| DesiredVersion {
                         engine: upstream.entry.name.clone(),
                         client: upstream.engine.clone(),
                         model: model.name.clone(),
                         version: model.version.clone(),
                     })
                     .collect();
-                let orderer = orderers.entry(model.name.clone()).or_insert_with(|| {
+                let dispatcher = dispatchers.entry(model.name.clone()).or_insert_with(|| {
                     let api = self.object_api.clone();
-                    Orderer::new(api, self.clock, &self.settings.host, &model.name)
+                    OrderDispatcher::new(api, self.clock, &self.settings.host, &model.name)
                 });
-                if orderer.turn(&wanted).await.is_err() {
-                    warn!("orders: no word from the platform about {}", model.name);
+                if dispatcher.run_once(&desired).await.is_err() {
+                    warn!(
+                        "orders: could not read or write the lease of {}",
+                        model.name
+                    );
                 }
             }
         }
--- a/crates/cluster/src/permits.rs
+++ b/crates/cluster/src/permits.rs
@@ -1,59 +1,62 @@
-//! The entry host's side of permits: ask two homes, take the first grant, report progress.
+//! Permits as an entry host acquires them: it requests one from up to two homes, takes the first
+//! grant, and reports progress.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, AtomicU32, Ordering};
 use std::time::Duration;
 
 use fulmarpath_policy::{
-    Ask, AskId, Candidate, HostKey, Millis, OrganisationKey, RefusalReason, ServiceKey,
-    UpstreamKey, pick,
+    Candidate, EnginePermitRequest, HostKey, Millis, OrganisationKey, PermitRequestId,
+    RefusalReason, ServiceKey, UpstreamKey, pick,
 };
 use fulmarpath_upstream::Engine;
-use fulmarpath_wire::{AskAnswer, AskReply, MemberNote, PeerClient, PermitId, Progress, RunState};
+use fulmarpath_wire::{
+    MemberInfo, PeerClient, PermitAnswer, PermitId, PermitReply, Progress, RunState,
+};
 use futures::future::select_ok;
 use parking_lot::Mutex;
 use rand::Rng;
 use spdlog::{info, warn};
 use tokio::time::timeout;
 
-use crate::homes::EngineSeen;
+use crate::homes::EngineStats;
 use crate::node::Node;
 
-/// After so long without a grant the second home is asked as well.
-const HEDGE: Duration = Duration::from_millis(10);
-const REASK_PAUSE: Duration = Duration::from_millis(20);
-/// Homes tried for one engine: the best and the next, since views of who is alive may differ.
-const HOMES: usize = 2;
-/// Generations that one host may start on one engine when no home answers.
-const HOMELESS_PERMITS: u32 = 2;
+/// Delay without a grant after which a hedged request goes to the second home.
+const HEDGE_DELAY: Duration = Duration::from_millis(10);
+const RETRY_PAUSE: Duration = Duration::from_millis(20);
+/// Homes tried for one engine: the best and the next, since hosts may disagree on who is alive.
+const HOMES_TRIED: usize = 2;
+/// Generations that one host may run on one engine without a permit while no home answers.
+const MAX_HOMELESS_PERMITS: u32 = 2;
 
-/// What a generation needs to start.
+/// A request for a permit to run one generation.
 #[derive(Debug, Clone)]
 pub struct PermitRequest {
-    /// For whom.
+    /// Organisation of the caller.
     pub organisation: OrganisationKey,
-    /// For which service.
+    /// Requested service.
     pub service: ServiceKey,
-    /// The organisation's weight.
+    /// Weight of the organisation.
     pub weight: f32,
-    /// Its guaranteed share of an engine's memory.
+    /// The organisation's guaranteed share of an engine's memory.
     pub share: f32,
-    /// The model.
+    /// Name of the model.
     pub model: String,
     /// Hash of the prompt's first blocks.
     pub prefix: u64,
-    /// Prompt tokens.
+    /// Length of the prompt in tokens.
     pub prompt_tokens: u32,
-    /// Tokens that are out already.
+    /// Tokens already generated.
     pub out_tokens: u32,
-    /// The answer's bound.
+    /// Limit on the answer's length.
     pub output_limit_tokens: u32,
-    /// How long it may wait.
-    pub patience_ms: Millis,
-    /// Whether to be refused rather than queue.
+    /// Longest wait for a permit.
+    pub max_wait_ms: Millis,
+    /// Whether to be refused instead of queued.
     pub only_now: bool,
-    /// Engines not to ask.
-    pub without: Vec<UpstreamKey>,
+    /// Engines that are no candidates.
+    pub excluded: Vec<UpstreamKey>,
 }
 
 /// Why no permit was given. Nothing was sent to any engine.
@@ -62,21 +65,21 @@
     /// No engine of the model takes work.
     #[error("could not find a live engine of the model")]
     NoEngine,
-    /// All that were asked refused.
+    /// All requested engines refused.
     #[error("could not start within the time allowed")]
     Refused {
-        /// The last reason.
+        /// Reason of the last refusal.
         reason: RefusalReason,
-        /// When to come back.
+        /// When to retry.
         retry_after_ms: Millis,
     },
-    /// No home answers, and this host's own small share is in use.
+    /// No home answers, and this host's share of starts without a home is in use.
     #[error("could not reach the engine's home")]
     NoHome,
 }
 
 impl NotGranted {
-    /// When to come back.
+    /// When to retry.
     pub fn retry_after_ms(&self) -> Millis {
         const UNKNOWN_MS: Millis = 2_000;
         match self {
@@ -86,19 +89,19 @@
     }
 }
 
-/// What the entry host knows of a permit between reports.
+/// The entry host's record of a permit between progress reports.
 #[derive(Debug)]
-pub(crate) struct Held {
+pub(crate) struct HeldPermit {
     pub(crate) upstream: UpstreamKey,
-    pub(crate) ask: Ask,
-    /// `None` where the generation started without a home; changes when a new home takes over.
+    pub(crate) engine_request: EnginePermitRequest,
+    /// `None` where the generation started without a home; replaced when a new home takes over.
     pub(crate) id: Mutex<Option<PermitId>>,
     pub(crate) out_tokens: AtomicU32,
-    pub(crate) had_better_move: AtomicBool,
+    pub(crate) move_requested: AtomicBool,
 }
 
-impl Held {
-    /// What there is to report; nothing for a start without a home.
+impl HeldPermit {
+    /// The progress to report; `None` for a start without a home.
     pub(crate) fn progress(&self) -> Option<Progress> {
         Some(Progress {
             upstream: self.upstream,
@@ -109,33 +112,33 @@
     }
 }
 
-/// Leave to run one generation on one engine; given back when dropped.
+/// Permission to run one generation on one engine; released when dropped.
 pub struct Permit {
     node: Arc<Node>,
-    held: Arc<Held>,
+    held: Arc<HeldPermit>,
     ended: bool,
-    /// The engine.
+    /// Key of the engine.
     pub upstream: UpstreamKey,
-    /// Its client.
+    /// Client of the engine.
     pub engine: Arc<dyn Engine>,
-    /// The engine's priority for this generation.
+    /// Priority of this generation at the engine.
     pub priority: i32,
 }
 
 impl Permit {
-    /// So many tokens are out.
+    /// Records the number of tokens generated so far.
     pub fn advance(&self, out_tokens: u32) {
         self.held.out_tokens.store(out_tokens, Ordering::Relaxed);
     }
 
-    /// Whether the home asks to move this generation; asked once for each such request.
-    pub fn take_move(&self) -> bool {
-        self.held.had_better_move.swap(false, Ordering::Relaxed)
+    /// Whether the home has requested to move this generation; clears the request.
+    pub fn take_move_request(&self) -> bool {
+        self.held.move_requested.swap(false, Ordering::Relaxed)
     }
 
-    /// The generation is whole.
+    /// Releases the permit of a completed generation.
     pub fn finish(mut self) {
-        self.end(RunState::Whole);
+        self.end(RunState::Complete);
     }
 
     fn end(&mut self, state: RunState) {
@@ -144,9 +147,9 @@
         }
         let node = self.node.clone();
         let held = self.held.clone();
-        node.held.lock().remove(&held.ask.id);
+        node.held.lock().remove(&held.engine_request.id);
         let Some(permit) = *held.id.lock() else {
-            node.homeless_end(held.upstream);
+            node.release_without_home(held.upstream);
             return;
         };
         let progress = Progress {
@@ -156,8 +159,8 @@
             state,
         };
         tokio::spawn(async move {
-            if let Some((home, note)) = node.engine_homes(held.upstream, 1).pop() {
-                node.send_progress(home, note.address, vec![progress]).await;
+            if let Some((home, info)) = node.engine_homes(held.upstream, 1).pop() {
+                node.send_progress(home, info.address, vec![progress]).await;
             }
         });
     }
@@ -165,65 +168,68 @@
 
 impl Drop for Permit {
     fn drop(&mut self) {
-        self.end(RunState::Left);
+        self.end(RunState::Incomplete);
     }
 }
 
-/// An ask under way; withdrawn when dropped without a grant, so that a caller who left or a lost
-/// race leaves no reservation behind.
-struct Asking {
+/// A pending permit request. It is withdrawn when dropped without a grant: a caller who disconnects
+/// or a hedged request that loses leaves no reservation behind.
+struct PendingRequest {
     node: Arc<Node>,
     upstream: UpstreamKey,
-    ask: AskId,
+    request_id: PermitRequestId,
     granted: bool,
 }
 
-impl Drop for Asking {
+impl Drop for PendingRequest {
     fn drop(&mut self) {
         if self.granted {
             return;
         }
-        let (node, upstream, ask) = (self.node.clone(), self.upstream, self.ask);
-        tokio::spawn(async move { node.withdraw(upstream, ask).await });
+        let (node, upstream, request_id) = (self.node.clone(), self.upstream, self.request_id);
+        tokio::spawn(async move { node.withdraw(upstream, request_id).await });
     }
 }
 
 struct Grant {
     upstream: UpstreamKey,
-    ask: Ask,
+    engine_request: EnginePermitRequest,
     id: Option<PermitId>,
     priority: i32,
 }
 
 impl Node {
-    /// Asks for leave to run a generation.
+    /// Acquires a permit to run a generation.
     ///
     /// # Errors
     /// [`NotGranted`]: nothing was sent to any engine.
-    pub async fn permit(self: &Arc<Self>, request: &PermitRequest) -> Result<Permit, NotGranted> {
+    pub async fn acquire_permit(
+        self: &Arc<Self>,
+        request: &PermitRequest,
+    ) -> Result<Permit, NotGranted> {
         let candidates = self.candidates(request);
-        let picked = pick(request.prefix, &candidates).ok_or(NotGranted::NoEngine)?;
-        let deadline_ms = self.clock.now_ms() + request.patience_ms;
-        let ask = |upstream| {
+        let choice = pick(request.prefix, &candidates).ok_or(NotGranted::NoEngine)?;
+        let deadline_ms = self.clock.now_ms() + request.max_wait_ms;
+        let request_from = |upstream| {
             Box::pin(
                 self.clone()
-                    .ask_until(upstream, request.clone(), deadline_ms),
+                    .request_until(upstream, request.clone(), deadline_ms),
             )
         };
-        let mut first = ask(picked.first);
-        // Most first asks are granted at once; a second home is troubled only by the others.
-        let granted = match (timeout(HEDGE, &mut first).await, picked.second) {
+        let mut first = request_from(choice.first);
+        // Most requests are granted at once; only the others add load on a second home.
+        let granted = match (timeout(HEDGE_DELAY, &mut first).await, choice.second) {
             (Ok(Ok(grant)), _) => Ok(grant),
             (Ok(Err(error)), None) => Err(error),
-            (Ok(Err(_)), Some(second)) => ask(second).await,
+            (Ok(Err(_)), Some(second)) => request_from(second).await,
             (Err(_), None) => first.await,
-            (Err(_), Some(second)) => select_ok([first, ask(second)])
+            (Err(_), Some(second)) => select_ok([first, request_from(second)])
                 .await
                 .map(|(grant, _)| grant),
         };
         let grant = match granted {
             Ok(grant) => grant,
-            Err(NotGranted::NoHome) => self.homeless(picked.first, request)?,
+            Err(NotGranted::NoHome) => self.grant_without_home(choice.first, request)?,
             Err(refused) => return Err(refused),
         };
         self.hold(grant)
@@ -234,14 +240,16 @@
         let Some(upstream) = listing.engines.get(&grant.upstream) else {
             return Err(NotGranted::NoEngine);
         };
-        let held = Arc::new(Held {
+        let held = Arc::new(HeldPermit {
             upstream: grant.upstream,
-            ask: grant.ask,
+            engine_request: grant.engine_request,
             id: Mutex::new(grant.id),
-            out_tokens: AtomicU32::new(grant.ask.out_tokens),
-            had_better_move: AtomicBool::new(false),
+            out_tokens: AtomicU32::new(grant.engine_request.out_tokens),
+            move_requested: AtomicBool::new(false),
         });
-        self.held.lock().insert(grant.ask.id, held.clone());
+        self.held
+            .lock()
+            .insert(grant.engine_request.id, held.clone());
         Ok(Permit {
             node: self.clone(),
             held,
@@ -254,62 +262,63 @@
 
     fn candidates(&self, request: &PermitRequest) -> Vec<Candidate> {
         let listing = self.documents.listing();
-        let in_force = self.documents.in_force();
-        let closed = in_force
+        let configuration = self.documents.active();
+        let closed = configuration
             .as_ref()
             .map(|held| held.preset().closed_data_centres.as_slice())
             .unwrap_or_default();
         let loads = self.loads.lock();
         listing
             .engines_of(&request.model)
-            .filter(|upstream| !request.without.contains(&upstream.key))
+            .filter(|upstream| !request.excluded.contains(&upstream.key))
             .filter(|upstream| !closed.contains(&upstream.entry.data_centre))
             .map(|upstream| Candidate {
                 upstream: upstream.key,
-                near: upstream.entry.data_centre == self.settings.data_centre,
+                is_local: upstream.entry.data_centre == self.settings.data_centre,
                 load: loads.get(&upstream.key).copied().unwrap_or_default(),
                 cached: false,
             })
             .collect()
     }
 
-    async fn ask_until(
+    async fn request_until(
         self: Arc<Self>,
         upstream: UpstreamKey,
         request: PermitRequest,
         deadline_ms: Millis,
     ) -> Result<Grant, NotGranted> {
-        let id = AskId(rand::rng().random());
-        let mut asking = Asking {
+        let id = PermitRequestId(rand::rng().random());
+        let mut pending = PendingRequest {
             node: self.clone(),
             upstream,
-            ask: id,
+            request_id: id,
             granted: false,
         };
-        let mut unanswered = 0;
+        let mut failed_calls = 0;
         loop {
             let now_ms = self.clock.now_ms();
-            let ask = self.ask_message(id, &request, deadline_ms.saturating_sub(now_ms));
-            let Some(reply) = self.ask_home(upstream, ask).await else {
-                unanswered += 1;
-                if unanswered >= HOMES {
+            let engine_request =
+                self.request_message(id, &request, deadline_ms.saturating_sub(now_ms));
+            let Some(reply) = self.request_from_home(upstream, engine_request).await else {
+                failed_calls += 1;
+                if failed_calls >= HOMES_TRIED {
                     return Err(NotGranted::NoHome);
                 }
                 continue;
             };
-            unanswered = 0;
+            failed_calls = 0;
             self.loads.lock().insert(upstream, reply.load);
             match reply.answer {
-                AskAnswer::Granted { permit, priority } => {
-                    asking.granted = true;
+                PermitAnswer::Granted { permit, priority } => {
+                    pending.granted = true;
                     return Ok(Grant {
                         upstream,
-                        ask,
+                        engine_request,
                         id: Some(permit),
                         priority,
                     });
                 }
-                AskAnswer::Refused {
+                PermitAnswer::Refused {
                     reason,
                     retry_after_ms,
                 } => {
@@ -318,14 +327,19 @@
                         retry_after_ms,
                     });
                 }
-                AskAnswer::Queued => {}
-                AskAnswer::NotHome => tokio::time::sleep(REASK_PAUSE).await,
+                PermitAnswer::Queued => {}
+                PermitAnswer::NotHome => tokio::time::sleep(RETRY_PAUSE).await,
             }
         }
     }
 
-    fn ask_message(&self, id: AskId, request: &PermitRequest, patience_ms: Millis) -> Ask {
-        Ask {
+    fn request_message(
+        &self,
+        id: PermitRequestId,
+        request: &PermitRequest,
+        max_wait_ms: Millis,
+    ) -> EnginePermitRequest {
+        EnginePermitRequest {
             id,
             host: self.key,
             organisation: request.organisation,
@@ -335,76 +349,89 @@
             prompt_tokens: request.prompt_tokens,
             out_tokens: request.out_tokens,
             output_limit_tokens: request.output_limit_tokens,
-            patience_ms,
+            max_wait_ms,
             only_now: request.only_now,
             known_tokens: None,
         }
     }
 
-    /// Asks the best home that answers.
-    async fn ask_home(&self, upstream: UpstreamKey, ask: Ask) -> Option<AskReply> {
-        for (key, note) in self.engine_homes(upstream, HOMES) {
+    /// Sends the request to the best home that answers.
+    async fn request_from_home(
+        &self,
+        upstream: UpstreamKey,
+        engine_request: EnginePermitRequest,
+    ) -> Option<PermitReply> {
+        for (key, info) in self.engine_homes(upstream, HOMES_TRIED) {
             if key == self.key {
-                return self.answer_ask(upstream, ask).await;
+                return self.handle_permit_request(upstream, engine_request).await;
             }
             let call = |client: PeerClient, context| async move {
-                client.ask(context, upstream, ask).await
+                client.ask(context, upstream, engine_request).await
             };
-            if let Ok(reply) = self.peers.call(note.address, call).await {
+            if let Ok(reply) = self.peers.call(info.address, call).await {
                 return Some(reply);
             }
-            warn!("permits: {} does not answer for an engine", note.name);
+            warn!("permits: {} does not answer for an engine", info.name);
         }
         None
     }
 
-    /// Decides as the engine's home.
-    pub(crate) async fn answer_ask(&self, upstream: UpstreamKey, ask: Ask) -> Option<AskReply> {
+    /// Decides on a permit request as the engine's home.
+    pub(crate) async fn handle_permit_request(
+        &self,
+        upstream: UpstreamKey,
+        engine_request: EnginePermitRequest,
+    ) -> Option<PermitReply> {
         let settings = self.home_settings_of(upstream)?;
         let now_ms = self.clock.now_ms();
-        Some(self.homes.ask(now_ms, upstream, settings, ask).await)
+        Some(
+            self.homes
+                .request_permit(now_ms, upstream, settings, engine_request)
+                .await,
+        )
     }
 
-    /// A start without a home, out of this host's own small share of the engine.
+    /// Grants a start without a home, limited by this host's own share of the engine.
     ///
-    /// When no home answers, refusing everything would stop the service for want of coordination;
-    /// so many starts from each host overfill an engine by a bounded amount only.
-    fn homeless(
+    /// When no home answers, refusing all requests would stop the service for lack of coordination.
+    /// The limit per host bounds by how much an engine can be overcommitted.
+    fn grant_without_home(
         &self,
         upstream: UpstreamKey,
         request: &PermitRequest,
     ) -> Result<Grant, NotGranted> {
-        let mut homeless = self.homeless.lock();
-        let running = homeless.entry(upstream).or_default();
-        if *running >= HOMELESS_PERMITS {
+        let mut homeless_permits = self.homeless_permits.lock();
+        let running = homeless_permits.entry(upstream).or_default();
+        if *running >= MAX_HOMELESS_PERMITS {
             return Err(NotGranted::NoHome);
         }
         *running += 1;
         info!("permits: started without a home");
         Ok(Grant {
             upstream,
-            ask: self.ask_message(AskId(rand::rng().random()), request, 0),
+            engine_request: self.request_message(PermitRequestId(rand::rng().random()), request, 0),
             id: None,
             priority: 0,
         })
     }
 
-    fn homeless_end(&self, upstream: UpstreamKey) {
-        if let Some(running) = self.homeless.lock().get_mut(&upstream) {
+    fn release_without_home(&self, upstream: UpstreamKey) {
+        if let Some(running) = self.homeless_permits.lock().get_mut(&upstream) {
             *running = running.saturating_sub(1);
         }
     }
 
-    async fn withdraw(&self, upstream: UpstreamKey, ask: AskId) {
-        for (key, note) in self.engine_homes(upstream, HOMES) {
+    async fn withdraw(&self, upstream: UpstreamKey, request_id: PermitRequestId) {
+        for (key, info) in self.engine_homes(upstream, HOMES_TRIED) {
             if key == self.key {
-                self.homes.withdraw(self.clock.now_ms(), upstream, ask);
+                self.homes
+                    .withdraw(self.clock.now_ms(), upstream, request_id);
                 return;
             }
             let call = |client: PeerClient, context| async move {
-                client.withdraw(context, upstream, ask).await
+                client.withdraw(context, upstream, request_id).await
             };
-            if self.peers.call(note.address, call).await.is_ok() {
+            if self.peers.call(info.address, call).await.is_ok() {
                 return;
             }
         }
@@ -415,18 +442,18 @@
         &self,
         upstream: UpstreamKey,
         count: usize,
-    ) -> Vec<(HostKey, MemberNote)> {
+    ) -> Vec<(HostKey, MemberInfo)> {
         let listing = self.documents.listing();
         let listed = listing.engines.get(&upstream);
         let members = self.members.lock();
         match listed {
-            Some(listed) => members.homes_near(upstream.0, &listed.entry.data_centre, count),
+            Some(listed) => members.homes_in(upstream.0, &listed.entry.data_centre, count),
             None => members.homes_of(upstream.0, count),
         }
     }
 
-    /// The last known loads, for the metrics page.
-    pub fn known_loads(&self) -> Vec<EngineSeen> {
-        self.homes.loads()
+    /// Statistics of the engines whose home this host is, for the metrics page.
+    pub fn engine_stats(&self) -> Vec<EngineStats> {
+        self.homes.engine_stats()
     }
 }
--- a/crates/cluster/src/server.rs
+++ b/crates/cluster/src/server.rs
@@ -1,12 +1,15 @@
-//! The answering side of the inner protocol.
+//! The server side of the protocol between entry hosts.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-use fulmarpath_policy::{Ask, AskId, Circuit, ContentKey, HostKey, OrganisationKey, UpstreamKey};
+use fulmarpath_policy::{
+    Circuit, ContentKey, EnginePermitRequest, HostKey, OrganisationKey, PermitRequestId,
+    UpstreamKey,
+};
 use fulmarpath_wire::{
-    AskAnswer, AskReply, ClaimAnswer, ClaimAsk, Document, FetchAnswer, LimitAnswer, Peer,
-    PeerClient, PermitId, Ping, Pong, Progress, ProgressReply, SlotAsk, framed,
+    ClaimAnswer, ClaimRequest, Document, FetchAnswer, LimitAnswer, Peer, PeerClient, PermitAnswer,
+    PermitId, PermitReply, Ping, Pong, Progress, ProgressReply, SlotRequest, framed,
 };
 use futures::StreamExt;
 use tarpc::context::Context;
@@ -17,7 +20,7 @@
 use crate::node::Node;
 use crate::poison;
 
-/// A client of the peer at the other end of a connection.
+/// Creates a client for the peer at the other end of a connection.
 pub(crate) fn client(socket: TcpStream) -> PeerClient {
     let transport = tarpc::serde_transport::new(framed(socket), Bincode::default());
     PeerClient::new(tarpc::client::Config::default(), transport).spawn()
@@ -50,7 +53,7 @@
 
 impl Peer for Server {
     async fn ping(self, _: Context, ping: Ping) -> Pong {
-        self.node.pong(ping)
+        self.node.handle_ping(ping)
     }
 
     async fn ping_through(self, _: Context, target: SocketAddr, ping: Ping) -> Option<Pong> {
@@ -60,7 +63,7 @@
     async fn document(self, _: Context, document: Document) -> Vec<u8> {
         match document {
             Document::Root => {
-                let held = self.node.documents.in_force();
+                let held = self.node.documents.active();
                 held.and_then(|held| serde_json::to_vec(&held.root).ok())
             }
             Document::HostList => serde_json::to_vec(&self.node.documents.listing().document).ok(),
@@ -69,26 +72,33 @@
     }
 
     async fn announce(self, _: Context, holder: SocketAddr, document: Document, value: Vec<u8>) {
-        self.node.take(Some(holder), document, &value).await;
+        self.node
+            .adopt_document(Some(holder), document, &value)
+            .await;
     }
 
     async fn part(self, _: Context, hash: String) -> Vec<u8> {
-        let held = self.node.documents.in_force();
+        let held = self.node.documents.active();
         held.and_then(|held| held.part_values.get(&hash).cloned())
             .unwrap_or_default()
     }
 
-    async fn ask(self, _: Context, upstream: UpstreamKey, ask: Ask) -> AskReply {
-        let reply = self.node.answer_ask(upstream, ask).await;
-        reply.unwrap_or(AskReply {
-            answer: AskAnswer::NotHome,
+    async fn ask(
+        self,
+        _: Context,
+        upstream: UpstreamKey,
+        request: EnginePermitRequest,
+    ) -> PermitReply {
+        let reply = self.node.handle_permit_request(upstream, request).await;
+        reply.unwrap_or(PermitReply {
+            answer: PermitAnswer::NotHome,
             load: Default::default(),
         })
     }
 
-    async fn withdraw(self, _: Context, upstream: UpstreamKey, ask: AskId) {
+    async fn withdraw(self, _: Context, upstream: UpstreamKey, request: PermitRequestId) {
         let now_ms = self.node.clock.now_ms();
-        self.node.homes.withdraw(now_ms, upstream, ask);
+        self.node.homes.withdraw(now_ms, upstream, request);
     }
 
     async fn progress(self, _: Context, host: HostKey, progress: Vec<Progress>) -> ProgressReply {
@@ -98,27 +108,32 @@
         reply
     }
 
-    async fn restore(self, _: Context, upstream: UpstreamKey, ask: Ask) -> Option<PermitId> {
+    async fn restore(
+        self,
+        _: Context,
+        upstream: UpstreamKey,
+        request: EnginePermitRequest,
+    ) -> Option<PermitId> {
         let settings = self.node.home_settings_of(upstream)?;
         let now_ms = self.node.clock.now_ms();
         let homes = &self.node.homes;
-        Some(homes.restore(now_ms, upstream, settings, ask))
+        Some(homes.restore(now_ms, upstream, settings, request))
     }
 
-    async fn take_slot(self, _: Context, ask: SlotAsk) -> LimitAnswer {
-        self.node.answer_slot(ask)
+    async fn take_slot(self, _: Context, request: SlotRequest) -> LimitAnswer {
+        self.node.acquire_slot(request)
     }
 
     async fn restate_slots(self, _: Context, host: HostKey, slots: Vec<(OrganisationKey, u32)>) {
-        self.node.hear_slots(host, &slots);
+        self.node.set_held_slots(host, &slots);
     }
 
-    async fn claim(self, _: Context, claim: ClaimAsk) -> ClaimAnswer {
+    async fn claim(self, _: Context, claim: ClaimRequest) -> ClaimAnswer {
         self.node.claims.claim(claim).await
     }
 
     async fn report_crash(self, _: Context, content: ContentKey, crash: UpstreamKey) {
-        poison::hear_crash(&self.node.as_circuit_host(), content, crash);
+        poison::handle_crash_report(&self.node.as_circuit_host(), content, crash);
     }
 
     async fn may_probe(self, _: Context, content: ContentKey) -> bool {
@@ -126,11 +141,11 @@
     }
 
     async fn report_success(self, _: Context, content: ContentKey) {
-        poison::hear_success(&self.node.as_circuit_host(), content);
+        poison::handle_success_report(&self.node.as_circuit_host(), content);
     }
 
     async fn exchange_circuits(self, _: Context, circuits: Vec<Circuit>) -> Vec<Circuit> {
-        poison::answer_circuits(self.node.as_ref(), circuits)
+        poison::handle_circuit_exchange(self.node.as_ref(), circuits)
     }
 
     async fn fetch(
--- a/crates/cluster/src/swim.rs
+++ b/crates/cluster/src/swim.rs
@@ -1,11 +1,11 @@
-//! The pings that keep the table of members true, at a fixed rate whatever the fleet's size.
+//! The pings that keep the membership table current, at a rate independent of the fleet's size.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
 use std::time::Duration;
 
 use fulmarpath_policy::HostKey;
-use fulmarpath_wire::{MemberNote, MemberState, PeerClient, Ping, Pong, Versions};
+use fulmarpath_wire::{MemberInfo, MemberState, PeerClient, Ping, Pong, Versions};
 use futures::future::join_all;
 use rand::Rng;
 use spdlog::{info, warn};
@@ -13,11 +13,11 @@
 use crate::node::Node;
 
 const PERIOD: Duration = Duration::from_millis(300);
-/// Members asked to ping one that didn't answer.
-const HELPERS: usize = 2;
+/// Members that send an indirect ping to one that didn't answer.
+const PROBE_RELAYS: usize = 2;
 
 impl Node {
-    /// Pings one member a period.
+    /// Pings one member per period.
     pub(crate) async fn ping_members(self: Arc<Self>) {
         loop {
             tokio::time::sleep(PERIOD).await;
@@ -32,27 +32,27 @@
         }
     }
 
-    async fn probe(self: Arc<Self>, target: MemberNote) {
+    async fn probe(self: Arc<Self>, target: MemberInfo) {
         let ping = self.ping_message();
         if let Some(pong) = self.ping_once(target.address, ping.clone()).await {
-            self.hear_pong(target.address, pong).await;
+            self.handle_pong(target.address, pong).await;
             return;
         }
         let key = HostKey::of(&target.name);
         let draw = rand::rng().random();
-        let helpers = self.members.lock().helpers(key, draw, HELPERS);
-        let calls = helpers.into_iter().map(|helper| {
+        let relays = self.members.lock().probe_relays(key, draw, PROBE_RELAYS);
+        let calls = relays.into_iter().map(|relay| {
             let (node, ping) = (self.clone(), ping.clone());
             async move {
                 let call = |client: PeerClient, context| async move {
                     client.ping_through(context, target.address, ping).await
                 };
-                node.peers.call(helper.address, call).await.ok().flatten()
+                node.peers.call(relay.address, call).await.ok().flatten()
             }
         });
         let pongs = join_all(calls).await;
         match pongs.into_iter().flatten().next() {
-            Some(pong) => self.hear_pong(target.address, pong).await,
+            Some(pong) => self.handle_pong(target.address, pong).await,
             None => {
                 warn!("members: {} does not answer", target.name);
                 self.members.lock().suspect(self.clock.now_ms(), key);
@@ -65,7 +65,7 @@
         self.peers.call(address, call).await.ok()
     }
 
-    /// The versions of what this host holds.
+    /// The versions of the replicated state on this host.
     pub(crate) fn versions(&self) -> Versions {
         Versions {
             circuits: self.circuit_breakers.digest(self.clock.now_ms()),
@@ -76,42 +76,42 @@
     fn ping_message(&self) -> Ping {
         let mut members = self.members.lock();
         Ping {
-            from: members.me(),
+            from: members.own_rumour(),
             rumours: members.rumours(),
             versions: self.versions(),
         }
     }
 
-    async fn hear_pong(self: &Arc<Self>, address: SocketAddr, pong: Pong) {
+    async fn handle_pong(self: &Arc<Self>, address: SocketAddr, pong: Pong) {
         let now_ms = self.clock.now_ms();
-        self.documents.confirm(now_ms);
+        self.documents.record_contact(now_ms);
         {
             let mut members = self.members.lock();
-            members.answered(now_ms, &pong.from);
+            members.record_answer(now_ms, &pong.from);
             for rumour in pong.rumours {
-                members.hear(now_ms, rumour);
+                members.apply(now_ms, rumour);
             }
         }
         self.compare(address, pong.versions).await;
     }
 
-    /// Answers a ping, and learns from it.
-    pub(crate) fn pong(self: &Arc<Self>, ping: Ping) -> Pong {
+    /// Answers a ping, and applies its rumours.
+    pub(crate) fn handle_ping(self: &Arc<Self>, ping: Ping) -> Pong {
         let now_ms = self.clock.now_ms();
-        self.documents.confirm(now_ms);
+        self.documents.record_contact(now_ms);
         let address = ping.from.member.address;
         let (from, rumours) = {
             let mut members = self.members.lock();
-            members.answered(now_ms, &ping.from);
+            members.record_answer(now_ms, &ping.from);
             for rumour in ping.rumours {
-                members.hear(now_ms, rumour);
+                members.apply(now_ms, rumour);
             }
-            (members.me(), members.rumours())
+            (members.own_rumour(), members.rumours())
         };
-        let mine = self.versions();
+        let own = self.versions();
         let theirs_are_newer =
-            ping.versions.root > mine.root || ping.versions.host_list > mine.host_list;
-        if theirs_are_newer || ping.versions.circuits != mine.circuits {
+            ping.versions.root > own.root || ping.versions.host_list > own.host_list;
+        if theirs_are_newer || ping.versions.circuits != own.circuits {
             let node = self.clone();
             let theirs = ping.versions;
             tokio::spawn(async move { node.compare(address, theirs).await });
@@ -119,11 +119,11 @@
         Pong {
             from,
             rumours,
-            versions: mine,
+            versions: own,
         }
     }
 
-    /// Tells every present member at once that this host leaves.
+    /// Notifies all live members at once that this host leaves.
     pub async fn leave(self: &Arc<Self>) {
         self.leaving
             .store(true, std::sync::atomic::Ordering::Relaxed);
@@ -138,7 +138,7 @@
             .filter(|rumour| rumour.state == MemberState::Alive)
             .map(|rumour| rumour.member.address)
             .collect();
-        info!("members: leaving, {} members told", targets.len());
+        info!("members: leaving; notifying {} members", targets.len());
         let calls = targets
             .into_iter()
             .map(|address| self.ping_once(address, ping.clone()));
--- a/crates/gateway/src/attempt.rs
+++ b/crates/gateway/src/attempt.rs
@@ -11,55 +11,56 @@
 use hyper::{Request, Response, StatusCode};
 use tokio::time::timeout;
 
-use crate::crashes::BrokenRun;
+use crate::crashes::InterruptedRun;
 use crate::gateway::Gateway;
-use crate::head::{AnswerHead, Continuation, Outbound};
+use crate::head::{Continuation, Outbound, ResponseHead};
+use crate::inbound::InboundRequest;
 use crate::instance::Chosen;
-use crate::intake::Inquiry;
-use crate::journey::{ANSWERED, Flight, Journey};
 use crate::problem::Problem;
 use crate::record::Dispatch;
+use crate::tracker::{ANSWERED, InFlightRequest, RequestTracker};
 
-/// Time to connect: some ways there and back between data centres, and an upstream's handshake.
-/// A lost opening packet is sent again only after a second, by when another upstream has answered.
-const CONNECT_MS: Millis = 250;
-/// How long an upstream that says it is full is spared.
-const FULL_MS: Millis = 200;
-/// How long an upstream that closes its connection, perhaps because it leaves, is spared.
-const CLOSING_MS: Millis = 400;
+/// Connect timeout: several round trips between data centres, and an upstream's handshake. A lost
+/// SYN is retransmitted only after 1 s, by which time another upstream has answered.
+const CONNECT_TIMEOUT_MS: Millis = 250;
+/// How long an upstream that reports itself full is deprioritised.
+const FULL_PENALTY_MS: Millis = 200;
+/// How long an upstream that closes its connection, possibly because it is leaving, is
+/// deprioritised.
+const CLOSING_PENALTY_MS: Millis = 400;
 
-/// An upstream's answer whose body is still to come.
+/// An upstream's response, of which only the head has been read.
 pub(crate) struct Answer {
-    pub(crate) head: AnswerHead,
+    pub(crate) head: ResponseHead,
     pub(crate) response: Response<Incoming>,
-    pub(crate) flight: Flight,
-    /// Closed when dropped, whereupon the upstream gives the request up.
+    pub(crate) in_flight: InFlightRequest,
+    /// Closed when dropped, which makes the upstream cancel the request.
     pub(crate) connection: Connection,
 }
 
-/// What a dispatch is sent with, beside the caller's own request.
+/// What a dispatch carries in addition to the caller's own request.
 #[derive(Debug, Clone, Default)]
-pub(crate) struct Terms {
-    /// Until when the head of the answer is waited for.
+pub(crate) struct DispatchOptions {
+    /// Deadline for the response head.
     pub(crate) until_ms: Millis,
-    /// The engine that keeps a running copy.
+    /// The engine that keeps a running copy of the KV cache.
     pub(crate) backup: Option<SocketAddr>,
-    /// Set where the generation goes on from a copy of its memory.
+    /// Set if the generation resumes from a copy of its KV cache.
     pub(crate) continuation: Option<Continuation>,
-    /// The event behind which a stream that began elsewhere goes on.
+    /// The event after which a stream that began elsewhere resumes.
     pub(crate) last_event: Option<u64>,
 }
 
-/// Why a dispatch has no answer.
+/// Why a dispatch has no response.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Failure {
     /// The request was never sent: no connection was made.
     Unsent,
-    /// The upstream states that it has not run it and never will.
+    /// The upstream states that it has not run the request and never will.
     Shed,
-    /// It was sent, and what became of it is unknown.
+    /// The request was sent, and its outcome is unknown.
     Unknown,
-    /// It was sent, and the time ran out.
+    /// The request was sent, and the deadline passed.
     Overdue,
 }
 
@@ -69,7 +70,7 @@
         matches!(self, Self::Unsent | Self::Shed)
     }
 
-    /// What its caller is told.
+    /// The problem to report to the caller.
     pub(crate) fn problem(self) -> Problem {
         match self {
             Self::Unsent => Problem::Unreachable,
@@ -90,97 +91,104 @@
 }
 
 impl Gateway {
-    /// Sends a request to the chosen upstream and waits for the head of its answer.
+    /// Sends a request to the chosen upstream and waits for the response head.
     pub(crate) async fn dispatch(
         self: &Arc<Self>,
-        inquiry: &Inquiry,
-        journey: &mut Journey,
+        inbound: &InboundRequest,
+        tracker: &mut RequestTracker,
         chosen: Chosen,
-        terms: Terms,
+        options: DispatchOptions,
     ) -> Result<Answer, Failure> {
-        journey.dispatched(Dispatch {
+        tracker.begin_dispatch(Dispatch {
             instance: chosen.instance.clone(),
-            at_ms: self.clock.now_ms().saturating_sub(journey.arrived_ms),
+            at_ms: self.clock.now_ms().saturating_sub(tracker.arrived_ms),
             outcome: "sent".to_owned(),
         });
-        let answer = self.exchange(inquiry, chosen, terms, &journey.id).await;
+        let answer = self.exchange(inbound, chosen, options, &tracker.id).await;
         match &answer {
-            Ok(answer) => journey.dispatch_ended(if answer.response.status().is_success() {
+            Ok(answer) => tracker.end_dispatch(if answer.response.status().is_success() {
                 ANSWERED
             } else {
                 "failed"
             }),
-            Err(failure) => journey.dispatch_ended(failure.name()),
+            Err(failure) => tracker.end_dispatch(failure.name()),
         }
         answer
     }
 
     async fn exchange(
         self: &Arc<Self>,
-        inquiry: &Inquiry,
+        inbound: &InboundRequest,
         chosen: Chosen,
-        terms: Terms,
+        options: DispatchOptions,
         id: &str,
     ) -> Result<Answer, Failure> {
         let (address, key) = (chosen.address, chosen.key);
-        let mut flight = Flight::new(self.clone(), chosen);
+        let mut in_flight = InFlightRequest::new(self.clone(), chosen);
         let started_ms = self.clock.now_ms();
-        let connect_ms = terms.until_ms.saturating_sub(started_ms).min(CONNECT_MS);
+        let connect_ms = options
+            .until_ms
+            .saturating_sub(started_ms)
+            .min(CONNECT_TIMEOUT_MS);
         let opened = Connection::open(address, Duration::from_millis(connect_ms)).await;
         let Ok(mut connection) = opened else {
             self.instances.unreachable(self.clock.now_ms(), key);
             return Err(Failure::Unsent);
         };
-        let request = self.outbound(inquiry, &flight.chosen, &terms);
-        let left_ms = terms.until_ms.saturating_sub(self.clock.now_ms());
-        let lost = flight.chosen.lost.clone();
+        let request = self.outbound(inbound, &in_flight.chosen, &options);
+        let left_ms = options.until_ms.saturating_sub(self.clock.now_ms());
+        let lost = in_flight.chosen.lost.clone();
         let exchange = timeout(Duration::from_millis(left_ms), connection.exchange(request));
         let exchanged = tokio::select! {
             exchanged = exchange => exchanged,
             () = lost.cancelled() => {
-                flight.note(Verdict::Unheard);
-                self.note_broken(BrokenRun::new(&flight.chosen, inquiry, id, None));
+                in_flight.set_verdict(Verdict::Unheard);
+                self.check_for_crash(InterruptedRun::new(&in_flight.chosen, inbound, id, None));
                 return Err(Failure::Unknown);
             }
         };
         let response = match exchanged {
             Ok(Ok(response)) => response,
             Ok(Err(HttpError::Unreachable { .. })) => {
-                flight.note(Verdict::Failed);
+                in_flight.set_verdict(Verdict::Failed);
                 return Err(Failure::Unsent);
             }
             Ok(Err(_)) => {
-                flight.note(Verdict::Failed);
-                self.note_broken(BrokenRun::new(&flight.chosen, inquiry, id, None));
+                in_flight.set_verdict(Verdict::Failed);
+                self.check_for_crash(InterruptedRun::new(&in_flight.chosen, inbound, id, None));
                 return Err(Failure::Unknown);
             }
             Err(_) => {
-                flight.note(Verdict::Failed);
+                in_flight.set_verdict(Verdict::Failed);
                 return Err(Failure::Overdue);
             }
         };
-        let head = self.dialect.answer(response.status(), response.headers());
+        let head = self
+            .dialect
+            .read_response(response.status(), response.headers());
         let now_ms = self.clock.now_ms();
-        let is_stray = !head.is_not_run && head.id.as_deref() != Some(id);
-        let is_other = response.status() == StatusCode::MISDIRECTED_REQUEST;
-        if !is_stray && !is_other {
-            self.hear_signals(&flight.chosen, head.signals);
+        let is_mismatched = !head.is_not_run && head.id.as_deref() != Some(id);
+        let is_misdirected = response.status() == StatusCode::MISDIRECTED_REQUEST;
+        if !is_mismatched && !is_misdirected {
+            self.apply_signals(&in_flight.chosen, head.signals);
         }
         if head.is_not_run {
-            flight.note(Verdict::Shed);
-            self.instances.spare_until(now_ms + FULL_MS, key);
-            if is_other {
-                self.instances.leave(key);
+            in_flight.set_verdict(Verdict::Shed);
+            self.instances.penalise_until(now_ms + FULL_PENALTY_MS, key);
+            if is_misdirected {
+                self.instances.mark_leaving(key);
             }
             return Err(Failure::Shed);
         }
-        // An upstream may send one answer too many; its id tells which request it belongs to.
-        if is_stray {
-            flight.note(Verdict::Failed);
+        // An upstream may send a surplus response; the id tells which request a response belongs
+        // to.
+        if is_mismatched {
+            in_flight.set_verdict(Verdict::Failed);
             return Err(Failure::Unknown);
         }
         if head.is_closing {
-            self.instances.spare_until(now_ms + CLOSING_MS, key);
+            self.instances
+                .penalise_until(now_ms + CLOSING_PENALTY_MS, key);
         }
         let latency_ms = now_ms.saturating_sub(started_ms);
         self.instances.answered(now_ms, key, latency_ms, head.load);
@@ -188,30 +196,31 @@
         Ok(Answer {
             head,
             response,
-            flight,
+            in_flight,
             connection,
         })
     }
 
     fn outbound(
         &self,
-        inquiry: &Inquiry,
+        inbound: &InboundRequest,
         chosen: &Chosen,
-        terms: &Terms,
+        options: &DispatchOptions,
     ) -> Request<Full<bytes::Bytes>> {
         let outbound = Outbound {
-            time_left_ms: inquiry.deadline_ms.saturating_sub(self.clock.now_ms()),
+            time_left_ms: inbound.deadline_ms.saturating_sub(self.clock.now_ms()),
             instance: chosen.instance.clone(),
-            organisation: inquiry.organisation.clone(),
-            backup: terms.backup,
-            continuation: terms.continuation.clone(),
-            last_event: terms.last_event,
+            organisation: inbound.organisation.clone(),
+            backup: options.backup,
+            continuation: options.continuation.clone(),
+            last_event: options.last_event,
         };
-        let mut request = Request::new(Full::new(inquiry.body.clone()));
-        *request.method_mut() = inquiry.method.clone();
-        *request.uri_mut() = inquiry.uri.clone();
-        *request.headers_mut() = inquiry.headers.clone();
-        self.dialect.outbound(request.headers_mut(), &outbound);
+        let mut request = Request::new(Full::new(inbound.body.clone()));
+        *request.method_mut() = inbound.method.clone();
+        *request.uri_mut() = inbound.uri.clone();
+        *request.headers_mut() = inbound.headers.clone();
+        self.dialect
+            .write_outbound(request.headers_mut(), &outbound);
         request
     }
 }
--- /dev/null
+++ b/crates/gateway/src/availability.rs
@@ -0,0 +1,56 @@
+//! Whether an upstream may receive work, by its data centre and the time since its start.
+
+use std::collections::HashMap;
+
+use fulmarpath_policy::{Cold, ColdBound, Millis};
+
+use crate::configuration::ActiveConfiguration;
+
+/// Limits on the upstreams of one service while they are cold.
+#[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
+pub(crate) struct ColdLimit {
+    /// How long an upstream is cold after its start.
+    pub(crate) cold_ms: Millis,
+    /// Starts that one host may grant within any one second during that time.
+    pub(crate) starts: u32,
+}
+
+/// Cold limits by service; services whose upstreams are never cold are omitted.
+#[derive(Debug, Default)]
+pub(crate) struct ColdLimits {
+    by_service: HashMap<String, ColdLimit>,
+}
+
+impl ColdLimits {
+    /// Builds the limits from the operator's bound and each service's own figures.
+    pub(crate) fn of(bound: Option<ColdBound>, active: Option<&ActiveConfiguration>) -> Self {
+        let Some((bound, active)) = bound.zip(active) else {
+            return Self::default();
+        };
+        let services = active.configuration.services.iter();
+        let cold = services.filter(|one| one.cold_ms > 0);
+        let by_service = cold.map(|one| {
+            let cold_limit = ColdLimit {
+                cold_ms: one.cold_ms,
+                starts: bound.starts_per_host(one.cold_per_second),
+            };
+            (one.name.clone(), cold_limit)
+        });
+        Self {
+            by_service: by_service.collect(),
+        }
+    }
+
+    pub(crate) fn get(&self, service: &str) -> Option<ColdLimit> {
+        self.by_service.get(service).copied()
+    }
+}
+
+/// Whether an upstream may receive work.
+#[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
+pub(crate) struct Availability {
+    /// Its data centre is evacuated: it receives no work.
+    pub(crate) is_evacuated: bool,
+    /// Set while it accepts only a few new requests per second.
+    pub(crate) cold: Option<Cold>,
+}
--- a/crates/gateway/src/cells.rs
+++ b/crates/gateway/src/cells.rs
@@ -1,31 +1,31 @@
-//! The cells' tables on this host: of all generations where it is a cell's home, else of its own.
+//! The cells' tables on this host. They cover all generations of a cell if this host is its home,
+//! otherwise only the generations that this host relays.
 
 use std::collections::HashMap;
 
 use fulmarpath_policy::{
-    Carry, CarryEnd, Cell, CellEngine, Division, EngineFigures, HostKey, Millis, Placement,
-    PlacementRequest, RunEnd, RunKey, UpstreamKey, Verdict,
+    Cell, CellEngine, CellPartitioning, EngineCapacity, HostKey, Migration, MigrationOutcome,
+    Millis, Placement, PlacementRequest, RunEnd, RunKey, UpstreamKey, Verdict,
 };
-use fulmarpath_wire::{CellKey, Restatement};
+use fulmarpath_wire::{CellKey, RelayedRuns};
 use parking_lot::Mutex;
 
-use crate::configuration::{EngineTraits, InForce};
-use crate::control::EngineSight;
+use crate::availability::Availability;
+use crate::cell_layout::{self, CellsByEngine};
+use crate::configuration::{ActiveConfiguration, EngineTraits};
+use crate::control::EngineStatus;
 use crate::directory::{Directory, RegisteredState, Registration};
-use crate::key::{centre_of, name_of, upstream_of};
-use crate::layout::{self, CellsByEngine};
-use crate::standing::Standing;
+use crate::key::{data_centre_key, name_key, upstream_key};
 
-/// One cell and the service that it is of.
 struct Table {
     service: String,
     cell: Cell,
 }
 
-/// How a service is divided now.
-struct LaidOut {
-    division: Division,
-    /// Engines are of other cells than before.
+/// How a service is divided into cells after an update.
+struct DivisionChange {
+    division: CellPartitioning,
+    /// Whether engines belong to other cells than before.
     is_new: bool,
 }
 
@@ -35,19 +35,20 @@
 #[derive(Default)]
 pub(crate) struct Cells {
     tables: Mutex<HashMap<CellKey, Table>>,
-    /// How each service is divided.
-    divisions: Mutex<HashMap<String, Division>>,
+    /// The division of each service into cells.
+    divisions: Mutex<HashMap<String, CellPartitioning>>,
     by_engine: Mutex<CellsByEngine>,
 }
 
 impl Cells {
-    /// Takes the engines that are registered now; true where homes have to learn anew what runs.
-    pub(crate) fn adopt(
+    /// Applies the registered engines; returns whether homes have to learn again which generations
+    /// run.
+    pub(crate) fn apply_directory(
         &self,
         now_ms: Millis,
-        in_force: &InForce,
+        active: &ActiveConfiguration,
         directory: &Directory,
-        standing_of: impl Fn(UpstreamKey) -> Standing,
+        availability_of: impl Fn(UpstreamKey) -> Availability,
     ) -> bool {
         let mut by_service: HashMap<&str, Vec<&Registration>> = HashMap::new();
         for one in &directory.registrations {
@@ -56,20 +57,21 @@
         let mut by_engine = CellsByEngine::new();
         let mut is_new = false;
         let mut tables = self.tables.lock();
-        for service in &in_force.configuration.services {
+        for service in &active.configuration.services {
             let Some(traits) = &service.engine else {
                 continue;
             };
             let registered = by_service.remove(service.name.as_str()).unwrap_or_default();
-            let laid_out = self.lay_out(&service.name, &registered);
-            let by_cell = layout::divide(&laid_out.division, &service.name, &registered);
-            if laid_out.is_new {
+            let division_change = self.update_division(&service.name, &registered);
+            let by_cell =
+                cell_layout::divide(&division_change.division, &service.name, &registered);
+            if division_change.is_new {
                 is_new = true;
-                // Engines that are of another cell now would be taken for leaving; homes learn of
-                // the generations anew by the next statements.
+                // Engines that moved to another cell would be taken for leaving engines; homes
+                // learn of the generations from the next statements.
                 tables.retain(|_, table| table.service != service.name);
             }
-            // A cell that has lost its last engine hears that all left.
+            // In a cell that has lost its last engine, all engines count as leaving.
             for (key, table) in tables.iter_mut() {
                 if table.service == service.name && !by_cell.contains_key(key) {
                     table.cell.set_engines(now_ms, &[]);
@@ -77,8 +79,8 @@
             }
             for (cell, engines) in by_cell {
                 let engines = engines.iter().map(|one| {
-                    let standing = standing_of(upstream_of(one));
-                    engine(one, traits, standing)
+                    let availability = availability_of(upstream_key(one));
+                    engine(one, traits, availability)
                 });
                 let engines: Vec<CellEngine> = engines.collect();
                 by_engine.extend(engines.iter().map(|one| (one.key, cell)));
@@ -94,32 +96,31 @@
         is_new
     }
 
-    fn lay_out(&self, service: &str, registered: &[&Registration]) -> LaidOut {
+    fn update_division(&self, service: &str, registered: &[&Registration]) -> DivisionChange {
         let mut divisions = self.divisions.lock();
         let before = divisions.get(service).cloned().unwrap_or_default();
-        let division = before.next(&layout::count(registered));
+        let division = before.updated(&cell_layout::count(registered));
         divisions.insert(service.to_owned(), division.clone());
-        LaidOut {
-            is_new: !division.has_cells_of(&before),
+        DivisionChange {
+            is_new: !division.has_same_cells(&before),
             division,
         }
     }
 
-    /// The cell that an engine is of now.
-    pub(crate) fn cell_with(&self, engine: UpstreamKey) -> Option<CellKey> {
+    /// The cell to which an engine belongs.
+    pub(crate) fn cell_of_engine(&self, engine: UpstreamKey) -> Option<CellKey> {
         self.by_engine.lock().get(&engine).copied()
     }
 
-    /// All cells that are known.
     pub(crate) fn keys(&self) -> Vec<CellKey> {
         self.tables.lock().keys().copied().collect()
     }
 
-    /// The cell for a generation of a host in `data_centre`.
+    /// The cell for a generation that a host in `data_centre` starts.
     pub(crate) fn cell_for(&self, service: &str, data_centre: &str, run: RunKey) -> CellKey {
         let divisions = self.divisions.lock();
         let division = divisions.get(service).cloned().unwrap_or_default();
-        layout::cell_for(&division, service, data_centre, run)
+        cell_layout::cell_for(&division, service, data_centre, run)
     }
 
     pub(crate) fn place(
@@ -141,7 +142,7 @@
         }
     }
 
-    pub(crate) fn restate(&self, now_ms: Millis, restatement: &Restatement) {
+    pub(crate) fn restate(&self, now_ms: Millis, restatement: &RelayedRuns) {
         if let Some(table) = self.tables.lock().get_mut(&restatement.cell) {
             table
                 .cell
@@ -149,9 +150,9 @@
         }
     }
 
-    pub(crate) fn keep_hosts(&self, is_present: impl Fn(HostKey) -> bool) {
+    pub(crate) fn retain_hosts(&self, is_present: impl Fn(HostKey) -> bool) {
         for table in self.tables.lock().values_mut() {
-            table.cell.keep_hosts(&is_present);
+            table.cell.retain_hosts(&is_present);
         }
     }
 
@@ -159,21 +160,21 @@
     pub(crate) fn leaving(&self) -> Vec<(CellKey, UpstreamKey)> {
         let tables = self.tables.lock();
         let all = tables.iter().flat_map(|(cell, table)| {
-            let leaving = table.cell.leaving().into_iter();
+            let leaving = table.cell.leaving_engines().into_iter();
             leaving.map(|engine| (*cell, engine))
         });
         all.collect()
     }
 
-    /// Whether an engine leaves and still has generations.
+    /// Whether an engine is leaving and still has generations.
     pub(crate) fn is_leaving(&self, cell: CellKey, engine: UpstreamKey) -> bool {
         let tables = self.tables.lock();
         let table = tables.get(&cell);
         table.is_some_and(|table| table.cell.is_leaving(engine))
     }
 
-    /// A generation did not begin on an engine as it should, or broke off there.
-    pub(crate) fn see_failure(
+    /// Records that a generation failed to start on an engine, or broke off there.
+    pub(crate) fn record_failure(
         &self,
         now_ms: Millis,
         cell: CellKey,
@@ -181,31 +182,31 @@
         verdict: Verdict,
     ) {
         if let Some(table) = self.tables.lock().get_mut(&cell) {
-            table.cell.see_failure(now_ms, engine, verdict);
+            table.cell.record_failure(now_ms, engine, verdict);
         }
     }
 
-    /// Takes what an engine has shown; true where it changes what is believed of it.
-    pub(crate) fn see(
+    /// Applies the result of a probe; returns whether it changes the engine's known state.
+    pub(crate) fn apply_probe(
         &self,
         now_ms: Millis,
         cell: CellKey,
         engine: UpstreamKey,
-        sight: EngineSight,
+        status: EngineStatus,
     ) -> bool {
         let mut tables = self.tables.lock();
         let Some(table) = tables.get_mut(&cell) else {
             return false;
         };
-        match sight {
-            EngineSight::There => table.cell.see_there(engine),
-            EngineSight::Leaving { left_ms } => table.cell.see_leaving(now_ms, engine, left_ms),
-            EngineSight::Gone => table.cell.see_gone(engine),
-            EngineSight::Unknown => false,
+        match status {
+            EngineStatus::There => table.cell.mark_reachable(engine),
+            EngineStatus::Leaving { left_ms } => table.cell.set_time_left(now_ms, engine, left_ms),
+            EngineStatus::Gone => table.cell.mark_unreachable(engine),
+            EngineStatus::Unknown => false,
         }
     }
 
-    /// All engines, and whether each could not be reached lately.
+    /// All engines, and whether each was unreachable at its last probe.
     pub(crate) fn engines(&self) -> Vec<(CellKey, UpstreamKey, bool)> {
         let tables = self.tables.lock();
         let all = tables.iter().flat_map(|(cell, table)| {
@@ -215,32 +216,42 @@
         all.collect()
     }
 
-    pub(crate) fn next_carry(
+    pub(crate) fn next_migration(
         &self,
         now_ms: Millis,
         cell: CellKey,
         from: UpstreamKey,
-    ) -> Option<Carry> {
+    ) -> Option<Migration> {
         let mut tables = self.tables.lock();
-        tables.get_mut(&cell)?.cell.next_carry(now_ms, from)
+        tables.get_mut(&cell)?.cell.next_migration(now_ms, from)
     }
 
-    pub(crate) fn carried(&self, now_ms: Millis, cell: CellKey, carry: Carry, end: CarryEnd) {
+    pub(crate) fn finish_migration(
+        &self,
+        now_ms: Millis,
+        cell: CellKey,
+        migration: Migration,
+        outcome: MigrationOutcome,
+    ) {
         if let Some(table) = self.tables.lock().get_mut(&cell) {
-            table.cell.carried(now_ms, carry, end);
+            table.cell.finish_migration(now_ms, migration, outcome);
         }
     }
 }
 
-fn engine(registration: &Registration, traits: &EngineTraits, standing: Standing) -> CellEngine {
+fn engine(
+    registration: &Registration,
+    traits: &EngineTraits,
+    availability: Availability,
+) -> CellEngine {
     CellEngine {
-        key: upstream_of(registration),
-        name: name_of(registration),
-        data_centre: centre_of(&registration.data_centre),
+        key: upstream_key(registration),
+        name: name_key(registration),
+        data_centre: data_centre_key(&registration.data_centre),
         is_draining: registration.state == RegisteredState::Draining,
-        is_evacuated: standing.is_evacuated,
-        cold: standing.cold,
-        figures: EngineFigures {
+        is_evacuated: availability.is_evacuated,
+        cold: availability.cold,
+        capacity: EngineCapacity {
             memory_tokens: traits.memory_tokens,
             slots: traits.slots,
             token_bytes: traits.token_bytes,
--- /dev/null
+++ b/crates/gateway/src/dissemination.rs
@@ -0,0 +1,302 @@
+//! Disseminates replicated state from a few watchers to all hosts.
+//!
+//! One host in each area (a data centre, or several small ones) watches the store, and so does the
+//! home of each cell, which must learn of a leaving engine at once. A watcher sends its updates to
+//! its area along a tree, so no host sends more than a few copies whatever the size of the fleet.
+//! Hosts that miss an update because of a dead host in the tree detect it by the versions in the
+//! next pings. A watch on every host would cost one waiting call per host, and another one for each
+//! change.
+
+use std::collections::{BTreeMap, HashMap};
+use std::net::SocketAddr;
+use std::sync::Arc;
+use std::sync::atomic::{AtomicBool, Ordering};
+use std::time::Duration;
+
+use fulmarpath_cluster::Members;
+use fulmarpath_policy::{
+    HostKey, Millis, Recipient, Revision, WatchArea, WatchCandidate, broadcast_branches,
+    split_branch,
+};
+use fulmarpath_wire::{Announcement, GatewayPeerClient, ReplicatedState, Rumour};
+use parking_lot::Mutex;
+use serde::Serialize;
+use spdlog::warn;
+use tokio::time::sleep;
+
+use crate::directory::DirectoryChange;
+use crate::encoding::{EncodingError, decode, encode};
+use crate::gateway::Gateway;
+use crate::store_sync::log_store_restored;
+
+/// A host without store access repeats its announcement with each failed call; without a repeat
+/// within this time it counts as having access again.
+const STORE_UNREADABLE_TTL_MS: Millis = 2_500;
+/// Minimum time between two such announcements of one host.
+const STORE_UNREADABLE_INTERVAL_MS: Millis = 400;
+/// Changes of the upstreams within this time are announced together; a leaving upstream may get
+/// requests for two seconds.
+const ANNOUNCE_DELAY: Duration = Duration::from_millis(100);
+
+/// What this host has announced, and what other hosts have announced about their store access.
+#[derive(Debug, Default)]
+pub(crate) struct Dissemination {
+    /// The revision up to which this host has announced the upstreams.
+    announced: Mutex<Revision>,
+    /// Hosts of this area without store access, and until when that holds.
+    unreadable: Mutex<HashMap<HostKey, Millis>>,
+    unreadable_announced_ms: Mutex<Millis>,
+    /// Whether an announcement of the upstreams is scheduled.
+    is_announcing: AtomicBool,
+}
+
+impl Gateway {
+    /// Whether this host watches the upstreams.
+    pub(crate) fn watches_upstreams(&self) -> bool {
+        self.is_watcher() || (self.may_watch() && self.is_home_of_any_cell())
+    }
+
+    /// Whether this host knows enough of the others to determine the watchers.
+    fn may_watch(&self) -> bool {
+        let now_ms = self.clock.now_ms();
+        self.fleet.join.lock().may_watch_store(now_ms)
+    }
+
+    /// Whether this host watches for its area.
+    pub(crate) fn is_watcher(&self) -> bool {
+        if !self.may_watch() {
+            return false;
+        }
+        let now_ms = self.clock.now_ms();
+        let unreadable = self.dissemination.unreadable.lock().clone();
+        let members = self.fleet.members.lock();
+        let me = members.own_key();
+        let area = self.area(&members);
+        let in_area = members
+            .homes()
+            .filter(|(key, member)| *key != me && area.contains(&member.data_centre));
+        let others = in_area.map(|(key, _)| WatchCandidate {
+            rank: key.0,
+            store_unreadable: unreadable
+                .get(&key)
+                .is_some_and(|until_ms| now_ms < *until_ms),
+        });
+        area.is_watcher(me.0, others)
+    }
+
+    /// The data centres with which this host exchanges updates.
+    fn area(&self, members: &Members) -> WatchArea {
+        let mut hosts: BTreeMap<String, usize> = BTreeMap::new();
+        for (_, member) in members.homes() {
+            *hosts.entry(member.data_centre.clone()).or_default() += 1;
+        }
+        WatchArea::of(&self.settings.host.data_centre, &hosts)
+    }
+
+    /// Announces to this area that this host can't read the store.
+    pub(crate) fn announce_store_unreadable(self: &Arc<Self>) {
+        let now_ms = self.clock.now_ms();
+        {
+            let mut announced_ms = self.dissemination.unreadable_announced_ms.lock();
+            if now_ms.saturating_sub(*announced_ms) < STORE_UNREADABLE_INTERVAL_MS {
+                return;
+            }
+            *announced_ms = now_ms;
+        }
+        self.announce(
+            ReplicatedState::StoreUnreadable,
+            &self.host_key(),
+            self.area_branches(),
+        );
+    }
+
+    fn handle_store_unreadable(&self, value: &[u8]) -> Result<(), EncodingError> {
+        let host: HostKey = decode(ReplicatedState::StoreUnreadable, value)?;
+        let until_ms = self.clock.now_ms() + STORE_UNREADABLE_TTL_MS;
+        self.dissemination.unreadable.lock().insert(host, until_ms);
+        Ok(())
+    }
+
+    /// Announces a configuration that this host has read from the store.
+    pub(crate) fn announce_configuration(self: &Arc<Self>) {
+        let Some(held) = self.active_configuration() else {
+            return;
+        };
+        if self.is_watcher() {
+            let area = self.area_branches();
+            self.announce(ReplicatedState::Configuration, &held.configuration, area);
+        }
+    }
+
+    /// Marks the present revision as announced, before this host reads the upstreams again.
+    pub(crate) fn reset_announced_revision(&self) {
+        let held = self.roster.lock().revision();
+        *self.dissemination.announced.lock() = held;
+    }
+
+    /// Announces changes of the upstreams, together with all that follow within [`ANNOUNCE_DELAY`].
+    ///
+    /// The home of a cell reads each change separately. Announced one by one, hundreds a second
+    /// would each be a message to every host.
+    pub(crate) fn schedule_directory_announcement(self: &Arc<Self>) {
+        if self
+            .dissemination
+            .is_announcing
+            .swap(true, Ordering::Relaxed)
+        {
+            return;
+        }
+        let gateway = self.clone();
+        tokio::spawn(async move {
+            sleep(ANNOUNCE_DELAY).await;
+            gateway
+                .dissemination
+                .is_announcing
+                .store(false, Ordering::Relaxed);
+            gateway.announce_directory();
+        });
+    }
+
+    fn announce_directory(self: &Arc<Self>) {
+        if !self.is_watcher() {
+            return;
+        }
+        let change = {
+            let roster = self.roster.lock();
+            let mut announced = self.dissemination.announced.lock();
+            let before = std::mem::replace(&mut *announced, roster.revision());
+            if roster.revision() <= before {
+                return;
+            }
+            roster.change_since(before)
+        };
+        self.announce(ReplicatedState::Upstreams, &change, self.area_branches());
+    }
+
+    /// Sends an update to an audience along its branches.
+    pub(crate) fn announce<T: Serialize>(
+        self: &Arc<Self>,
+        kind: ReplicatedState,
+        update: &T,
+        audience: Vec<Vec<SocketAddr>>,
+    ) {
+        match encode(kind, update) {
+            Ok(value) => self.send_to_branches(kind, &value, audience),
+            Err(error) => warn!("spread: could not encode an update: {error}"),
+        }
+    }
+
+    /// The other hosts of this area, in branches.
+    pub(crate) fn area_branches(&self) -> Vec<Vec<SocketAddr>> {
+        let area = self.area(&self.fleet.members.lock());
+        self.audience(|data_centre| area.contains(data_centre))
+    }
+
+    /// All other hosts, in branches.
+    pub(crate) fn all_branches(&self) -> Vec<Vec<SocketAddr>> {
+        self.audience(|_| true)
+    }
+
+    fn audience(&self, includes: impl Fn(&str) -> bool) -> Vec<Vec<SocketAddr>> {
+        let members = self.fleet.members.lock();
+        let me = members.own_key();
+        let recipients = members
+            .homes()
+            .filter(|(key, member)| *key != me && includes(&member.data_centre));
+        let recipients = recipients.map(|(key, member)| Recipient {
+            data_centre: member.data_centre.as_str(),
+            rank: key.0,
+            address: member.address,
+        });
+        broadcast_branches(&self.settings.host.data_centre, recipients)
+    }
+
+    /// Sends an update to the first host of each branch, which forwards it to the rest.
+    fn send_to_branches(
+        self: &Arc<Self>,
+        kind: ReplicatedState,
+        value: &[u8],
+        branches: Vec<Vec<SocketAddr>>,
+    ) {
+        for branch in branches {
+            let Some((first, rest)) = branch.split_first() else {
+                continue;
+            };
+            let (gateway, first, rest) = (self.clone(), *first, rest.to_vec());
+            let value = value.to_vec();
+            tokio::spawn(async move { gateway.send_announcement(first, kind, value, rest).await });
+        }
+    }
+
+    /// Sends an update to one host, or to the rest of its branch if that host does not answer.
+    ///
+    /// Many hosts may die at once, and each is considered present for some more seconds. Without
+    /// this fallback a leaving upstream would become known in the rest of the branch only by pings.
+    async fn send_announcement(
+        self: Arc<Self>,
+        host: SocketAddr,
+        kind: ReplicatedState,
+        value: Vec<u8>,
+        rest: Vec<SocketAddr>,
+    ) {
+        let announcement = Announcement {
+            holding: kind,
+            value: value.clone(),
+            audience: rest.clone(),
+        };
+        let call = |client: GatewayPeerClient, context| async move {
+            client.announce(context, announcement).await
+        };
+        if let Err(error) = self.fleet.peers.call(host, call).await {
+            warn!(
+                "spread: a host does not answer, its branch is sent the update directly: {error}"
+            );
+            self.send_to_branches(kind, &value, split_branch(&rest));
+        }
+    }
+
+    /// Applies an announcement and forwards it.
+    pub(crate) fn handle_announcement(self: &Arc<Self>, announcement: Announcement) {
+        let Announcement {
+            holding: kind,
+            value,
+            audience,
+        } = announcement;
+        let applied = match kind {
+            ReplicatedState::Configuration => self.handle_configuration(&value),
+            ReplicatedState::Upstreams => self.handle_directory_change(&value),
+            ReplicatedState::StoreUnreadable => self.handle_store_unreadable(&value),
+            ReplicatedState::Members => self.handle_members(&value),
+            ReplicatedState::Circuits => self.handle_circuits(&value),
+            ReplicatedState::Evacuations => self.handle_evacuations(&value),
+        };
+        if let Err(error) = applied {
+            warn!("spread: could not decode an update: {error}");
+            return;
+        }
+        self.send_to_branches(kind, &value, split_branch(&audience));
+    }
+
+    fn handle_members(&self, value: &[u8]) -> Result<(), EncodingError> {
+        let update: Vec<Rumour> = decode(ReplicatedState::Members, value)?;
+        self.merge_rumours(&update);
+        Ok(())
+    }
+
+    fn handle_configuration(&self, value: &[u8]) -> Result<(), EncodingError> {
+        self.apply_configuration(decode(ReplicatedState::Configuration, value)?, "a watcher");
+        Ok(())
+    }
+
+    fn handle_directory_change(&self, value: &[u8]) -> Result<(), EncodingError> {
+        let change: DirectoryChange = decode(ReplicatedState::Upstreams, value)?;
+        self.observe_era(change.revision, "a watcher");
+        let mut roster = self.roster.lock();
+        let before = roster.revision();
+        if roster.apply_peer_change(self.clock.now_ms(), change) {
+            self.apply_directory(&roster.directory());
+        }
+        log_store_restored(before, &roster);
+        Ok(())
+    }
+}
--- a/crates/gateway/src/evacuations.rs
+++ b/crates/gateway/src/evacuations.rs
@@ -1,57 +1,57 @@
-//! Follows which data centres the operator evacuates, and has all hosts hear of it.
+//! Follows the operator's evacuations of data centres, and announces them to all hosts.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
 use std::time::Duration;
 
 use fulmarpath_policy::{EvacuationChange, EvacuationState, Evacuations, Millis};
-use fulmarpath_wire::Holding;
+use fulmarpath_wire::ReplicatedState;
 use spdlog::{info, warn};
 use tokio::time::sleep;
 
+use crate::collection_reader::{CollectionReader, StoreUpdate, outcome};
 use crate::encoding::{EncodingError, decode};
-use crate::follow::WATCH_SHARE;
-use crate::follower::{Follower, Heard, outcome};
 use crate::gateway::Gateway;
 use crate::metadata::{Change, Changes, Freshness, Snapshot};
+use crate::store_sync::WATCH_SHARE;
 
 const WHAT: &str = "the evacuations";
 
 impl Gateway {
-    /// Follows the operator's evacuations, which have to be in force within `bound_ms`.
-    pub(crate) async fn follow_evacuations(self: Arc<Self>, bound_ms: Millis) {
+    /// Watches the operator's evacuations, which have to be in force within `bound_ms`.
+    pub(crate) async fn sync_evacuations(self: Arc<Self>, bound_ms: Millis) {
         let source = &*self.metadata.evacuations;
         let wait = Duration::from_millis((bound_ms as f32 * WATCH_SHARE) as Millis);
-        let mut follower = Follower::new(WHAT, "evacuations");
+        let mut reader = CollectionReader::new(WHAT, "evacuations");
         let mut revision = None;
         loop {
             if !self.is_watcher() {
                 revision = None;
-                sleep(self.until_next_look()).await;
+                sleep(self.watch_check_period()).await;
                 continue;
             }
-            match follower.ask(&self, source, revision, wait).await {
-                Ok(heard) => {
-                    revision = Some(heard.revision());
-                    match heard {
-                        Heard::All(all) => self.take_evacuation_list(all),
-                        Heard::News(changes) => self.take_evacuation_changes(changes),
+            match reader.read(&self, source, revision, wait).await {
+                Ok(update) => {
+                    revision = Some(update.revision());
+                    match update {
+                        StoreUpdate::Snapshot(all) => self.apply_evacuation_list(all),
+                        StoreUpdate::Changes(changes) => self.apply_evacuation_changes(changes),
                     }
                 }
                 Err(error) => {
                     revision = None;
-                    follower.fail(&self, &error).await;
+                    reader.handle_failure(&self, &error).await;
                 }
             }
         }
     }
 
-    /// Reads the evacuations once, where no peer has told them.
+    /// Reads the evacuations once if no peer has provided them.
     pub(crate) async fn read_evacuations(&self) {
         if self.settings.evacuation_bound_ms.is_none() {
             return;
         }
-        let listed = self.metadata.evacuations.list(Freshness::MayBeOld).await;
+        let listed = self.metadata.evacuations.list(Freshness::MayBeStale).await;
         self.metrics.store_call("evacuations", outcome(&listed));
         match listed {
             Ok(all) => {
@@ -60,13 +60,13 @@
                     data_centres: names(&all),
                     ..EvacuationState::default()
                 };
-                self.hear_evacuations(state, "the store, maybe old");
+                self.apply_evacuations(state, "the store, maybe old");
             }
             Err(error) => warn!("store: {WHAT} can't be read: {error}"),
         }
     }
 
-    fn take_evacuation_list(self: &Arc<Self>, all: Snapshot<String>) {
+    fn apply_evacuation_list(self: &Arc<Self>, all: Snapshot<String>) {
         let names = names(&all);
         let is_new = self.change_evacuations("the store", |evacuations, now_ms| {
             evacuations.replace(now_ms, all.revision, names)
@@ -76,29 +76,32 @@
         }
     }
 
-    fn take_evacuation_changes(self: &Arc<Self>, changes: Changes<String>) {
-        let steps = changes.changes.into_iter().filter_map(step);
+    fn apply_evacuation_changes(self: &Arc<Self>, changes: Changes<String>) {
+        let evacuation_changes = changes.changes.into_iter().filter_map(evacuation_change);
         let is_new = self.change_evacuations("the store", |evacuations, now_ms| {
-            evacuations.apply(now_ms, changes.revision, steps)
+            evacuations.apply(now_ms, changes.revision, evacuation_changes)
         });
         if is_new {
             self.announce_evacuations();
         }
     }
 
-    /// Takes a peer's state.
-    pub(crate) fn hear_evacuations(&self, told: EvacuationState, source: &str) {
-        self.hear_era(told.revision, source);
-        self.change_evacuations(source, |evacuations, now_ms| evacuations.hear(now_ms, told));
+    /// Applies a peer's state.
+    pub(crate) fn apply_evacuations(&self, state: EvacuationState, source: &str) {
+        self.observe_era(state.revision, source);
+        self.change_evacuations(source, |evacuations, now_ms| {
+            evacuations.merge_peer(now_ms, state)
+        });
     }
 
-    /// Takes a watcher's news.
-    pub(crate) fn take_evacuations(&self, value: &[u8]) -> Result<(), EncodingError> {
-        self.hear_evacuations(decode(Holding::Evacuations, value)?, "a watcher");
+    /// Applies a watcher's update.
+    pub(crate) fn handle_evacuations(&self, value: &[u8]) -> Result<(), EncodingError> {
+        self.apply_evacuations(decode(ReplicatedState::Evacuations, value)?, "a watcher");
         Ok(())
     }
 
-    /// Ends what the operator has not written again since the store came back from a copy.
+    /// Ends evacuations that the operator has not written again since the store's restore from a
+    /// backup.
     pub(crate) fn expire_evacuations(&self) {
         self.change_evacuations("time", |evacuations, now_ms| evacuations.expire(now_ms));
     }
@@ -116,7 +119,7 @@
             let is_new = change(&mut evacuations, now_ms);
             let kept = evacuations.unconfirmed_count();
             if kept > kept_before {
-                info!("evacuations: {kept} are kept that the store lacks, by {source}");
+                info!("evacuations: {kept} kept that the store lacks, by {source}");
             }
             if !is_new {
                 return false;
@@ -132,27 +135,28 @@
                 names.join(", ")
             ),
         }
-        self.adopt_directory(&roster.directory());
+        self.apply_directory(&roster.directory());
         true
     }
 
-    /// Passes on what the store has told this host.
+    /// Announces the evacuations that this host has read from the store.
     fn announce_evacuations(self: &Arc<Self>) {
         let state = self.evacuations.lock().state(self.clock.now_ms());
-        self.announce(Holding::Evacuations, &state, self.neighbours());
+        self.announce(ReplicatedState::Evacuations, &state, self.area_branches());
     }
 }
 
-/// The data centres of a list. An entry's name says it all, so one that can't be read counts too.
+/// The data centres in a list. The name alone states the evacuation, so an entry that can't be read
+/// counts too.
 fn names(all: &Snapshot<String>) -> BTreeSet<String> {
     let unreadable = all.unusable.iter().filter_map(|one| one.name.clone());
     all.items.iter().cloned().chain(unreadable).collect()
 }
 
-fn step(change: Change<String>) -> Option<EvacuationChange> {
+fn evacuation_change(change: Change<String>) -> Option<EvacuationChange> {
     match change {
         Change::Put(name) => Some(EvacuationChange::Begins(name)),
-        Change::Gone(name) => Some(EvacuationChange::Ends(name)),
+        Change::Removed(name) => Some(EvacuationChange::Ends(name)),
         Change::Unusable(unusable) => unusable.name.map(EvacuationChange::Begins),
     }
 }
--- a/crates/gateway/src/events.rs
+++ b/crates/gateway/src/events.rs
@@ -1,33 +1,33 @@
-//! Cuts a series of events into whole ones.
+//! Splits an event stream into complete events.
 
 use bytes::{Bytes, BytesMut};
 
-/// Collects bytes until they end an event.
+/// Buffers bytes until an event is complete.
 #[derive(Debug, Default)]
-pub(crate) struct Events {
+pub(crate) struct EventBuffer {
     buffer: BytesMut,
 }
 
-impl Events {
-    /// Takes in bytes as they came.
+impl EventBuffer {
+    /// Appends received bytes.
     pub(crate) fn push(&mut self, bytes: &[u8]) {
         self.buffer.extend_from_slice(bytes);
     }
 
-    /// All events that are whole, in one piece; `None` where there is none.
-    pub(crate) fn take_whole(&mut self) -> Option<Bytes> {
+    /// Takes all complete events in one piece; `None` if there are none.
+    pub(crate) fn take_complete(&mut self) -> Option<Bytes> {
         let end = end_of_last(&self.buffer)?;
         Some(self.buffer.split_to(end).freeze())
     }
 
-    /// What is left after the last whole event.
-    pub(crate) fn take_rest(&mut self) -> Option<Bytes> {
-        let rest = self.buffer.split().freeze();
-        (!rest.is_empty()).then_some(rest)
+    /// Takes what is left after the last complete event.
+    pub(crate) fn take_remainder(&mut self) -> Option<Bytes> {
+        let remainder = self.buffer.split().freeze();
+        (!remainder.is_empty()).then_some(remainder)
     }
 }
 
-/// Behind the last empty line, which ends an event.
+/// The position after the last empty line, which ends an event.
 fn end_of_last(bytes: &[u8]) -> Option<usize> {
     let mut end = bytes.len();
     while end > 0 {
@@ -41,7 +41,7 @@
     None
 }
 
-/// Each event of a piece that holds whole ones.
+/// Splits a piece of complete events into single events.
 pub(crate) fn split(piece: &Bytes) -> Vec<Bytes> {
     let mut events = Vec::new();
     let mut left = piece.clone();
@@ -53,10 +53,10 @@
 }
 
 fn end_of_first(bytes: &[u8]) -> Option<usize> {
-    let places = bytes.iter().enumerate();
-    let mut newlines = places.filter(|(_, byte)| **byte == b'\n');
-    newlines.find_map(|(place, _)| {
-        let before = &bytes[..place];
-        (before.ends_with(b"\n") || before.ends_with(b"\n\r")).then_some(place + 1)
+    let indexed = bytes.iter().enumerate();
+    let mut newlines = indexed.filter(|(_, byte)| **byte == b'\n');
+    newlines.find_map(|(index, _)| {
+        let before = &bytes[..index];
+        (before.ends_with(b"\n") || before.ends_with(b"\n\r")).then_some(index + 1)
     })
 }
--- a/crates/gateway/src/fleet.rs
+++ b/crates/gateway/src/fleet.rs
@@ -1,7 +1,8 @@
-//! The other hosts: who is there, and what they know that this host doesn't.
+//! Tracks the other hosts, and fetches the state that they hold in a later version.
 //!
-//! Who is alive is told by pings alone, since nothing of ours expires in the store by itself. A ping
-//! compares versions of what all hosts hold, so a host that the store turns away follows its peers.
+//! Liveness is determined by pings alone, since no entry of a host expires in the store by itself.
+//! A ping compares the versions of all replicated state, so a host without store access is updated
+//! by its peers.
 
 use std::collections::HashSet;
 use std::net::SocketAddr;
@@ -13,8 +14,8 @@
 use fulmarpath_cluster::poison::exchange_circuits;
 use fulmarpath_policy::{Drift, HostKey, Join, Lag, Millis, Revision};
 use fulmarpath_wire::{
-    GatewayPeerClient, Holding, MemberNote, MemberState, MembersDigest, Peers, Ping, Pong, Rumour,
-    Versions,
+    GatewayPeerClient, MemberInfo, MemberState, MembersDigest, Peers, Ping, Pong, ReplicatedState,
+    Rumour, Versions,
 };
 use parking_lot::Mutex;
 use rand::Rng;
@@ -27,64 +28,66 @@
 use crate::directory::{Directory, DirectoryChange, HostRegistration};
 use crate::encoding::decode;
 use crate::gateway::Gateway;
-use crate::join::Newcomers;
-use crate::presence::Presence;
+use crate::join::JoiningHosts;
+use crate::presence_log::PresenceLog;
 
-/// Between two pings. Each goes to one member, so a host's share doesn't grow with the fleet.
+/// Between two pings. Each goes to one member, so a host's share does not grow with the size of the
+/// fleet.
 const PING_PERIOD: Duration = Duration::from_millis(250);
-/// A peer that holds a later revision of the upstreams has to hold it for so long before it is
-/// asked: the store's own answer is mostly on its way. Within the time that a leaving upstream may
-/// still get requests.
-const BEHIND_MS: Millis = 300;
+/// A peer has to hold a later revision of the upstreams for this long before it is asked: the
+/// store's own answer is usually on its way. The delay is within the time in which a leaving
+/// upstream may still get requests.
+const FETCH_DELAY_MS: Millis = 300;
 
-/// A host that no other has spoken to for so long may be cut off: some pings each way are due in it.
-const TOUCH_MS: Millis = 1_000;
+/// A host without contact for this long may be partitioned: several pings in each direction are due
+/// within it.
+const CONTACT_TIMEOUT_MS: Millis = 1_000;
 
-/// What this host knows of the others.
+/// This host's view of the other hosts.
 pub(crate) struct Fleet {
     pub(crate) members: Mutex<Members>,
     pub(crate) peers: Peers<GatewayPeerClient>,
-    /// How far this host has come since its start.
+    /// This host's progress in joining the fleet.
     pub(crate) join: Mutex<Join>,
-    pub(crate) newcomers: Newcomers,
-    /// How far this host's list of upstreams is behind its peers'.
+    pub(crate) joining: JoiningHosts,
+    /// How far this host's list of upstreams is behind that of its peers.
     lag: Mutex<Lag>,
     drift: Mutex<Drift>,
-    presence: Mutex<Presence>,
-    /// What is being fetched from a peer now.
-    fetching: Mutex<HashSet<Holding>>,
-    /// This start of the host has ever written its entry.
+    presence: Mutex<PresenceLog>,
+    /// State that is being fetched from a peer.
+    fetching: Mutex<HashSet<ReplicatedState>>,
+    /// Whether this start of the host has ever written its entry.
     has_written_entry: AtomicBool,
     has_entry: AtomicBool,
-    /// When another host last answered or asked.
-    heard_ms: AtomicU64,
+    /// Time of the last ping or answer from another host.
+    last_contact_ms: AtomicU64,
 }
 
 impl Fleet {
-    /// A fleet of this host alone.
+    /// Creates a fleet of this host alone.
     ///
-    /// The name is unique to this start. A host that starts again is a new member and the old one
-    /// dies by not answering; were it the same member, only a clock could tell which start a rumour
-    /// is about, and clocks jump.
+    /// The name is unique to this start. A restarted host is a new member, and the previous one is
+    /// declared dead by not answering. If both were the same member, only a clock could tell which
+    /// start a rumour is about, and clocks jump.
     pub(crate) fn new(now_ms: Millis, host: &HostRegistration, has_seeds: bool) -> Self {
         let start: u64 = rand::random();
-        let note = MemberNote {
+        let member = MemberInfo {
             name: format!("{}/{start:016x}", host.name),
             data_centre: host.data_centre.clone(),
             address: host.address,
         };
         Self {
-            members: Mutex::new(Members::new(note, 1)),
+            members: Mutex::new(Members::new(member, 1)),
             peers: Peers::new(crate::peer::client),
             join: Mutex::new(Join::new(now_ms, has_seeds)),
-            newcomers: Newcomers::default(),
+            joining: JoiningHosts::default(),
             lag: Mutex::default(),
             drift: Mutex::new(Drift::new(now_ms)),
             presence: Mutex::default(),
             fetching: Mutex::default(),
             has_written_entry: AtomicBool::new(false),
             has_entry: AtomicBool::new(false),
-            heard_ms: AtomicU64::new(0),
+            last_contact_ms: AtomicU64::new(0),
         }
     }
 
@@ -93,34 +96,33 @@
         self.has_written_entry.load(Ordering::Relaxed)
     }
 
-    /// Whether the store has that entry.
+    /// Whether the store has the entry.
     pub(crate) fn has_entry(&self) -> bool {
         self.has_entry.load(Ordering::Relaxed)
     }
 
-    /// The entry is written.
-    pub(crate) fn note_entry(&self) {
+    pub(crate) fn mark_entry_written(&self) {
         self.has_written_entry.store(true, Ordering::Relaxed);
         self.has_entry.store(true, Ordering::Relaxed);
     }
 
-    /// The store has come back from a copy, which may lack the entry.
-    pub(crate) fn forget_entry(&self) {
+    /// Records that the store was restored from a backup, which may lack the entry.
+    pub(crate) fn mark_entry_lost(&self) {
         self.has_entry.store(false, Ordering::Relaxed);
     }
 
-    /// Whether what this host believes of the others is likely true: it has spoken to one just now, or
-    /// has never met any.
-    pub(crate) fn is_in_touch(&self, now_ms: Millis) -> bool {
+    /// Whether this host's view of the others is likely to be right: it had contact with one
+    /// recently, or has never met any.
+    pub(crate) fn has_recent_contact(&self, now_ms: Millis) -> bool {
         let join = *self.join.lock();
-        if !join.has_met() {
-            return join.may_watch(now_ms);
+        if !join.has_met_peer() {
+            return join.may_watch_store(now_ms);
         }
-        let heard_ms = self.heard_ms.load(Ordering::Relaxed);
-        join.may_watch(now_ms) && now_ms.saturating_sub(heard_ms) < TOUCH_MS
+        let last_contact_ms = self.last_contact_ms.load(Ordering::Relaxed);
+        join.may_watch_store(now_ms) && now_ms.saturating_sub(last_contact_ms) < CONTACT_TIMEOUT_MS
     }
 
-    /// Hosts that are believed present, this one with them.
+    /// Number of hosts that are considered present, this one included.
     pub(crate) fn host_count(&self) -> usize {
         self.members.lock().present().count()
     }
@@ -128,22 +130,24 @@
     fn ping_message(&self, versions: Versions) -> (Ping, MembersDigest) {
         let mut members = self.members.lock();
         let ping = Ping {
-            from: members.me(),
+            from: members.own_rumour(),
             rumours: members.rumours(),
             versions,
         };
         (ping, MembersDigest(members.digest()))
     }
 
-    /// The line on who has come and who is gone, where one is due.
+    /// Returns the log line on joined and departed hosts when one is due.
     fn presence_line(&self, now_ms: Millis) -> Option<String> {
         let present = {
             let members = self.members.lock();
-            let me = members.my_key();
+            let me = members.own_key();
             let others = members.homes().filter(|(key, _)| *key != me);
-            others.map(|(key, note)| (key, note.name.clone())).collect()
+            others
+                .map(|(key, member)| (key, member.name.clone()))
+                .collect()
         };
-        self.presence.lock().see(now_ms, present)
+        self.presence.lock().update(now_ms, present)
     }
 }
 
@@ -158,11 +162,11 @@
         }
     }
 
-    /// Pings an address, and takes what its host holds in a later version.
-    pub(crate) async fn greet(self: &Arc<Self>, address: SocketAddr) {
+    /// Pings an address, and fetches state that its host holds in a later version.
+    pub(crate) async fn ping_address(self: &Arc<Self>, address: SocketAddr) {
         let (ping, digest) = self.fleet.ping_message(self.versions());
-        if let Some((pong, theirs)) = self.ping_once(address, ping, digest).await {
-            self.hear_pong(address, pong, theirs).await;
+        if let Some((pong, theirs)) = self.send_ping(address, ping, digest).await {
+            self.handle_pong(address, pong, theirs).await;
         }
     }
 
@@ -175,25 +179,25 @@
                 members.next_target(rand::rng().random())
             };
             if let Some(target) = target {
-                tokio::spawn(self.clone().probe(target));
+                tokio::spawn(self.clone().ping_member(target));
             }
-            self.fleet.peers.tidy();
+            self.fleet.peers.close_idle();
             if let Some(line) = self.fleet.presence_line(self.clock.now_ms()) {
                 info!("fleet: {line}");
             }
         }
     }
 
-    async fn probe(self: Arc<Self>, target: MemberNote) {
+    async fn ping_member(self: Arc<Self>, target: MemberInfo) {
         let (ping, digest) = self.fleet.ping_message(self.versions());
         let key = HostKey::of(&target.name);
-        match self.ping_once(target.address, ping, digest).await {
+        match self.send_ping(target.address, ping, digest).await {
             Some((pong, theirs)) => {
                 if pong.from.member.name != target.name {
-                    // The address is in use again: the start that had it before is gone.
-                    self.bury(&target);
+                    // Another start uses the address: the previous one has ended.
+                    self.mark_dead(&target);
                 }
-                self.hear_pong(target.address, pong, theirs).await;
+                self.handle_pong(target.address, pong, theirs).await;
             }
             None => {
                 warn!("fleet: {} does not answer", target.name);
@@ -203,20 +207,20 @@
         }
     }
 
-    fn bury(&self, gone: &MemberNote) {
+    fn mark_dead(&self, member: &MemberInfo) {
         let now_ms = self.clock.now_ms();
         let mut members = self.fleet.members.lock();
-        let Some(known) = members.find(HostKey::of(&gone.name)).cloned() else {
+        let Some(known) = members.find(HostKey::of(&member.name)).cloned() else {
             return;
         };
         let rumour = Rumour {
             state: MemberState::Dead,
             ..known
         };
-        members.hear(now_ms, rumour);
+        members.apply(now_ms, rumour);
     }
 
-    async fn ping_once(
+    async fn send_ping(
         &self,
         address: SocketAddr,
         ping: Ping,
@@ -228,41 +232,41 @@
         self.fleet.peers.call(address, call).await.ok()
     }
 
-    async fn hear_pong(self: &Arc<Self>, address: SocketAddr, pong: Pong, theirs: MembersDigest) {
-        self.hear(&pong.from, pong.rumours);
-        self.compare(address, pong.versions, theirs).await;
+    async fn handle_pong(self: &Arc<Self>, address: SocketAddr, pong: Pong, theirs: MembersDigest) {
+        self.record_contact(&pong.from, pong.rumours);
+        self.fetch_newer(address, pong.versions, theirs).await;
     }
 
-    fn hear(&self, from: &Rumour, rumours: Vec<Rumour>) {
+    fn record_contact(&self, from: &Rumour, rumours: Vec<Rumour>) {
         let now_ms = self.clock.now_ms();
-        self.fleet.heard_ms.store(now_ms, Ordering::Relaxed);
+        self.fleet.last_contact_ms.store(now_ms, Ordering::Relaxed);
         let mut members = self.fleet.members.lock();
-        members.answered(now_ms, from);
+        members.record_answer(now_ms, from);
         for rumour in rumours {
-            members.hear(now_ms, rumour);
+            members.apply(now_ms, rumour);
         }
     }
 
-    /// Takes what reaches every member on another way than by rumours.
-    pub(crate) fn learn(&self, news: &[Rumour]) {
+    /// Merges rumours that reach every member by other means than pings.
+    pub(crate) fn merge_rumours(&self, rumours: &[Rumour]) {
         let now_ms = self.clock.now_ms();
         let mut members = self.fleet.members.lock();
-        for rumour in news {
-            members.learn(now_ms, rumour.clone());
+        for rumour in rumours {
+            members.apply_unrelayed(now_ms, rumour.clone());
         }
     }
 
-    /// Answers a ping, and learns from it.
-    pub(crate) fn pong(
+    /// Applies a ping and answers it.
+    pub(crate) fn handle_ping(
         self: &Arc<Self>,
         ping: Ping,
         theirs: MembersDigest,
     ) -> (Pong, MembersDigest) {
         let address = ping.from.member.address;
-        self.hear(&ping.from, ping.rumours);
+        self.record_contact(&ping.from, ping.rumours);
         let versions = ping.versions;
         let gateway = self.clone();
-        tokio::spawn(async move { gateway.compare(address, versions, theirs).await });
+        tokio::spawn(async move { gateway.fetch_newer(address, versions, theirs).await });
         let (answer, digest) = self.fleet.ping_message(self.versions());
         let pong = Pong {
             from: answer.from,
@@ -272,23 +276,23 @@
         (pong, digest)
     }
 
-    /// Fetches what a peer holds in a later version.
-    async fn compare(&self, peer: SocketAddr, theirs: Versions, members: MembersDigest) {
-        // Before the configuration, with which a host begins to serve.
+    /// Fetches state that a peer holds in a later version.
+    async fn fetch_newer(&self, peer: SocketAddr, theirs: Versions, members: MembersDigest) {
+        // Evacuations come before the configuration, with which a host begins to serve.
         if self.evacuations.lock().is_behind(theirs.evacuations) {
             self.fetch_evacuations(peer).await;
         }
         if theirs.root > self.version()
             && let Some(configuration) = self.fetch_configuration(peer).await
         {
-            self.adopt(configuration, "a peer");
+            self.apply_configuration(configuration, "a peer");
         }
         if self.is_behind(theirs.upstreams)
             && let Some(change) = self.fetch_upstreams(peer).await
         {
-            self.take_upstreams(change);
+            self.apply_peer_upstreams(change);
         }
-        if self.drifts_from(members) {
+        if self.has_diverged(members) {
             self.exchange_members(peer).await;
         }
         if theirs.circuits != self.versions().circuits {
@@ -296,21 +300,21 @@
         }
     }
 
-    fn drifts_from(&self, theirs: MembersDigest) -> bool {
+    fn has_diverged(&self, theirs: MembersDigest) -> bool {
         let own = self.fleet.members.lock().digest();
         let mut drift = self.fleet.drift.lock();
-        drift.hear(self.clock.now_ms(), own == theirs.0)
+        drift.should_exchange(self.clock.now_ms(), own == theirs.0)
     }
 
-    /// Exchanges all beliefs of members with a peer; true where it answered.
+    /// Exchanges the complete member lists with a peer; returns whether it answered.
     pub(crate) async fn exchange_members(&self, peer: SocketAddr) -> bool {
-        let beliefs = self.fleet.members.lock().beliefs();
+        let own = self.fleet.members.lock().snapshot();
         let call = |client: GatewayPeerClient, context| async move {
-            client.exchange_members(context, beliefs).await
+            client.exchange_members(context, own).await
         };
         match self.fleet.peers.call(peer, call).await {
             Ok(theirs) => {
-                self.learn(&theirs);
+                self.merge_rumours(&theirs);
                 true
             }
             Err(error) => {
@@ -320,36 +324,34 @@
         }
     }
 
-    /// Answers a peer's beliefs of members with this host's.
-    pub(crate) fn answer_beliefs(&self, theirs: &[Rumour]) -> Vec<Rumour> {
-        let beliefs = self.fleet.members.lock().beliefs();
-        self.learn(theirs);
-        beliefs
+    /// Merges a peer's member list and answers with this host's.
+    pub(crate) fn handle_member_exchange(&self, theirs: &[Rumour]) -> Vec<Rumour> {
+        let own = self.fleet.members.lock().snapshot();
+        self.merge_rumours(theirs);
+        own
     }
 
-    /// Whether this host has missed news of the upstreams that a peer has.
+    /// Whether this host lacks changes of the upstreams that a peer has.
     fn is_behind(&self, theirs: Revision) -> bool {
         let now_ms = self.clock.now_ms();
         let own = self.roster.lock().revision();
         let mut lag = self.fleet.lag.lock();
-        lag.hear(now_ms, own, theirs, Directory::PROVISIONAL, BEHIND_MS)
+        lag.should_fetch(now_ms, own, theirs, Directory::PROVISIONAL, FETCH_DELAY_MS)
     }
 
     async fn fetch_configuration(&self, peer: SocketAddr) -> Option<Configuration> {
-        let holding = Holding::Configuration;
-        let call = |client: GatewayPeerClient, context| async move {
-            client.holding(context, holding).await
-        };
-        self.fetch(peer, holding, call).await
+        let kind = ReplicatedState::Configuration;
+        let call =
+            |client: GatewayPeerClient, context| async move { client.holding(context, kind).await };
+        self.fetch(peer, kind, call).await
     }
 
     async fn fetch_evacuations(&self, peer: SocketAddr) {
-        let holding = Holding::Evacuations;
-        let call = |client: GatewayPeerClient, context| async move {
-            client.holding(context, holding).await
-        };
-        if let Some(state) = self.fetch(peer, holding, call).await {
-            self.hear_evacuations(state, "a peer");
+        let kind = ReplicatedState::Evacuations;
+        let call =
+            |client: GatewayPeerClient, context| async move { client.holding(context, kind).await };
+        if let Some(state) = self.fetch(peer, kind, call).await {
+            self.apply_evacuations(state, "a peer");
         }
     }
 
@@ -358,30 +360,30 @@
         let call = |client: GatewayPeerClient, context| async move {
             client.upstreams_since(context, since).await
         };
-        self.fetch(peer, Holding::Upstreams, call).await
+        self.fetch(peer, ReplicatedState::Upstreams, call).await
     }
 
-    /// Asks a peer for what it holds, unless that is being asked of another one: pings of several
-    /// that are ahead come within the time that one answer takes.
+    /// Fetches state from a peer, unless it is being fetched from another one: pings of several
+    /// peers with later versions arrive within the time that one answer takes.
     async fn fetch<T, F>(
         &self,
         peer: SocketAddr,
-        holding: Holding,
+        kind: ReplicatedState,
         call: impl FnOnce(GatewayPeerClient, Context) -> F,
     ) -> Option<T>
     where
         T: DeserializeOwned,
         F: Future<Output = Result<Vec<u8>, RpcError>>,
     {
-        if !self.fleet.fetching.lock().insert(holding) {
+        if !self.fleet.fetching.lock().insert(kind) {
             return None;
         }
         let value = self.fleet.peers.call(peer, call).await;
-        self.fleet.fetching.lock().remove(&holding);
-        match decode(holding, &value.ok()?) {
+        self.fleet.fetching.lock().remove(&kind);
+        match decode(kind, &value.ok()?) {
             Ok(held) => Some(held),
             Err(error) => {
-                warn!("fleet: could not read what {peer} holds: {error}");
+                warn!("fleet: could not decode the state of {peer}: {error}");
                 None
             }
         }
--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -8,56 +8,56 @@
 
 use arc_swap::ArcSwapOption;
 use fulmarpath_cluster::{CircuitBreakers, Clock};
-use fulmarpath_http::ConnectionRules;
+use fulmarpath_http::ConnectionLimits;
 use fulmarpath_policy::{ColdBound, Evacuations, Millis, RetryBound, RetryWindow};
 use parking_lot::Mutex;
 use spdlog::info;
 
+use crate::availability::ColdLimits;
 use crate::cells::Cells;
-use crate::configuration::{Configuration, InForce};
+use crate::configuration::{ActiveConfiguration, Configuration};
 use crate::control::EngineControl;
 use crate::directory::{Directory, HostRegistration};
+use crate::dissemination::Dissemination;
 use crate::fleet::Fleet;
 use crate::head::Dialect;
-use crate::homes::Duties;
+use crate::homes::CellDuties;
 use crate::instances::Instances;
-use crate::look::Looks;
+use crate::log_throttle::LogThrottle;
 use crate::metadata::Metadata;
 use crate::metrics::{Metrics, Readings};
+use crate::probe::ProbeTimes;
 use crate::roster::Roster;
 use crate::runs::Runs;
-use crate::spacing::Spacing;
-use crate::spread::Spread;
-use crate::standing::Allowances;
-use crate::starts::StartsHome;
+use crate::start_limits::StartLimiter;
 use crate::store_era::StoreEra;
 
-/// What a gateway must know of itself.
+/// Settings of a gateway.
 #[derive(Debug, Clone)]
 pub struct GatewaySettings {
     /// This host, as it registers itself.
     pub host: HostRegistration,
     /// The operator's bound on retries.
     pub retries: RetryBound,
-    /// Other hosts to try before the store has told of any.
+    /// Other hosts to contact before the store has named any.
     pub seeds: Vec<SocketAddr>,
-    /// Within this time a change of the configuration or of the upstreams has to be in force.
+    /// Bound within which a change of the configuration or of the upstreams has to be in force.
     pub change_bound_ms: Millis,
-    /// The store removes an upstream's entry after so long of its silence.
-    pub lapse_ms: Millis,
-    /// Within this time an evacuated data centre has to get nothing more; `None` where the operator
-    /// evacuates none, and nobody looks for it.
+    /// The store removes an upstream's entry this long after its last heartbeat.
+    pub registration_ttl_ms: Millis,
+    /// Bound within which requests to an evacuated data centre have to stop; `None` if the operator
+    /// evacuates none, in which case evacuations are not read.
     pub evacuation_bound_ms: Option<Millis>,
-    /// What a cold upstream may get; `None` where that isn't bounded.
+    /// Bound on the requests to a cold upstream; `None` if they are not bounded.
     pub cold_bound: Option<ColdBound>,
-    /// The time between a stop's signal and the end of the process.
+    /// Time between a stop signal and the end of the process.
     pub grace_ms: Millis,
 }
 
 /// One host's gateway.
 ///
-/// Lock order: roster, evacuations, instances, cells, runs, crashes, circuits, members, retries, retry bound; none is held
-/// across an await.
+/// Lock order: roster, evacuations, instances, cells, runs, crashes, circuits, members, retries,
+/// retry bound; none is held across an await.
 pub struct Gateway {
     pub(crate) settings: GatewaySettings,
     pub(crate) clock: Clock,
@@ -65,32 +65,32 @@
     pub(crate) metadata: Metadata,
     pub(crate) roster: Mutex<Roster>,
     pub(crate) evacuations: Mutex<Evacuations>,
-    pub(crate) starts_home: StartsHome,
+    pub(crate) start_limiter: StartLimiter,
     pub(crate) instances: Instances,
     pub(crate) metrics: Metrics,
     pub(crate) fleet: Fleet,
     pub(crate) cells: Cells,
     pub(crate) runs: Runs,
-    pub(crate) duties: Duties,
-    pub(crate) looks: Looks,
-    pub(crate) spread: Spread,
+    pub(crate) cell_duties: CellDuties,
+    pub(crate) probe_times: ProbeTimes,
+    pub(crate) dissemination: Dissemination,
     pub(crate) circuit_breakers: CircuitBreakers,
-    pub(crate) skipped: Spacing,
+    pub(crate) unusable_log: LogThrottle,
     pub(crate) store_era: StoreEra,
     pub(crate) control: Arc<dyn EngineControl>,
-    in_force: ArcSwapOption<InForce>,
+    active_configuration: ArcSwapOption<ActiveConfiguration>,
     retries: Mutex<HashMap<String, RetryWindow>>,
     retry_bound: Mutex<RetryBound>,
-    /// When the configuration in force came.
-    adopted_ms: AtomicU64,
-    /// When the process ends, once it was told to; 0 before.
-    ends_ms: AtomicU64,
-    /// The store's era in which this host has read the circuits there.
+    /// When the active configuration was applied.
+    applied_ms: AtomicU64,
+    /// When the process ends, once it was told to stop; 0 before.
+    stops_at_ms: AtomicU64,
+    /// The store's era in which this host last read the stored circuits.
     pub(crate) circuits_era: Mutex<Option<u64>>,
 }
 
 impl Gateway {
-    /// A gateway that knows nothing yet.
+    /// Creates a gateway without any configuration or upstreams.
     pub fn new(
         settings: GatewaySettings,
         dialect: Arc<dyn Dialect>,
@@ -106,48 +106,48 @@
             clock,
             cells: Cells::default(),
             runs: Runs::default(),
-            duties: Duties::default(),
-            looks: Looks::default(),
-            spread: Spread::default(),
+            cell_duties: CellDuties::default(),
+            probe_times: ProbeTimes::default(),
+            dissemination: Dissemination::default(),
             circuit_breakers: CircuitBreakers::default(),
-            skipped: Spacing::default(),
+            unusable_log: LogThrottle::default(),
             store_era: StoreEra::default(),
             control,
             dialect,
             metadata,
-            roster: Mutex::new(Roster::new(settings.lapse_ms)),
+            roster: Mutex::new(Roster::new(settings.registration_ttl_ms)),
             evacuations: Mutex::default(),
-            starts_home: StartsHome::default(),
+            start_limiter: StartLimiter::default(),
             metrics: Metrics::default(),
-            in_force: ArcSwapOption::empty(),
+            active_configuration: ArcSwapOption::empty(),
             retries: Mutex::default(),
             retry_bound: Mutex::new(settings.retries),
-            adopted_ms: AtomicU64::new(0),
-            ends_ms: AtomicU64::new(0),
+            applied_ms: AtomicU64::new(0),
+            stops_at_ms: AtomicU64::new(0),
             circuits_era: Mutex::default(),
             settings,
         }
     }
 
-    /// The configuration in force here.
-    pub fn in_force(&self) -> Option<Arc<InForce>> {
-        self.in_force.load_full()
+    /// The active configuration.
+    pub fn active_configuration(&self) -> Option<Arc<ActiveConfiguration>> {
+        self.active_configuration.load_full()
     }
 
-    /// The version in force here; 0 for none.
+    /// The version of the active configuration; 0 for none.
     pub(crate) fn version(&self) -> u64 {
-        let held = self.in_force.load();
+        let held = self.active_configuration.load();
         held.as_ref().map_or(0, |held| held.configuration.version)
     }
 
-    /// Takes a configuration that is newer than the one in force; true where it was taken.
+    /// Applies a configuration that is newer than the active one; returns whether it was applied.
     ///
-    /// The store and peers tell of versions in any order. Taking an older one would revert a
-    /// change that callers have seen; versions grow, so comparing them is enough.
-    pub(crate) fn adopt(&self, configuration: Configuration, source: &str) -> bool {
+    /// The store and peers deliver versions in any order. An older one would revert a change that
+    /// callers have seen; versions only grow, so comparing them is enough.
+    pub(crate) fn apply_configuration(&self, configuration: Configuration, source: &str) -> bool {
         let version = configuration.version;
-        let newer = Arc::new(InForce::new(configuration));
-        let held = self.in_force.rcu(|held| match held {
+        let newer = Arc::new(ActiveConfiguration::new(configuration));
+        let held = self.active_configuration.rcu(|held| match held {
             Some(held) if held.configuration.version >= version => Some(held.clone()),
             _ => Some(newer.clone()),
         });
@@ -157,34 +157,36 @@
         }
         self.metrics.configuration_version.set(version as i64);
         let now_ms = self.clock.now_ms();
-        self.adopted_ms.store(now_ms, Ordering::Relaxed);
+        self.applied_ms.store(now_ms, Ordering::Relaxed);
         info!("configuration: version {version} from {source} replaces {held}");
         let directory = self.roster.lock().directory();
-        self.adopt_directory(&directory);
+        self.apply_directory(&directory);
         true
     }
 
-    /// Takes what the roster says now.
-    pub(crate) fn adopt_directory(&self, directory: &Directory) {
+    /// Applies the roster's directory to the instances and cells.
+    pub(crate) fn apply_directory(&self, directory: &Directory) {
         let now_ms = self.clock.now_ms();
-        let in_force = self.in_force();
-        let allowances = Allowances::of(self.settings.cold_bound, in_force.as_deref());
+        let active_configuration = self.active_configuration();
+        let cold_limits = ColdLimits::of(self.settings.cold_bound, active_configuration.as_deref());
         {
             let evacuations = self.evacuations.lock();
             self.instances
-                .adopt(now_ms, directory, &evacuations, &allowances);
+                .adopt(now_ms, directory, &evacuations, &cold_limits);
         }
-        let standing_of = |engine| self.instances.standing(engine);
-        let is_new = in_force
-            .is_some_and(|in_force| self.cells.adopt(now_ms, &in_force, directory, standing_of));
-        if is_new || !self.cells.leaving().is_empty() {
-            self.duties.restate_now.notify_one();
+        let availability_of = |engine| self.instances.availability(engine);
+        let has_new_layout = active_configuration.is_some_and(|active_configuration| {
+            self.cells
+                .apply_directory(now_ms, &active_configuration, directory, availability_of)
+        });
+        if has_new_layout || !self.cells.leaving().is_empty() {
+            self.cell_duties.restate_now.notify_one();
         }
     }
 
-    /// Whether the balancer should send callers here.
+    /// Whether the load balancer should send callers here.
     pub fn is_ready(&self) -> bool {
-        self.in_force.load().is_some() && !self.is_draining()
+        self.active_configuration.load().is_some() && !self.is_draining()
     }
 
     /// Upstreams that this host knows.
@@ -192,48 +194,48 @@
         self.roster.lock().directory().registrations.len()
     }
 
-    /// Hosts that this host believes present, itself with them.
+    /// Hosts that this host considers present, itself included.
     pub fn host_count(&self) -> usize {
         self.fleet.host_count()
     }
 
-    /// Data centres whose upstreams get no work by the operator's word.
+    /// Data centres that the operator has evacuated, whose upstreams get no work.
     pub fn evacuated_count(&self) -> usize {
         self.evacuations.lock().count()
     }
 
-    /// Contents that may not run like any other, after upstreams ended under them.
+    /// Contents with restricted admission after upstreams crashed under them.
     pub fn open_circuit_count(&self) -> usize {
         self.circuit_breakers.restricted()
     }
 
-    /// Upstreams that get a few new requests a second only.
+    /// Upstreams that get only a few new requests per second.
     pub fn cold_count(&self) -> usize {
         self.instances.cold(self.clock.now_ms()).len()
     }
 
-    /// Requests that were sent once more.
+    /// Requests that were retried.
     pub fn retry_count(&self) -> u64 {
         self.metrics.retries.get()
     }
 
-    /// Whether this host stops.
+    /// Whether this host is stopping.
     pub(crate) fn is_draining(&self) -> bool {
-        self.ends_ms().is_some()
+        self.stops_at_ms().is_some()
     }
 
-    /// When the process ends, once it was told to.
-    pub(crate) fn ends_ms(&self) -> Option<Millis> {
-        let ends_ms = self.ends_ms.load(Ordering::Relaxed);
-        (ends_ms > 0).then_some(ends_ms)
+    /// When the process ends, once it was told to stop.
+    pub(crate) fn stops_at_ms(&self) -> Option<Millis> {
+        let stops_at_ms = self.stops_at_ms.load(Ordering::Relaxed);
+        (stops_at_ms > 0).then_some(stops_at_ms)
     }
 
-    /// From now on callers are told to leave.
-    pub(crate) fn drain(&self, ends_ms: Millis) {
-        self.ends_ms.store(ends_ms, Ordering::Relaxed);
+    /// Starts draining: callers are told to disconnect from then on.
+    pub(crate) fn drain(&self, stops_at_ms: Millis) {
+        self.stops_at_ms.store(stops_at_ms, Ordering::Relaxed);
     }
 
-    /// Takes what may change of the settings while the host runs.
+    /// Applies the settings that may change while the host runs.
     pub fn reload(&self, settings: GatewaySettings) {
         *self.retry_bound.lock() = settings.retries;
         for window in self.retries.lock().values_mut() {
@@ -241,41 +243,41 @@
         }
     }
 
-    /// Counts a caller's request towards its service's retries.
+    /// Counts a caller's request towards its service's retry budget.
     pub(crate) fn count_request(&self, now_ms: Millis, service: &str) {
         let mut retries = self.retries.lock();
         if let Some(window) = retries.get_mut(service) {
-            window.request(now_ms);
+            window.record_request(now_ms);
             return;
         }
         let mut window = RetryWindow::new(*self.retry_bound.lock());
-        window.request(now_ms);
+        window.record_request(now_ms);
         retries.insert(service.to_owned(), window);
     }
 
-    /// Counts a generation that goes on elsewhere towards its service's retries.
+    /// Counts a generation that continues on another engine towards its service's retry budget.
     pub(crate) fn count_continuation(&self, now_ms: Millis, service: &str) {
         if let Some(window) = self.retries.lock().get_mut(service) {
-            window.go_on(now_ms);
+            window.record_continuation(now_ms);
         }
     }
 
-    /// What the page of metrics shows of this moment.
+    /// The present values of the gauges on the metrics page.
     pub(crate) fn readings(&self) -> Readings {
         let now_ms = self.clock.now_ms();
         let age = |since_ms: Millis| now_ms.saturating_sub(since_ms) as i64;
         let hosts = self.fleet.host_count();
         let (upstreams_heard_ms, upstreams) = {
             let roster = self.roster.lock();
-            (roster.heard_ms(), roster.len())
+            (roster.last_update_ms(), roster.len())
         };
         let mut retries = self.retries.lock();
         let left = retries.iter_mut().map(|(service, window)| {
-            let left = window.left(now_ms, hosts);
+            let left = window.remaining(now_ms, hosts);
             (service.clone(), left as i64)
         });
         Readings {
-            configuration_age_ms: age(self.adopted_ms.load(Ordering::Relaxed)),
+            configuration_age_ms: age(self.applied_ms.load(Ordering::Relaxed)),
             upstreams_age_ms: age(upstreams_heard_ms),
             upstreams: upstreams as i64,
             hosts: hosts as i64,
@@ -284,17 +286,17 @@
             cold: self.cold_count() as i64,
             limited: self.instances.limited_count() as i64,
             leaving: self.instances.leaving_count() as i64,
-            resting: self.instances.resting_count(now_ms) as i64,
+            backing_off: self.instances.backing_off_count(now_ms) as i64,
             retries_left: left.collect(),
         }
     }
 
-    /// Whether a request of this service may be sent once more.
+    /// Whether a request of this service may be retried; counts the retry.
     pub(crate) fn may_retry(&self, now_ms: Millis, service: &str) -> bool {
         let hosts = self.fleet.host_count();
         let mut retries = self.retries.lock();
         let window = retries.get_mut(service);
-        let allowed = window.is_some_and(|window| window.retry(now_ms, hosts));
+        let allowed = window.is_some_and(|window| window.try_retry(now_ms, hosts));
         if allowed {
             self.metrics.retries.inc();
         }
@@ -302,27 +304,28 @@
     }
 }
 
-/// Before any configuration is known.
+/// Used until a configuration is known.
 const DEFAULT_HEADER_LIMIT_BYTES: usize = 16_384;
 const DEFAULT_IDLE_MS: Millis = 15_000;
-/// What is added to the operator's idle time: a caller may send just as it runs out, and a request
-/// that crosses the close of its connection is lost.
+/// Added to the operator's idle time: a caller may send just as it runs out, and a request that
+/// crosses the close of its connection is lost.
 const IDLE_MARGIN_MS: Millis = 2_000;
 
-impl ConnectionRules for Gateway {
+impl ConnectionLimits for Gateway {
     fn header_limit_bytes(&self) -> usize {
-        let held = self.in_force.load();
+        let held = self.active_configuration.load();
         let limits = held.as_ref().map(|held| held.configuration.limits);
         limits.map_or(DEFAULT_HEADER_LIMIT_BYTES, |limits| limits.header_bytes)
     }
 
-    fn idle_bound(&self) -> Duration {
-        let held = self.in_force.load();
+    fn idle_timeout(&self) -> Duration {
+        let held = self.active_configuration.load();
         let limits = held.as_ref().map(|held| held.configuration.limits);
         let idle_ms = limits.map_or(DEFAULT_IDLE_MS, |limits| {
             limits.idle_ms.max(limits.header_ms)
         });
-        // The time may be raised while a connection is open, whose bound was set when it came.
+        // The idle time may be raised while a connection is open, but the connection's bound was
+        // set when it was accepted.
         Duration::from_millis(idle_ms.max(DEFAULT_IDLE_MS) * 2 + IDLE_MARGIN_MS)
     }
 }
--- a/crates/gateway/src/homes.rs
+++ b/crates/gateway/src/homes.rs
@@ -1,50 +1,51 @@
-//! Which host is home of a cell, and what passes between it and the others.
+//! Determines the home of each cell, and exchanges placements, statements and migrations with it.
 
 use std::collections::HashSet;
 use std::sync::Arc;
 use std::time::Duration;
 
 use fulmarpath_policy::{
-    Carry, CarryEnd, HostKey, Placement, PlacementRequest, RunEnd, RunKey, UpstreamKey,
+    HostKey, Migration, MigrationOutcome, Placement, PlacementRequest, RunEnd, RunKey, UpstreamKey,
 };
-use fulmarpath_wire::{CarryAnswer, CellKey, GatewayPeerClient, MemberNote, Restatement};
+use fulmarpath_wire::{CellKey, GatewayPeerClient, MemberInfo, MigrationAnswer, RelayedRuns};
 use parking_lot::Mutex;
 use spdlog::{info, warn};
 
 use crate::gateway::Gateway;
 use crate::metrics::TransferLabels;
 
-/// Between two statements of what this host relays: how long a new home knows too little.
+/// Between two statements of what this host relays: how long a new home has incomplete data.
 const RESTATE_PERIOD: Duration = Duration::from_millis(1_000);
-/// A home that doesn't answer in time costs its caller this much of the time to a first token.
-const PLACE_BOUND: Duration = Duration::from_millis(150);
-/// A transfer takes some 200 ms in a data centre, and waits for another at its destination.
-const CARRY_BOUND: Duration = Duration::from_millis(2_500);
-/// Between two looks at a leaving engine without anything to carry off now.
-const LOOK_PERIOD: Duration = Duration::from_millis(25);
+/// A home that does not answer in time delays its caller's first token by this much.
+const PLACE_TIMEOUT: Duration = Duration::from_millis(150);
+/// A transfer takes about 200 ms within a data centre, and may wait for another at its destination.
+const MIGRATION_TIMEOUT: Duration = Duration::from_millis(2_500);
+/// Between two checks of a leaving engine that has nothing to migrate at the moment.
+const MIGRATION_CHECK_PERIOD: Duration = Duration::from_millis(25);
 
-/// What this host does for cells.
+/// This host's work for cells.
 #[derive(Default)]
-pub(crate) struct Duties {
-    /// Engines whose generations this host is carrying off.
-    carrying_off: Mutex<HashSet<UpstreamKey>>,
-    /// Cells whose home did not answer lately: this host acts for its own generations.
-    homeless: Mutex<HashSet<CellKey>>,
-    /// Wakes the statement of what this host relays.
+pub(crate) struct CellDuties {
+    /// Engines from which this host is migrating generations.
+    migrating_off: Mutex<HashSet<UpstreamKey>>,
+    /// Cells whose home did not answer lately: this host acts for the generations that it relays
+    /// itself.
+    unreachable_homes: Mutex<HashSet<CellKey>>,
+    /// Triggers an immediate statement of what this host relays.
     pub(crate) restate_now: tokio::sync::Notify,
 }
 
 impl Gateway {
-    pub(crate) fn home_of(&self, cell: CellKey) -> Option<(HostKey, MemberNote)> {
+    pub(crate) fn home_of(&self, cell: CellKey) -> Option<(HostKey, MemberInfo)> {
         self.fleet.members.lock().homes_of(cell.0, 1).pop()
     }
 
     pub(crate) fn host_key(&self) -> HostKey {
-        self.fleet.members.lock().my_key()
+        self.fleet.members.lock().own_key()
     }
 
-    /// Whether this host is home of any cell.
-    pub(crate) fn has_cell(&self) -> bool {
+    /// Whether this host is the home of any cell.
+    pub(crate) fn is_home_of_any_cell(&self) -> bool {
         self.cells.keys().into_iter().any(|cell| self.is_home(cell))
     }
 
@@ -53,60 +54,66 @@
         home.is_none_or(|(key, _)| key == self.host_key())
     }
 
-    /// Asks the cell's home where a generation starts. Without a home this host decides by what it
-    /// knows itself: it sees its own generations only, and that is better than no answer.
+    /// Asks the cell's home where to start a generation. If the home does not answer, this host
+    /// decides by its own table, which covers only its own generations; that is better than no
+    /// answer.
     pub(crate) async fn place(&self, cell: CellKey, request: PlacementRequest) -> Placement {
-        if let Some((key, note)) = self.home_of(cell)
+        if let Some((key, member)) = self.home_of(cell)
             && key != self.host_key()
         {
-            let asked = request.clone();
+            let request_copy = request.clone();
             let call = |client: GatewayPeerClient, context| async move {
-                client.place(context, cell, asked).await
+                client.place(context, cell, request_copy).await
             };
             let peers = &self.fleet.peers;
-            match peers.call_within(note.address, PLACE_BOUND, call).await {
+            match peers
+                .call_with_timeout(member.address, PLACE_TIMEOUT, call)
+                .await
+            {
                 Ok(Some(placement)) => return placement,
                 Ok(None) => {}
                 Err(error) => warn!("cells: placed without a home: {error}"),
             }
         }
-        let placement = self.place_here(cell, request);
-        // A cell's home counts what it starts at a cold engine; a host in its place has to ask.
+        let placement = self.place_locally(cell, request);
+        // A cell's home counts its starts at a cold engine; a host that places in its stead has to
+        // ask.
         if let Placement::On { engine, .. } = placement
             && !self.is_home(cell)
-            && let Err(retry_after_ms) = self.ask_if_cold(engine).await
+            && let Err(retry_after_ms) = self.request_start_if_cold(engine).await
         {
             return Placement::Full { retry_after_ms };
         }
         placement
     }
 
-    /// Places as the cell's home.
-    pub(crate) fn answer_place(
+    /// Places a generation as the cell's home; `None` if this host is not the home.
+    pub(crate) fn handle_place(
         &self,
         cell: CellKey,
         request: &PlacementRequest,
     ) -> Option<Placement> {
         self.is_home(cell)
-            .then(|| self.place_here(cell, request.clone()))
+            .then(|| self.place_locally(cell, request.clone()))
     }
 
-    /// Places by this host's own table.
+    /// Places a generation by this host's own table.
     ///
-    /// A host that has just started takes itself for the home of every cell until it has met the others:
-    /// where all start at once, each would start what a cold engine bears. It leaves those to others.
-    fn place_here(&self, cell: CellKey, mut request: PlacementRequest) -> Placement {
+    /// A host that has just started considers itself the home of every cell until it has met other
+    /// hosts. If all hosts start at once, each would start as many generations as a cold engine can
+    /// take. Cold engines are therefore excluded until there has been contact with other hosts.
+    fn place_locally(&self, cell: CellKey, mut request: PlacementRequest) -> Placement {
         let now_ms = self.clock.now_ms();
-        if !self.fleet.is_in_touch(now_ms) {
-            request.without.extend(self.instances.cold(now_ms));
+        if !self.fleet.has_recent_contact(now_ms) {
+            request.excluded.extend(self.instances.cold(now_ms));
         }
         self.cells.place(now_ms, cell, &request)
     }
 
-    /// Tells the cell's home that a generation is over.
-    pub(crate) fn tell_end(self: &Arc<Self>, cell: CellKey, run: RunKey, end: RunEnd) {
+    /// Reports the end of a generation to the cell's home.
+    pub(crate) fn report_end(self: &Arc<Self>, cell: CellKey, run: RunKey, end: RunEnd) {
         self.cells.end(self.clock.now_ms(), cell, run, end);
-        let Some((key, note)) = self.home_of(cell) else {
+        let Some((key, member)) = self.home_of(cell) else {
             return;
         };
         if key == self.host_key() {
@@ -117,154 +124,180 @@
             let call = |client: GatewayPeerClient, context| async move {
                 client.ended(context, cell, run, end).await
             };
-            if gateway.fleet.peers.call(note.address, call).await.is_err() {
-                // The next statement tells it all the same.
-                warn!("cells: the home did not hear of an end");
+            if gateway
+                .fleet
+                .peers
+                .call(member.address, call)
+                .await
+                .is_err()
+            {
+                // The next statement conveys the end as well.
+                warn!("cells: could not report the end of a generation to the home");
             }
         });
     }
 
-    /// States to each cell's home what this host relays, again and again and when it matters.
+    /// States to each cell's home which generations this host relays, periodically and on request.
     pub(crate) async fn restate_runs(self: Arc<Self>) {
         loop {
-            let notified = self.duties.restate_now.notified();
+            let notified = self.cell_duties.restate_now.notified();
             let _ = tokio::time::timeout(RESTATE_PERIOD, notified).await;
             let present: HashSet<HostKey> = {
                 let members = self.fleet.members.lock();
                 members.homes().map(|(key, _)| key).collect()
             };
-            self.cells.keep_hosts(|host| present.contains(&host));
-            let cell_with = |engine| self.cells.cell_with(engine);
-            for restatement in self.runs.restatements(self.host_key(), cell_with) {
-                self.restate(restatement).await;
+            self.cells.retain_hosts(|host| present.contains(&host));
+            let cell_of_engine = |engine| self.cells.cell_of_engine(engine);
+            for relayed_runs in self.runs.restatements(self.host_key(), cell_of_engine) {
+                self.restate(relayed_runs).await;
             }
         }
     }
 
-    async fn restate(&self, restatement: Restatement) {
-        let cell = restatement.cell;
-        self.cells.restate(self.clock.now_ms(), &restatement);
-        let Some((key, note)) = self.home_of(cell) else {
+    async fn restate(&self, relayed_runs: RelayedRuns) {
+        let cell = relayed_runs.cell;
+        self.cells.restate(self.clock.now_ms(), &relayed_runs);
+        let Some((key, member)) = self.home_of(cell) else {
             return;
         };
         if key == self.host_key() {
-            self.duties.homeless.lock().remove(&cell);
+            self.cell_duties.unreachable_homes.lock().remove(&cell);
             return;
         }
         let call = |client: GatewayPeerClient, context| async move {
-            client.restate(context, restatement).await
+            client.restate(context, relayed_runs).await
         };
-        let heard = self.fleet.peers.call(note.address, call).await;
-        let mut homeless = self.duties.homeless.lock();
-        let changed = match heard {
-            Ok(()) => homeless.remove(&cell),
-            Err(_) => homeless.insert(cell),
+        let stated = self.fleet.peers.call(member.address, call).await;
+        let mut unreachable_homes = self.cell_duties.unreachable_homes.lock();
+        let changed = match stated {
+            Ok(()) => unreachable_homes.remove(&cell),
+            Err(_) => unreachable_homes.insert(cell),
         };
-        if changed && heard.is_err() {
-            warn!("cells: {} is home of a cell and does not answer", note.name);
+        if changed && stated.is_err() {
+            warn!(
+                "cells: {} is home of a cell and does not answer",
+                member.name
+            );
         }
     }
 
-    /// Whether this host carries generations of a cell off: as the home, or in its place for those
-    /// that this host relays itself.
+    /// Whether this host migrates generations of a cell: as its home, or in place of an unreachable
+    /// home for the generations that this host relays itself.
     fn acts_for(&self, cell: CellKey) -> bool {
-        self.is_home(cell) || self.duties.homeless.lock().contains(&cell)
+        self.is_home(cell) || self.cell_duties.unreachable_homes.lock().contains(&cell)
     }
 
-    /// Looks for leaving engines whose generations are to be carried off.
-    pub(crate) async fn carry_off_leaving(self: Arc<Self>) {
+    /// Finds leaving engines and starts the migration of their generations.
+    pub(crate) async fn migrate_off_leaving(self: Arc<Self>) {
         loop {
-            tokio::time::sleep(LOOK_PERIOD).await;
+            tokio::time::sleep(MIGRATION_CHECK_PERIOD).await;
             for (cell, engine) in self.cells.leaving() {
-                if !self.acts_for(cell) || !self.duties.carrying_off.lock().insert(engine) {
+                if !self.acts_for(cell) || !self.cell_duties.migrating_off.lock().insert(engine) {
                     continue;
                 }
-                tokio::spawn(self.clone().learn_time_left(cell, engine));
+                tokio::spawn(self.clone().probe_time_left(cell, engine));
                 let gateway = self.clone();
                 tokio::spawn(async move {
-                    gateway.carry_off(cell, engine).await;
-                    gateway.duties.carrying_off.lock().remove(&engine);
+                    gateway.migrate_off(cell, engine).await;
+                    gateway.cell_duties.migrating_off.lock().remove(&engine);
                 });
             }
         }
     }
 
-    /// Carries off one generation after the other while there are any.
-    async fn carry_off(self: &Arc<Self>, cell: CellKey, engine: UpstreamKey) {
+    /// Migrates an engine's generations one after the other until none are left.
+    async fn migrate_off(self: &Arc<Self>, cell: CellKey, engine: UpstreamKey) {
         let mut moved = 0;
         while self.cells.is_leaving(cell, engine) && self.acts_for(cell) {
             let now_ms = self.clock.now_ms();
-            let Some(carry) = self.cells.next_carry(now_ms, cell, engine) else {
-                tokio::time::sleep(LOOK_PERIOD).await;
+            let Some(migration) = self.cells.next_migration(now_ms, cell, engine) else {
+                tokio::time::sleep(MIGRATION_CHECK_PERIOD).await;
                 continue;
             };
-            let end = self.order(carry).await;
+            let outcome = self.request_migration(migration).await;
             info!(
-                "cells: {:016x} from {:016x} to {:016x}: {end:?} after {} ms",
-                carry.run.0,
-                carry.from.0,
-                carry.to.0,
+                "cells: {:016x} from {:016x} to {:016x}: {} after {} ms",
+                migration.run.0,
+                migration.from.0,
+                migration.to.0,
+                log_name(outcome),
                 self.clock.now_ms().saturating_sub(now_ms)
             );
-            let labels = TransferLabels { end: name(end) };
+            let labels = TransferLabels {
+                end: metric_label(outcome),
+            };
             self.metrics.transfers.get_or_create(&labels).inc();
-            moved += u32::from(end == CarryEnd::Moved);
-            self.cells.carried(self.clock.now_ms(), cell, carry, end);
+            moved += u32::from(outcome == MigrationOutcome::Moved);
+            self.cells
+                .finish_migration(self.clock.now_ms(), cell, migration, outcome);
         }
         info!("cells: {moved} generations carried off {:016x}", engine.0);
     }
 
-    async fn order(self: &Arc<Self>, carry: Carry) -> CarryEnd {
-        let Carry { run, to, host, .. } = carry;
+    async fn request_migration(self: &Arc<Self>, migration: Migration) -> MigrationOutcome {
+        let Migration { run, to, host, .. } = migration;
         if host == self.host_key() {
-            return end(self.carry_here(run, to).await);
+            return migration_outcome(self.migrate_here(run, to).await);
         }
-        let note = {
+        let member = {
             let members = self.fleet.members.lock();
             members.find(host).map(|rumour| rumour.member.clone())
         };
-        let Some(note) = note else {
-            return CarryEnd::Over;
+        let Some(member) = member else {
+            return MigrationOutcome::Ended;
         };
         let call = |client: GatewayPeerClient, context| async move {
             client.carry(context, run, to).await
         };
         let peers = &self.fleet.peers;
-        match peers.call_within(note.address, CARRY_BOUND, call).await {
-            Ok(answer) => end(answer),
+        match peers
+            .call_with_timeout(member.address, MIGRATION_TIMEOUT, call)
+            .await
+        {
+            Ok(answer) => migration_outcome(answer),
             Err(error) => {
-                warn!("cells: a generation may not have moved: {error}");
-                CarryEnd::LeftBehind
+                warn!("cells: could not confirm a migration: {error}");
+                MigrationOutcome::Orphaned
             }
         }
     }
 
-    /// Carries a generation that this host relays to another engine.
-    pub(crate) async fn carry_here(&self, run: RunKey, to: UpstreamKey) -> CarryAnswer {
+    /// Migrates a generation that this host relays to another engine.
+    pub(crate) async fn migrate_here(&self, run: RunKey, to: UpstreamKey) -> MigrationAnswer {
         let Some(destination) = self.instances.destination(self.clock.now_ms(), to) else {
-            return CarryAnswer::Stayed;
+            return MigrationAnswer::Stayed;
         };
-        self.runs.carry(run, destination).await
+        self.runs.migrate(run, destination).await
+    }
+}
+
+fn metric_label(outcome: MigrationOutcome) -> &'static str {
+    match outcome {
+        MigrationOutcome::Moved => "moved",
+        MigrationOutcome::NotMoved => "stayed",
+        MigrationOutcome::Refused => "refused",
+        MigrationOutcome::Orphaned => "left_behind",
+        MigrationOutcome::Ended => "over",
     }
 }
 
-/// Its name on metrics.
-fn name(end: CarryEnd) -> &'static str {
-    match end {
-        CarryEnd::Moved => "moved",
-        CarryEnd::Stayed => "stayed",
-        CarryEnd::Refused => "refused",
-        CarryEnd::LeftBehind => "left_behind",
-        CarryEnd::Over => "over",
+/// The name in log lines, which operators match.
+fn log_name(outcome: MigrationOutcome) -> &'static str {
+    match outcome {
+        MigrationOutcome::Moved => "Moved",
+        MigrationOutcome::NotMoved => "Stayed",
+        MigrationOutcome::Refused => "Refused",
+        MigrationOutcome::Orphaned => "LeftBehind",
+        MigrationOutcome::Ended => "Over",
     }
 }
 
-fn end(answer: CarryAnswer) -> CarryEnd {
+fn migration_outcome(answer: MigrationAnswer) -> MigrationOutcome {
     match answer {
-        CarryAnswer::Moved => CarryEnd::Moved,
-        CarryAnswer::Stayed => CarryEnd::Stayed,
-        CarryAnswer::Refused => CarryEnd::Refused,
-        CarryAnswer::LeftBehind => CarryEnd::LeftBehind,
-        CarryAnswer::Over => CarryEnd::Over,
+        MigrationAnswer::Moved => MigrationOutcome::Moved,
+        MigrationAnswer::Stayed => MigrationOutcome::NotMoved,
+        MigrationAnswer::Refused => MigrationOutcome::Refused,
+        MigrationAnswer::LeftBehind => MigrationOutcome::Orphaned,
+        MigrationAnswer::Over => MigrationOutcome::Ended,
     }
 }
--- a/crates/gateway/src/intake.rs
+++ b/crates/gateway/src/inbound.rs
@@ -1,4 +1,4 @@
-//! From a caller's bytes to a request that may go to an upstream, or the reason why it may not.
+//! Reads and checks callers' requests before they may be sent to an upstream.
 
 use std::hash::{Hash, Hasher};
 use std::sync::Arc;
@@ -14,37 +14,37 @@
 use tokio::time::timeout;
 use xxhash_rust::xxh3::Xxh3;
 
-use crate::configuration::{InForce, Route, RouteKind};
+use crate::configuration::{ActiveConfiguration, Route, RouteKind};
 use crate::gateway::Gateway;
 use crate::head::{GenerationHead, HeadError};
 use crate::hop;
-use crate::journey::Journey;
 use crate::problem::Problem;
+use crate::tracker::RequestTracker;
 
-/// Time for the body of a request that states no time of its own.
-const BODY_MS: Millis = 30_000;
+/// Time for reading the body of a request that states no deadline.
+const BODY_TIMEOUT_MS: Millis = 30_000;
 
-/// A request that may go to an upstream.
-pub(crate) struct Inquiry {
+/// A request that may be sent to an upstream.
+pub(crate) struct InboundRequest {
     pub(crate) route: Route,
     pub(crate) service: String,
     pub(crate) organisation: Option<String>,
-    /// The organisation's rank, or else the route's; 0 is the most urgent.
+    /// The priority of the organisation, or else of the route; 0 is the most urgent.
     pub(crate) priority: u8,
     pub(crate) generation: Option<GenerationHead>,
     pub(crate) content: ContentKey,
-    /// The last event that the caller has, where the stream may be resumed.
+    /// The last event that the caller has, if the stream may be resumed.
     pub(crate) last_event: Option<u64>,
     pub(crate) method: Method,
     pub(crate) uri: Uri,
     pub(crate) headers: HeaderMap,
     pub(crate) body: Bytes,
-    /// When the caller or the operator gives the request up.
+    /// Deadline set by the caller or by the route's timeout, whichever is earlier.
     pub(crate) deadline_ms: Millis,
 }
 
-impl Inquiry {
-    /// Whether it may run again after it has run `runs` times.
+impl InboundRequest {
+    /// Whether the request may run again after `runs` runs.
     pub(crate) fn may_run_again(&self, runs: u32) -> bool {
         let is_repeatable = match self.route.kind {
             RouteKind::Idempotent => true,
@@ -54,13 +54,14 @@
         is_repeatable && runs < self.route.max_attempts
     }
 
-    /// Whose it is. What is open to anybody is asked for by one organisation more.
+    /// The organisation to which the request is accounted. Requests on public routes share one
+    /// additional key.
     pub(crate) fn organisation_key(&self) -> OrganisationKey {
         OrganisationKey::of(self.organisation.as_deref().unwrap_or_default())
     }
 
-    /// What stays the same where its caller tries the same prompt again.
-    pub(crate) fn likeness(&self) -> u64 {
+    /// Hash that is equal for retries of the same prompt by the same caller.
+    pub(crate) fn retry_key(&self) -> u64 {
         let mut hasher = Xxh3::new();
         self.content.hash(&mut hasher);
         self.route.name.hash(&mut hasher);
@@ -73,58 +74,58 @@
 }
 
 impl Gateway {
-    /// Reads a request and decides whether it may go on.
-    pub(crate) async fn take_in(
+    /// Reads a request and checks whether it may proceed.
+    pub(crate) async fn accept(
         self: &Arc<Self>,
         request: Request<Incoming>,
-        journey: &mut Journey,
-    ) -> Result<Inquiry, Problem> {
+        tracker: &mut RequestTracker,
+    ) -> Result<InboundRequest, Problem> {
         let (parts, body) = request.into_parts();
-        let head = self.dialect.request(&parts.headers);
+        let head = self.dialect.read_request(&parts.headers);
         if let Ok(head) = &head {
-            journey.id.clone_from(&head.id);
+            tracker.id.clone_from(&head.id);
         }
-        let in_force = self.in_force().ok_or(Problem::NoConfiguration);
-        let limit = in_force
+        let active = self.active_configuration().ok_or(Problem::NoConfiguration);
+        let limit = active
             .as_ref()
-            .map_or(usize::MAX, |held| held.configuration.limits.body_bytes);
+            .map_or(usize::MAX, |active| active.configuration.limits.body_bytes);
         let left_ms = head.as_ref().ok().and_then(|head| head.time_left_ms);
-        let bound = Duration::from_millis(left_ms.unwrap_or(BODY_MS));
-        // The body is read before any refusal: closing a connection over unread bytes resets it,
-        // and the caller may lose the answer that says why.
-        let body = read(body, limit, bound).await?;
-        let in_force = in_force?;
+        let read_timeout = Duration::from_millis(left_ms.unwrap_or(BODY_TIMEOUT_MS));
+        // The body is read before any refusal: closing a connection with unread bytes resets it,
+        // and the caller may lose the response that states the reason.
+        let body = read(body, limit, read_timeout).await?;
+        let active = active?;
         let head = head.map_err(|error| match error {
             HeadError::NoId | HeadError::Malformed { .. } => Problem::BadHead,
         })?;
-        let route = find_route(&in_force, &parts).ok_or(Problem::NoRoute)?;
-        journey.on(route);
+        let route = find_route(&active, &parts).ok_or(Problem::NoRoute)?;
+        tracker.set_route(route);
         if let Some(generation) = &head.generation {
-            journey.asks(generation);
+            tracker.set_size(generation);
         }
-        let holder = match in_force.asks_key(route) {
+        let owner = match active.requires_key(route) {
             true => {
                 let key = head.api_key.as_deref().ok_or(Problem::UnknownKey)?;
-                Some(in_force.organisation(key).ok_or(Problem::UnknownKey)?)
+                Some(active.organisation(key).ok_or(Problem::UnknownKey)?)
             }
             false => None,
         };
         let service = route
             .pick_service(rand::random())
             .ok_or(Problem::NoUpstream)?;
-        let patience_ms = left_ms.unwrap_or(Millis::MAX).min(route.timeout_ms);
-        let organisation = holder.map(|holder| holder.name.clone());
+        let max_wait_ms = left_ms.unwrap_or(Millis::MAX).min(route.timeout_ms);
+        let organisation = owner.map(|owner| owner.name.clone());
         let content = content_of(organisation.as_deref(), &parts, &body);
-        journey.asks_for(content);
+        tracker.set_content(content);
         let mut headers = parts.headers;
         hop::strip(&mut headers);
-        Ok(Inquiry {
+        Ok(InboundRequest {
             route: route.clone(),
             service: service.to_owned(),
             organisation,
             content,
-            priority: holder
-                .and_then(|holder| holder.priority)
+            priority: owner
+                .and_then(|owner| owner.priority)
                 .unwrap_or(route.priority),
             generation: head.generation,
             last_event: head.last_event.filter(|_| route.can_resume),
@@ -132,14 +133,14 @@
             uri: parts.uri,
             headers,
             body,
-            deadline_ms: journey.arrived_ms.saturating_add(patience_ms),
+            deadline_ms: tracker.arrived_ms.saturating_add(max_wait_ms),
         })
     }
 }
 
-fn find_route<'a>(in_force: &'a InForce, parts: &Parts) -> Option<&'a Route> {
+fn find_route<'a>(active: &'a ActiveConfiguration, parts: &Parts) -> Option<&'a Route> {
     let host = parts.headers.get(HOST)?.to_str().ok()?;
-    in_force.route(host, parts.uri.path())
+    active.route(host, parts.uri.path())
 }
 
 fn content_of(organisation: Option<&str>, parts: &Parts, body: &Bytes) -> ContentKey {
@@ -152,8 +153,12 @@
     ContentKey(hasher.finish())
 }
 
-async fn read(body: Incoming, limit_bytes: usize, bound: Duration) -> Result<Bytes, Problem> {
-    let collected = timeout(bound, Limited::new(body, limit_bytes).collect()).await;
+async fn read(
+    body: Incoming,
+    limit_bytes: usize,
+    read_timeout: Duration,
+) -> Result<Bytes, Problem> {
+    let collected = timeout(read_timeout, Limited::new(body, limit_bytes).collect()).await;
     match collected {
         Ok(Ok(body)) => Ok(body.to_bytes()),
         Ok(Err(error)) if error.is::<LengthLimitError>() => Err(Problem::BodyTooLong),
