--- a/crates/gateway/src/instances.rs
+++ b/crates/gateway/src/instances.rs
@@ -1,39 +1,39 @@
-//! The upstreams that this host may send to, and what it knows of each.
+//! The upstreams that this host may send to, and their state as known here.
 
 use std::collections::HashMap;
 
 use fulmarpath_policy::{
-    Choice, Cold, Evacuations, Millis, StatedLoad, UpstreamKey, Verdict, choose,
+    Choice, Cold, Evacuations, Millis, ReportedLoad, UpstreamKey, Verdict, choose,
 };
 use parking_lot::Mutex;
 
+use crate::availability::{Availability, ColdLimits};
 use crate::directory::{Directory, Registration};
 use crate::instance::{Chosen, Destination, Instance, InstanceKey};
-use crate::key::upstream_of;
-use crate::standing::{Allowances, Standing};
+use crate::key::upstream_key;
 use crate::upstream_table::UpstreamTable;
 
-/// What there is for a request.
+/// The outcome of selecting an upstream for a request.
 #[derive(Debug)]
-pub(crate) enum Found {
-    /// This upstream, where the request is counted already.
+pub(crate) enum Selection {
+    /// This upstream; the request is already counted there.
     Warm(Chosen),
-    /// Cold ones alone, or warm ones that are full.
+    /// No warm upstream has capacity, but cold ones are available.
     Cold {
-        /// The cold ones.
+        /// The cold upstreams.
         cold: Vec<UpstreamKey>,
-        /// A warm one that is full.
+        /// A warm upstream that is full.
         full: Option<UpstreamKey>,
     },
-    /// This one, which has named a limit: a start there has to be asked for.
+    /// This upstream, which advertises a limit: a start must be requested first.
     Limited(UpstreamKey),
-    /// None now, as those that take work ask for it.
-    Later {
-        /// When the first of them takes more.
-        opens_ms: Millis,
+    /// None now: all upstreams that accept work have asked this host to back off.
+    Throttled {
+        /// When the first of them accepts requests again.
+        available_ms: Millis,
     },
-    /// None that takes work.
-    Nobody,
+    /// No upstream accepts work.
+    NoneAvailable,
 }
 
 /// The upstreams that this host may send to.
@@ -51,59 +51,60 @@
         }
     }
 
-    /// Takes a newer directory; what is known of the upstreams that stay is kept.
+    /// Applies a newer directory and keeps the state of upstreams that remain listed.
     pub(crate) fn adopt(
         &self,
         now_ms: Millis,
         directory: &Directory,
         evacuations: &Evacuations,
-        allowances: &Allowances,
+        cold_limits: &ColdLimits,
     ) {
         let mut table = self.table.lock();
         let mut by_name = HashMap::new();
         let mut by_upstream = HashMap::new();
         let mut by_service: HashMap<String, Vec<InstanceKey>> = HashMap::new();
         for registration in &directory.registrations {
-            let key = table.adopt(now_ms, registration);
+            let key = table.apply_registration(now_ms, registration);
             let one = &mut table.arena[key];
-            one.allowance = allowances.get(&registration.service);
-            one.is_evacuated = evacuations.covers(&registration.data_centre);
-            // What an evacuated data centre comes back from has turned its upstreams cold.
+            one.cold_limit = cold_limits.get(&registration.service);
+            one.is_evacuated = evacuations.is_evacuated(&registration.data_centre);
+            // When an evacuation ends, the upstreams of the data centre are cold.
             if let Some(ended_ms) = evacuations.ended_ms(&registration.data_centre) {
-                one.turn_cold(ended_ms);
+                one.mark_cold(ended_ms);
             }
-            by_upstream.insert(upstream_of(registration), key);
+            by_upstream.insert(upstream_key(registration), key);
             by_name.insert(registration.instance.clone(), key);
             let same = by_service.entry(registration.service.clone()).or_default();
             same.push(key);
         }
-        let gone = std::mem::take(&mut table.by_name);
-        for key in gone.into_values() {
+        let removed = std::mem::take(&mut table.by_name);
+        for key in removed.into_values() {
             table.arena.remove(key);
         }
         table.by_name = by_name;
         table.by_upstream = by_upstream;
         table.by_service = by_service;
-        table.forget_gone(now_ms);
+        table.expire_backpressure(now_ms);
     }
 
-    /// Chooses an upstream of a service, and counts the request there unless it has to be asked for
-    /// first.
+    /// Selects an upstream of a service, and counts the request there unless a start must be
+    /// requested first.
     ///
-    /// Cold ones are left alone while a warm one has room: each of their starts costs a question.
+    /// Cold upstreams are not used while a warm one has capacity, because each of their starts
+    /// costs a request to the home.
     pub(crate) fn choose(
         &self,
         now_ms: Millis,
         service: &str,
-        without: &[InstanceKey],
+        excluded: &[InstanceKey],
         draw: f32,
-    ) -> Found {
+    ) -> Selection {
         let mut table = self.table.lock();
         let same = table.by_service.get(service).map_or(&[][..], Vec::as_slice);
-        let same = same.iter().filter(|key| !without.contains(key));
+        let same = same.iter().filter(|key| !excluded.contains(key));
         let open = same.filter(|key| table.takes_work(&table.arena[**key]));
-        let opens_ms = |key: &InstanceKey| table.opens_ms(table.arena[*key].upstream);
-        let first_ms = open.clone().map(opens_ms).min();
+        let opens_ms = |key: &InstanceKey| table.available_at_ms(table.arena[*key].upstream);
+        let first_available_ms = open.clone().map(opens_ms).min();
         let open = open.filter(|key| opens_ms(key) <= now_ms);
         let (cold, warm): (Vec<InstanceKey>, Vec<InstanceKey>) =
             open.partition(|key| table.arena[**key].cold(now_ms).is_some());
@@ -112,32 +113,34 @@
             .map(|key| (key, &table.arena[key]))
             .map(|(key, one)| Choice {
                 key,
-                cost: one.gauge.cost(now_ms),
-                near: one.registration.data_centre == self.data_centre,
+                cost: one.stats.cost(now_ms),
+                is_local: one.registration.data_centre == self.data_centre,
             })
             .collect();
         let warm = choose(&choices, draw);
-        let has_room = warm.is_some_and(|key| !table.arena[key].is_full(now_ms));
+        let has_capacity = warm.is_some_and(|key| !table.arena[key].is_full(now_ms));
         if let Some(key) = warm
-            && (has_room || cold.is_empty())
+            && (has_capacity || cold.is_empty())
         {
             let upstream = table.arena[key].upstream;
             return match table.limit_of(upstream) {
-                Some(_) => Found::Limited(upstream),
-                None => Found::Warm(table.start(now_ms, key)),
+                Some(_) => Selection::Limited(upstream),
+                None => Selection::Warm(table.start(now_ms, key)),
             };
         }
         if cold.is_empty() {
-            return first_ms.map_or(Found::Nobody, |opens_ms| Found::Later { opens_ms });
+            return first_available_ms.map_or(Selection::NoneAvailable, |available_ms| {
+                Selection::Throttled { available_ms }
+            });
         }
         let upstream = |key: &InstanceKey| table.arena[*key].upstream;
-        Found::Cold {
+        Selection::Cold {
             cold: cold.iter().map(upstream).collect(),
             full: warm.as_ref().map(upstream),
         }
     }
 
-    /// Whether a service has upstreams, and all of them stand in evacuated data centres.
+    /// Whether a service has upstreams and all of them are in evacuated data centres.
     pub(crate) fn is_evacuated(&self, service: &str) -> bool {
         let table = self.table.lock();
         let same = table.by_service.get(service).map_or(&[][..], Vec::as_slice);
@@ -145,18 +148,18 @@
         same.len() > 0 && same.all(|one| one.is_evacuated)
     }
 
-    /// Whether an upstream may get work.
-    pub(crate) fn standing(&self, upstream: UpstreamKey) -> Standing {
+    /// Whether an upstream may receive work.
+    pub(crate) fn availability(&self, upstream: UpstreamKey) -> Availability {
         let table = self.table.lock();
         let Some(key) = table.by_upstream.get(&upstream) else {
-            return Standing::default();
+            return Availability::default();
         };
         let one = &table.arena[*key];
-        let cold = one.allowance.map(|allowance| Cold {
+        let cold = one.cold_limit.map(|cold_limit| Cold {
             until_ms: one.cold_until_ms,
-            starts: allowance.starts,
+            starts: cold_limit.starts,
         });
-        Standing {
+        Availability {
             is_evacuated: one.is_evacuated,
             cold,
         }
@@ -177,25 +180,32 @@
         one.is_some_and(|one| one.cold(now_ms).is_some())
     }
 
-    /// Counts a request at the upstream that its home has chosen; `None` where this host knows that
-    /// it takes nothing new.
-    pub(crate) fn take(&self, now_ms: Millis, upstream: UpstreamKey) -> Option<Chosen> {
-        self.take_if(now_ms, upstream, |table, key| {
-            let asked = table.backpressure.get(&upstream);
-            table.takes_work(&table.arena[key]) && !asked.is_some_and(|asked| asked.rests(now_ms))
+    /// Counts a request at the upstream that the home has selected; `None` if this host knows that
+    /// the upstream accepts no new requests.
+    pub(crate) fn reserve(&self, now_ms: Millis, upstream: UpstreamKey) -> Option<Chosen> {
+        self.reserve_if(now_ms, upstream, |table, key| {
+            let signals = table.backpressure.get(&upstream);
+            table.takes_work(&table.arena[key])
+                && !signals.is_some_and(|signals| signals.is_backing_off(now_ms))
         })
     }
 
-    /// Counts a generation that goes on at an upstream, also at one that is leaving: it may have to
-    /// go on where it was. An evacuated one gets nothing whatsoever, one that rests next to nothing.
-    pub(crate) fn take_again(&self, now_ms: Millis, upstream: UpstreamKey) -> Option<Chosen> {
-        self.take_if(now_ms, upstream, |table, key| {
-            let asked = table.backpressure.get_mut(&upstream);
-            !table.arena[key].is_evacuated && asked.is_none_or(|asked| asked.may_continue(now_ms))
+    /// Counts a generation that resumes at an upstream, including an upstream that is leaving: the
+    /// generation may have to resume where it was. An evacuated upstream receives none, and one
+    /// that has asked for backoff very few.
+    pub(crate) fn reserve_continuation(
+        &self,
+        now_ms: Millis,
+        upstream: UpstreamKey,
+    ) -> Option<Chosen> {
+        self.reserve_if(now_ms, upstream, |table, key| {
+            let signals = table.backpressure.get_mut(&upstream);
+            !table.arena[key].is_evacuated
+                && signals.is_none_or(|signals| signals.may_continue(now_ms))
         })
     }
 
-    fn take_if(
+    fn reserve_if(
         &self,
         now_ms: Millis,
         upstream: UpstreamKey,
@@ -206,15 +216,15 @@
         may_take(&mut table, key).then(|| table.start(now_ms, key))
     }
 
-    /// An engine that a generation may be carried to; `None` where it gets no work now.
+    /// An engine that a generation may be migrated to; `None` if it receives no work now.
     pub(crate) fn destination(&self, now_ms: Millis, upstream: UpstreamKey) -> Option<Destination> {
-        let is_evacuated = self.standing(upstream).is_evacuated;
-        let is_closed = self.table.lock().is_closed(now_ms, upstream);
+        let is_evacuated = self.availability(upstream).is_evacuated;
+        let is_closed = self.table.lock().is_throttled(now_ms, upstream);
         let found = self.find(upstream);
         found.filter(|_| !is_evacuated && !is_closed)
     }
 
-    /// Where an upstream listens.
+    /// The address of an upstream.
     pub(crate) fn find(&self, upstream: UpstreamKey) -> Option<Destination> {
         let table = self.table.lock();
         let one = &table.arena[*table.by_upstream.get(&upstream)?];
@@ -225,62 +235,63 @@
         })
     }
 
-    /// The registration of an upstream's start.
+    /// The registration of an upstream's current start.
     pub(crate) fn registration(&self, upstream: UpstreamKey) -> Option<Registration> {
         let table = self.table.lock();
         let key = table.by_upstream.get(&upstream)?;
         Some(table.arena[*key].registration.clone())
     }
 
-    /// Whether a chosen upstream is registered still and has given no notice.
+    /// Whether a chosen upstream is still registered and has not announced its departure.
     pub(crate) fn takes_work(&self, key: InstanceKey) -> bool {
         let table = self.table.lock();
         let known = table.arena.get(key);
         known.is_some_and(|one| table.takes_work(one))
     }
 
-    /// A request to a chosen upstream is over.
+    /// Records the end of a request to a chosen upstream.
     pub(crate) fn end(&self, now_ms: Millis, chosen: &Chosen, verdict: Verdict) {
         self.with(chosen.key, |one| {
-            one.gauge.end(now_ms, chosen.flight, verdict)
+            one.stats.end(now_ms, chosen.flight, verdict)
         });
     }
 
-    /// The head of an answer came.
+    /// Records that a response head has arrived.
     pub(crate) fn answered(
         &self,
         now_ms: Millis,
         key: InstanceKey,
         latency_ms: Millis,
-        load: Option<StatedLoad>,
+        load: Option<ReportedLoad>,
     ) {
         self.with(key, |one| {
-            one.gauge.answered(latency_ms);
-            // One that was away comes back cold, and its entry may not say so yet.
+            one.stats.record_latency(latency_ms);
+            // An upstream that was unreachable is cold when it returns, and its entry may not say
+            // so yet.
             if std::mem::take(&mut one.is_unreachable) {
-                one.turn_cold(now_ms);
+                one.mark_cold(now_ms);
             }
             if let Some(load) = load {
-                one.gauge.state(now_ms, load);
+                one.stats.record_load(now_ms, load);
             }
         });
     }
 
-    /// No connection could be made.
+    /// Records that no connection could be made.
     pub(crate) fn unreachable(&self, now_ms: Millis, key: InstanceKey) {
         self.with(key, |one| {
-            one.gauge.unreachable(now_ms);
+            one.stats.record_unreachable(now_ms);
             one.is_unreachable = true;
         });
     }
 
-    /// The upstream had better be spared for a while.
-    pub(crate) fn spare_until(&self, until_ms: Millis, key: InstanceKey) {
-        self.with(key, |one| one.gauge.spare_until(until_ms));
+    /// Deprioritises the upstream until `until_ms`.
+    pub(crate) fn penalise_until(&self, until_ms: Millis, key: InstanceKey) {
+        self.with(key, |one| one.stats.penalise_until(until_ms));
     }
 
-    /// Another upstream answers at the address: this one is gone for good.
-    pub(crate) fn leave(&self, key: InstanceKey) {
+    /// Marks an upstream as gone for good: another upstream answers at its address.
+    pub(crate) fn mark_leaving(&self, key: InstanceKey) {
         self.with(key, |one| one.is_leaving = true);
     }
 
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -1,82 +1,83 @@
-//! The gateway: callers' requests go unchanged to model engines and plain services, and their
-//! answers come back unchanged, by the operator's configuration.
+//! The gateway: forwards callers' requests unchanged to model engines and plain services, and their
+//! responses unchanged to the callers, according to the operator's configuration.
 //!
-//! Nothing here knows how a field, a path or an object is called outside: [`Dialect`] reads and
-//! writes heads, [`Metadata`] reads the operator's and the upstreams' own entries.
+//! The names of fields, paths and objects on the wire are not known here: [`Dialect`] reads and
+//! writes heads, [`Metadata`] reads the entries of the operator and of the upstreams.
 
 mod attempt;
+mod availability;
 mod backpressure;
-mod carry;
+mod cell_layout;
 mod cells;
+mod collection_reader;
 mod configuration;
 mod control;
 mod crashes;
 mod departures;
 mod directory;
+mod dissemination;
 mod drain;
 mod encoding;
+mod engine_stream;
 mod evacuations;
 mod events;
 mod fleet;
-mod follow;
-mod follower;
 mod forward;
 mod gateway;
 mod head;
 mod homes;
 mod hop;
+mod inbound;
 mod instance;
 mod instances;
-mod intake;
 mod join;
-mod journey;
 mod key;
-mod layout;
-mod look;
+mod log_throttle;
 mod metadata;
 mod metrics;
+mod migration;
 mod peer;
 mod poison;
-mod presence;
+mod presence_log;
+mod probe;
 mod problem;
 mod record;
 mod recovery;
 mod relay;
-mod returns;
+mod restored_entries;
 mod roster;
 mod runs;
 mod serve;
-mod source;
-mod spacing;
-mod spread;
-mod standing;
 mod start;
-mod starts;
+mod start_limits;
 mod store_era;
+mod store_sync;
 mod stored_circuits;
 mod stream;
-mod unusable;
+mod tracker;
+mod unusable_entries;
 mod upstream_table;
 
 pub use configuration::{
-    CallerLimits, Configuration, EngineTraits, InForce, Organisation, Route, RouteKind, Service,
-    Share,
+    ActiveConfiguration, CallerLimits, Configuration, EngineTraits, Organisation, Route, RouteKind,
+    Service, Share,
 };
-pub use control::{Copied, CopyError, EngineControl, EngineLook, EngineSight};
+pub use control::{CompletedCopy, CopyError, EngineControl, EngineStatus, ProbeResult};
 pub use directory::{
     Departure, Directory, DirectoryChange, HostRegistration, RegisteredState, Registration,
 };
 pub use gateway::{Gateway, GatewaySettings};
 pub use head::{
-    AnswerHead, Continuation, Dialect, GenerationHead, HeadError, Outbound, PromptPart, RequestHead,
+    Continuation, Dialect, GenerationHead, HeadError, Outbound, PromptPart, RequestHead,
+    ResponseHead,
 };
 pub use metadata::{
     Change, Changes, CircuitRegistry, Collection, Freshness, HostRegistry, Metadata, Snapshot,
-    StoreError, StoredCircuit, Unusable,
+    StoreError, StoredCircuit, UnusableEntry,
 };
-pub use presence::{Presence, Present};
+pub use presence_log::{PresenceLog, PresentHosts};
 pub use problem::Problem;
 pub use record::{Dispatch, REQUEST_PREFIX, RequestRecord, Size};
 pub use roster::Roster;
 pub use serve::{Listen, ListenError, Listeners};
-pub use store_era::RETURN_PREFIX;
+pub use store_era::STORE_RESTORED_PREFIX;
--- a/crates/gateway/src/metrics.rs
+++ b/crates/gateway/src/metrics.rs
@@ -1,4 +1,4 @@
-//! Counters and histograms of one host.
+//! Metrics of one host.
 
 use std::sync::Arc;
 
@@ -10,11 +10,13 @@
 use prometheus_client::metrics::histogram::Histogram;
 use prometheus_client::registry::Registry;
 
-/// Upper bounds of the latency histograms: from a near upstream's answer to a caller's patience.
+/// Upper bounds of the latency histogram buckets: from the response of a nearby upstream to a
+/// caller's timeout.
 const LATENCY_BUCKETS_MS: [f64; 12] = [
     5.0, 10.0, 25.0, 50.0, 100.0, 150.0, 300.0, 600.0, 1_200.0, 2_500.0, 6_000.0, 39_000.0,
 ];
-/// Upper bounds of the pauses between events: a step of an engine to what callers give up at.
+/// Upper bounds of the buckets for pauses between events: from one decode step to the pause after
+/// which callers disconnect.
 const PAUSE_BUCKETS_MS: [f64; 9] = [
     20.0, 40.0, 60.0, 90.0, 120.0, 180.0, 400.0, 1_000.0, 7_200.0,
 ];
@@ -26,13 +28,13 @@
     pub(crate) outcome: &'static str,
 }
 
-/// How a transfer of a generation ended, at the home that ordered it.
+/// How a migration of a generation ended, at the home that ordered it.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, EncodeLabelSet)]
 pub(crate) struct TransferLabels {
     pub(crate) end: &'static str,
 }
 
-/// Whether a generation went on at another engine, at the host that relays it.
+/// Whether a generation resumed on another engine, at the host that relays it.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, EncodeLabelSet)]
 pub(crate) struct ContinuationLabels {
     pub(crate) went_on: &'static str,
@@ -46,19 +48,19 @@
     pub(crate) outcome: &'static str,
 }
 
-/// A kind of entries in the store.
+/// A kind of entry in the store.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, EncodeLabelSet)]
 pub(crate) struct EntryLabels {
     pub(crate) what: &'static str,
 }
 
-/// Whether a run may be what ended its upstream.
+/// Whether a run is suspected of having crashed its upstream.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, EncodeLabelSet)]
 pub(crate) struct CrashLabels {
     pub(crate) suspect: &'static str,
 }
 
-/// A kind of messages between hosts.
+/// A kind of message between hosts.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, EncodeLabelSet)]
 pub(crate) struct MessageLabels {
     pub(crate) kind: &'static str,
@@ -70,7 +72,7 @@
     pub(crate) service: String,
 }
 
-/// What is read off the host when its page is asked for.
+/// Values sampled when the metrics are scraped.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub(crate) struct Readings {
     pub(crate) configuration_age_ms: i64,
@@ -82,11 +84,11 @@
     pub(crate) cold: i64,
     pub(crate) limited: i64,
     pub(crate) leaving: i64,
-    pub(crate) resting: i64,
+    pub(crate) backing_off: i64,
     pub(crate) retries_left: Vec<(String, i64)>,
 }
 
-/// What one host counts.
+/// All metrics of one host.
 pub(crate) struct Metrics {
     pub(crate) requests: Family<EndLabels, Counter>,
     pub(crate) retries: Counter,
@@ -115,7 +117,7 @@
     cold: Gauge,
     limited: Gauge,
     leaving: Gauge,
-    resting: Gauge,
+    backing_off: Gauge,
     retries_left: Family<ServiceLabels, Gauge>,
     registry: Arc<Registry>,
 }
@@ -130,82 +132,83 @@
         let first_byte_ms = Histogram::new(LATENCY_BUCKETS_MS);
         let pause_ms = Histogram::new(PAUSE_BUCKETS_MS);
         let mut registry = Registry::with_prefix("fulmarpath_gateway");
-        registry.register("requests", "Requests by kind and end", requests.clone());
-        registry.register("retries", "Requests sent once more", retries.clone());
+        registry.register("requests", "Requests by kind and outcome", requests.clone());
+        registry.register("retries", "Retries of requests", retries.clone());
         let help = "Failed calls to the store";
         registry.register("store_failures", help, store_failures.clone());
-        let help = "The configuration in force";
+        let help = "Version of the active configuration";
         registry.register("configuration_version", help, configuration_version.clone());
-        let help = "The latest era of the store that was heard of: it grows as the store comes back from a copy";
+        let help =
+            "Latest known era of the store, which increases when it is restored from a backup";
         registry.register("store_era", help, store_era.clone());
-        let help = "Time from a request to the first byte of its answer";
+        let help = "Time from a request to the first byte of its response";
         registry.register("first_byte_ms", help, first_byte_ms.clone());
         let help = "Pauses between the events of a stream";
         registry.register("pause_ms", help, pause_ms.clone());
         let transfers = Family::default();
-        let help = "Transfers off leaving engines that this host ordered, by their end";
+        let help = "Migrations off leaving engines that this host ordered, by outcome";
         registry.register("transfers", help, transfers.clone());
         let continuations = Family::default();
-        let help = "Generations that this host asked another engine to go on with";
+        let help = "Generations that this host asked another engine to resume";
         registry.register("continuations", help, continuations.clone());
         let running_copies = Counter::default();
-        let help = "Generations that began with a running copy";
+        let help = "Generations that started with a running copy";
         registry.register("running_copies", help, running_copies.clone());
         let stalls = Counter::default();
         let help =
-            "Pauses over the route's target on one engine: it paused the generation, or its link";
+            "Pauses over the route's target on one engine, caused by preemption or by its link";
         registry.register("stalls", help, stalls.clone());
         let crashes = Family::default();
-        let help = "Runs that ended with their upstream, which had given no notice";
+        let help = "Runs that ended because their upstream ended without notice";
         registry.register("crashed_runs", help, crashes.clone());
         let skipped_entries = Family::default();
-        let help = "Entries in the store that could not be used, each time they were read";
+        let help = "Unusable entries in the store, counted at each read";
         registry.register("skipped_entries", help, skipped_entries.clone());
         let dropped_answers = Family::default();
-        let help = "Answers of the store that told of a state before the one that was known";
+        let help = "Responses of the store that were older than the known state";
         registry.register("dropped_answers", help, dropped_answers.clone());
         let store_calls = Family::default();
-        let help = "Calls to the store by what they are for and their outcome";
+        let help = "Calls to the store by purpose and outcome";
         registry.register("store_calls", help, store_calls.clone());
         let peer_messages = Family::default();
         let help = "Messages from other hosts, by kind";
         registry.register("peer_messages", help, peer_messages.clone());
         let configuration_age_ms = Gauge::default();
-        let help = "Since the configuration in force came";
+        let help = "Time since the active configuration was received";
         registry.register("configuration_age_ms", help, configuration_age_ms.clone());
         let upstreams_age_ms = Gauge::default();
-        let help = "Since the list of upstreams was last confirmed by the store or a peer";
+        let help = "Time since the list of upstreams was last confirmed by the store or a peer";
         registry.register("upstreams_age_ms", help, upstreams_age_ms.clone());
         let upstreams = Gauge::default();
-        registry.register("upstreams", "Upstreams that are known", upstreams.clone());
+        registry.register("upstreams", "Known upstreams", upstreams.clone());
         let hosts = Gauge::default();
-        registry.register("hosts", "Hosts believed present", hosts.clone());
+        registry.register("hosts", "Hosts considered alive", hosts.clone());
         let quarantined = Gauge::default();
-        let help = "Contents that may not run like any other, after upstreams ended under them";
+        let help = "Contents that are quarantined after upstreams crashed on them";
         registry.register("quarantined", help, quarantined.clone());
         let evacuated = Gauge::default();
-        let help = "Data centres whose upstreams get no work by the operator's word";
+        let help = "Data centres whose upstreams receive no work by the operator's order";
         registry.register("evacuated_data_centres", help, evacuated.clone());
         let cold = Gauge::default();
-        let help = "Upstreams that get a few new requests a second only";
+        let help = "Upstreams that are cold and receive only a few new requests per second";
         registry.register("cold_upstreams", help, cold.clone());
         let limited = Gauge::default();
-        let help = "Upstreams that have named a limit in their answers to this host";
+        let help = "Upstreams that have advertised a limit in their responses to this host";
         registry.register("limited_upstreams", help, limited.clone());
         let leaving = Gauge::default();
-        let help = "Upstreams that have said in their answers to this host that they leave";
+        let help = "Upstreams that have announced their departure in their responses to this host";
         registry.register("leaving_upstreams", help, leaving.clone());
-        let resting = Gauge::default();
-        let help = "Upstreams that have turned this host away and want nothing from it for a while";
-        registry.register("resting_upstreams", help, resting.clone());
+        let backing_off = Gauge::default();
+        let help = "Upstreams that have refused this host and asked it to back off";
+        registry.register("resting_upstreams", help, backing_off.clone());
         let cold_waits = Counter::default();
-        let help = "Requests for a start at a cold upstream that were put off";
+        let help = "Deferred start requests at cold upstreams";
         registry.register("cold_waits", help, cold_waits.clone());
         let limit_waits = Counter::default();
-        let help = "Requests for a start at an upstream that names a limit that were put off";
+        let help = "Deferred start requests at upstreams that advertise a limit";
         registry.register("limit_waits", help, limit_waits.clone());
         let retries_left = Family::default();
-        let help = "Requests of a service that this host may still send once more";
+        let help = "Remaining retry budget of this host for a service";
         registry.register("retries_left", help, retries_left.clone());
         Self {
             transfers,
@@ -226,7 +229,7 @@
             cold,
             limited,
             leaving,
-            resting,
+            backing_off,
             cold_waits,
             limit_waits,
             retries_left,
@@ -243,13 +246,13 @@
 }
 
 impl Metrics {
-    /// Counts a generation that another engine was asked to go on with.
+    /// Counts a request to another engine to resume a generation.
     pub(crate) fn continuation(&self, went_on: &'static str) {
         let labels = ContinuationLabels { went_on };
         self.continuations.get_or_create(&labels).inc();
     }
 
-    /// Counts a run that ended with its upstream.
+    /// Counts a run that ended because its upstream did.
     pub(crate) fn crash(&self, is_suspect: bool) {
         let suspect = if is_suspect { "yes" } else { "no" };
         self.crashes.get_or_create(&CrashLabels { suspect }).inc();
@@ -267,19 +270,19 @@
         self.peer_messages.get_or_create(&labels).inc();
     }
 
-    /// Counts entries of a kind that can't be used.
+    /// Counts unusable entries of a kind.
     pub(crate) fn skip_entries(&self, what: &'static str, count: u64) {
         let labels = EntryLabels { what };
         self.skipped_entries.get_or_create(&labels).inc_by(count);
     }
 
-    /// Counts an answer of the store that was dropped.
+    /// Counts a dropped response of the store.
     pub(crate) fn drop_answer(&self, what: &'static str) {
         let labels = EntryLabels { what };
         self.dropped_answers.get_or_create(&labels).inc();
     }
 
-    /// The page for the collector of metrics.
+    /// The metrics page in text format.
     pub(crate) fn page(&self, readings: &Readings) -> String {
         self.configuration_age_ms.set(readings.configuration_age_ms);
         self.upstreams_age_ms.set(readings.upstreams_age_ms);
@@ -290,7 +293,7 @@
         self.cold.set(readings.cold);
         self.limited.set(readings.limited);
         self.leaving.set(readings.leaving);
-        self.resting.set(readings.resting);
+        self.backing_off.set(readings.backing_off);
         for (service, left) in &readings.retries_left {
             let service = service.clone();
             let labels = ServiceLabels { service };
--- /dev/null
+++ b/crates/gateway/src/migration.rs
@@ -0,0 +1,187 @@
+//! Live migration of one generation: a long copy while it runs, then a short final copy after it is
+//! stopped.
+
+use std::net::SocketAddr;
+use std::sync::Arc;
+
+use fulmarpath_wire::MigrationAnswer;
+use futures::future::BoxFuture;
+use tokio::sync::oneshot;
+
+use crate::control::{CompletedCopy, CopyError, EngineControl};
+use crate::instance::Destination;
+use crate::runs::MigrationOrder;
+
+/// The outcome of a migration step.
+#[derive(Debug, Clone)]
+pub(crate) enum Step {
+    /// The long copy is complete; the short one is in progress.
+    Copied,
+    /// The generation continues on the source.
+    Stayed,
+    /// The generation continues on the source; the destination had no capacity.
+    Refused,
+    /// The state of the copy is unknown.
+    Orphaned,
+    /// The engine does not know the generation: it has not begun, or has ended.
+    NotFound,
+    /// The generation is stopped and its KV cache is at the destination.
+    Stopped { to: Destination, copy_id: String },
+    /// The generation is stopped and its KV cache is still at the source.
+    StoppedAtSource { copy_id: String },
+}
+
+/// A migration in progress.
+pub(crate) struct Migration {
+    control: Arc<dyn EngineControl>,
+    source: SocketAddr,
+    request_id: String,
+    to: Destination,
+    /// Identifies the copy at the destination, once there is one.
+    copy_id: Option<String>,
+    answer: oneshot::Sender<MigrationAnswer>,
+    call: BoxFuture<'static, Result<CompletedCopy, CopyError>>,
+}
+
+impl Migration {
+    pub(crate) fn begin(
+        control: Arc<dyn EngineControl>,
+        source: SocketAddr,
+        request_id: String,
+        order: MigrationOrder,
+    ) -> Self {
+        let call = {
+            let (control, id, to) = (control.clone(), request_id.clone(), order.to.address);
+            Box::pin(async move { control.copy(source, &id, to).await })
+        };
+        Self {
+            control,
+            source,
+            request_id,
+            to: order.to,
+            copy_id: None,
+            answer: order.answer,
+            call,
+        }
+    }
+
+    /// The address of the destination.
+    pub(crate) fn destination(&self) -> SocketAddr {
+        self.to.address
+    }
+
+    /// Whether the long copy is complete at the destination.
+    pub(crate) fn has_copy(&self) -> bool {
+        self.copy_id.is_some()
+    }
+
+    /// The copy at the destination, once there is one.
+    pub(crate) fn copied(&self) -> Option<(Destination, String)> {
+        self.copy_id
+            .clone()
+            .map(|copy_id| (self.to.clone(), copy_id))
+    }
+
+    /// Reports the outcome to the cell's home. A home that has stopped waiting learns it from the
+    /// periodic run statements.
+    pub(crate) fn answer(self, answer: MigrationAnswer) {
+        match (answer, &self.copy_id) {
+            (MigrationAnswer::Stayed | MigrationAnswer::Over, Some(_)) => self.discard(answer),
+            _ => {
+                let _ = self.answer.send(answer);
+            }
+        }
+    }
+
+    /// Discards the copy, whether complete or not, and then answers.
+    ///
+    /// An abandoned copy holds memory at the destination for about 9 s. Its id arrives only with
+    /// the response to the call that makes it. Dropping that call when a generation ends would
+    /// leave a copy that cannot be discarded, so this waits for the id first.
+    pub(crate) fn discard(self, answer: MigrationAnswer) {
+        let Self {
+            control,
+            to,
+            copy_id,
+            call,
+            ..
+        } = self;
+        let home = self.answer;
+        tokio::spawn(async move {
+            let copy_id = match copy_id {
+                Some(copy_id) => Ok(copy_id),
+                None => call.await.map(|copied| copied.copy_id),
+            };
+            let is_freed = match copy_id {
+                // A restarted engine holds none of the earlier copies; a copy with this id belongs
+                // to another generation.
+                _ if to.is_lost() => true,
+                Ok(copy_id) => control.discard_copy(to.address, &copy_id).await,
+                Err(CopyError::NoRoom { .. } | CopyError::Busy | CopyError::SourceUnreachable) => {
+                    true
+                }
+                Err(CopyError::NotFound | CopyError::Unknown) => false,
+            };
+            let _ = home.send(if is_freed {
+                answer
+            } else {
+                MigrationAnswer::LeftBehind
+            });
+        });
+    }
+
+    /// Waits for the call in progress and begins the next one.
+    pub(crate) async fn step(migration: &mut Option<Self>) -> Step {
+        let Some(migration) = migration else {
+            return std::future::pending().await;
+        };
+        let answer = (&mut migration.call).await;
+        match migration.copy_id.clone() {
+            None => migration.after_first_copy(answer),
+            Some(copy_id) => migration.after_final_copy(answer, copy_id),
+        }
+    }
+
+    fn after_first_copy(&mut self, answer: Result<CompletedCopy, CopyError>) -> Step {
+        let copied = match answer {
+            Ok(copied) => copied,
+            Err(CopyError::NotFound) => return Step::NotFound,
+            Err(CopyError::NoRoom { .. }) => return Step::Refused,
+            Err(CopyError::Busy | CopyError::SourceUnreachable) => return Step::Stayed,
+            Err(CopyError::Unknown) => return Step::Orphaned,
+        };
+        self.copy_id = Some(copied.copy_id);
+        let (control, source) = (self.control.clone(), self.source);
+        let (id, to) = (self.request_id.clone(), self.to.address);
+        self.call = Box::pin(async move { control.stop_and_copy(source, &id, to).await });
+        Step::Copied
+    }
+
+    fn after_final_copy(
+        &mut self,
+        answer: Result<CompletedCopy, CopyError>,
+        first_copy_id: String,
+    ) -> Step {
+        match answer {
+            Ok(copied) => Step::Stopped {
+                to: self.to.clone(),
+                copy_id: copied.copy_id,
+            },
+            Err(CopyError::NotFound) => Step::NotFound,
+            Err(CopyError::NoRoom {
+                copy_id: Some(copy_id),
+            }) => Step::StoppedAtSource { copy_id },
+            Err(
+                CopyError::Busy
+                | CopyError::SourceUnreachable
+                | CopyError::NoRoom { copy_id: None },
+            ) => Step::Stayed,
+            // The generation may have been stopped: the first copy and the source's own KV cache
+            // are tried.
+            Err(CopyError::Unknown) => Step::Stopped {
+                to: self.to.clone(),
+                copy_id: first_copy_id,
+            },
+        }
+    }
+}
--- a/crates/gateway/src/peer.rs
+++ b/crates/gateway/src/peer.rs
@@ -1,4 +1,4 @@
-//! The answering side of the protocol between gateways.
+//! The server side of the protocol between gateways.
 
 use std::sync::Arc;
 
@@ -8,8 +8,8 @@
     Verdict,
 };
 use fulmarpath_wire::{
-    Announcement, CarryAnswer, CellKey, GatewayPeer, GatewayPeerClient, Holding, MembersDigest,
-    Ping, Pong, Restatement, Rumour, StartAnswer, StartAsk, framed,
+    Announcement, CellKey, GatewayPeer, GatewayPeerClient, MembersDigest, MigrationAnswer, Ping,
+    Pong, RelayedRuns, ReplicatedState, Rumour, StartAnswer, StartRequest, framed,
 };
 use futures::StreamExt;
 use tarpc::client::Config;
@@ -21,15 +21,15 @@
 use crate::encoding::{EncodingError, encode};
 use crate::gateway::Gateway;
 
-/// A client of the gateway at the other end of a connection.
+/// Creates a client for the gateway at the other end of a connection.
 pub(crate) fn client(socket: TcpStream) -> GatewayPeerClient {
     let transport = tarpc::serde_transport::new(framed(socket), Bincode::default());
     GatewayPeerClient::new(Config::default(), transport).spawn()
 }
 
 impl Gateway {
-    /// Answers peers until the process ends.
-    pub(crate) async fn answer_peers(self: Arc<Self>, listener: TcpListener) {
+    /// Serves peers until the process ends.
+    pub(crate) async fn serve_peers(self: Arc<Self>, listener: TcpListener) {
         loop {
             let Ok((socket, _)) = listener.accept().await else {
                 continue;
@@ -47,10 +47,10 @@
     }
 }
 
-/// What a peer is sent; nothing where it could not be written.
-fn written(value: Result<Vec<u8>, EncodingError>) -> Vec<u8> {
+/// The encoded value for a peer; empty if it could not be encoded.
+fn bytes_or_empty(value: Result<Vec<u8>, EncodingError>) -> Vec<u8> {
     value.unwrap_or_else(|error| {
-        spdlog::warn!("fleet: could not write what a peer asks for: {error}");
+        spdlog::warn!("fleet: could not encode the state that a peer requested: {error}");
         Vec::new()
     })
 }
@@ -69,46 +69,47 @@
 impl GatewayPeer for Server {
     async fn ping(self, _: Context, ping: Ping, members: MembersDigest) -> (Pong, MembersDigest) {
         self.count("ping");
-        self.gateway.pong(ping, members)
+        self.gateway.handle_ping(ping, members)
     }
 
-    async fn join(self, _: Context, newcomer: Rumour) -> Vec<Rumour> {
+    async fn join(self, _: Context, joining_host: Rumour) -> Vec<Rumour> {
         self.count("join");
-        self.gateway.welcome(newcomer)
+        self.gateway.handle_join(joining_host)
     }
 
-    async fn exchange_members(self, _: Context, beliefs: Vec<Rumour>) -> Vec<Rumour> {
+    async fn exchange_members(self, _: Context, rumours: Vec<Rumour>) -> Vec<Rumour> {
         self.count("exchange_members");
-        self.gateway.answer_beliefs(&beliefs)
+        self.gateway.handle_member_exchange(&rumours)
     }
 
-    async fn holding(self, _: Context, holding: Holding) -> Vec<u8> {
+    async fn holding(self, _: Context, kind: ReplicatedState) -> Vec<u8> {
         self.count("holding");
-        let held = match holding {
-            Holding::Configuration => {
-                let held = self.gateway.in_force();
-                held.map_or(Ok(Vec::new()), |held| encode(holding, &held.configuration))
+        let held = match kind {
+            ReplicatedState::Configuration => {
+                let held = self.gateway.active_configuration();
+                held.map_or(Ok(Vec::new()), |held| encode(kind, &held.configuration))
             }
-            Holding::Evacuations => {
+            ReplicatedState::Evacuations => {
                 let now_ms = self.gateway.clock.now_ms();
-                encode(holding, &self.gateway.evacuations.lock().state(now_ms))
-            }
-            Holding::Upstreams | Holding::Blindness | Holding::Members | Holding::Circuits => {
-                Ok(Vec::new())
+                encode(kind, &self.gateway.evacuations.lock().state(now_ms))
             }
+            ReplicatedState::Upstreams
+            | ReplicatedState::StoreUnreadable
+            | ReplicatedState::Members
+            | ReplicatedState::Circuits => Ok(Vec::new()),
         };
-        written(held)
+        bytes_or_empty(held)
     }
 
     async fn upstreams_since(self, _: Context, revision: Revision) -> Vec<u8> {
         self.count("upstreams_since");
         let change = self.gateway.roster.lock().change_since(revision);
-        written(encode(Holding::Upstreams, &change))
+        bytes_or_empty(encode(ReplicatedState::Upstreams, &change))
     }
 
     async fn announce(self, _: Context, announcement: Announcement) {
         self.count("announce");
-        self.gateway.hear_announcement(announcement);
+        self.gateway.handle_announcement(announcement);
     }
 
     async fn place(
@@ -118,7 +119,7 @@
         request: PlacementRequest,
     ) -> Option<Placement> {
         self.count("place");
-        self.gateway.answer_place(cell, &request)
+        self.gateway.handle_place(cell, &request)
     }
 
     async fn ended(self, _: Context, cell: CellKey, run: RunKey, end: RunEnd) {
@@ -127,7 +128,7 @@
         self.gateway.cells.end(now_ms, cell, run, end);
     }
 
-    async fn restate(self, _: Context, restatement: Restatement) {
+    async fn restate(self, _: Context, restatement: RelayedRuns) {
         self.count("restate");
         let now_ms = self.gateway.clock.now_ms();
         self.gateway.cells.restate(now_ms, &restatement);
@@ -136,23 +137,30 @@
     async fn doubt(self, _: Context, cell: CellKey, engine: UpstreamKey, verdict: Verdict) {
         self.count("doubt");
         if self.gateway.is_home(cell) {
-            self.gateway.hear_doubt(cell, engine, verdict).await;
+            self.gateway
+                .handle_engine_failure(cell, engine, verdict)
+                .await;
         }
     }
 
-    async fn carry(self, _: Context, run: RunKey, to: UpstreamKey) -> CarryAnswer {
+    async fn carry(self, _: Context, run: RunKey, to: UpstreamKey) -> MigrationAnswer {
         self.count("carry");
-        self.gateway.carry_here(run, to).await
+        self.gateway.migrate_here(run, to).await
     }
 
-    async fn ask_start(self, _: Context, upstream: UpstreamKey, ask: StartAsk) -> StartAnswer {
+    async fn ask_start(
+        self,
+        _: Context,
+        upstream: UpstreamKey,
+        request: StartRequest,
+    ) -> StartAnswer {
         self.count("ask_start");
-        self.gateway.grant_start(upstream, ask)
+        self.gateway.grant_start(upstream, request)
     }
 
     async fn report_crash(self, _: Context, content: ContentKey, upstream: UpstreamKey) {
         self.count("report_crash");
-        poison::hear_crash(&self.gateway.as_circuit_host(), content, upstream);
+        poison::handle_crash_report(&self.gateway.as_circuit_host(), content, upstream);
     }
 
     async fn may_probe(self, _: Context, content: ContentKey) -> bool {
@@ -162,11 +170,11 @@
 
     async fn report_success(self, _: Context, content: ContentKey) {
         self.count("report_success");
-        poison::hear_success(&self.gateway.as_circuit_host(), content);
+        poison::handle_success_report(&self.gateway.as_circuit_host(), content);
     }
 
     async fn exchange_circuits(self, _: Context, circuits: Vec<Circuit>) -> Vec<Circuit> {
         self.count("exchange_circuits");
-        poison::answer_circuits(self.gateway.as_ref(), circuits)
+        poison::handle_circuit_exchange(self.gateway.as_ref(), circuits)
     }
 }
--- a/crates/gateway/src/poison.rs
+++ b/crates/gateway/src/poison.rs
@@ -1,4 +1,4 @@
-//! Poison requests, as gateways hold them back together.
+//! Connects the gateway to the circuits that quarantine poison requests on all hosts.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -7,12 +7,12 @@
 use fulmarpath_cluster::poison::{self, CircuitHost};
 use fulmarpath_cluster::{CRASH_HOMES, CircuitBreakers};
 use fulmarpath_policy::{Admission, Circuit, ContentKey, HostKey, Millis, ServiceKey, UpstreamKey};
-use fulmarpath_wire::{GatewayPeerClient, Holding, MemberNote, NoAnswer};
+use fulmarpath_wire::{GatewayPeerClient, MemberInfo, NoAnswer, ReplicatedState};
 
-use crate::crashes::BrokenRun;
+use crate::crashes::InterruptedRun;
 use crate::encoding::{EncodingError, decode};
 use crate::gateway::Gateway;
-use crate::intake::Inquiry;
+use crate::inbound::InboundRequest;
 use crate::problem::Problem;
 
 #[async_trait]
@@ -29,7 +29,7 @@
         self.host_key()
     }
 
-    fn crash_homes(&self, service: ServiceKey) -> Vec<(HostKey, MemberNote)> {
+    fn crash_homes(&self, service: ServiceKey) -> Vec<(HostKey, MemberInfo)> {
         let members = self.fleet.members.lock();
         members.homes_of(service.0, CRASH_HOMES)
     }
@@ -53,7 +53,7 @@
         self.fleet.peers.call(home, call).await
     }
 
-    async fn ask_probe(&self, home: SocketAddr, content: ContentKey) -> Result<bool, NoAnswer> {
+    async fn request_probe(&self, home: SocketAddr, content: ContentKey) -> Result<bool, NoAnswer> {
         let call = |client: GatewayPeerClient, context| async move {
             client.may_probe(context, content).await
         };
@@ -71,11 +71,11 @@
         self.fleet.peers.call(peer, call).await
     }
 
-    fn tell_circuits(self: Arc<Self>, decided: &[Circuit]) {
+    fn announce_circuits(self: Arc<Self>, decided: &[Circuit]) {
         for circuit in decided {
             self.store_circuit(circuit);
         }
-        self.announce(Holding::Circuits, &decided, self.everybody());
+        self.announce(ReplicatedState::Circuits, &decided, self.all_branches());
     }
 }
 
@@ -84,8 +84,8 @@
         self.clone()
     }
 
-    /// Reports a run that may be what ended its upstream to the homes of its service.
-    pub(crate) fn report_broken(self: &Arc<Self>, run: &BrokenRun) {
+    /// Reports a run that is suspected to have crashed its upstream to the homes of its service.
+    pub(crate) fn report_suspect(self: &Arc<Self>, run: &InterruptedRun) {
         if run.is_suspect() {
             let service = ServiceKey::of(&run.service);
             let host = self.as_circuit_host();
@@ -93,36 +93,36 @@
         }
     }
 
-    /// Takes a home's news.
-    pub(crate) fn take_circuits(&self, value: &[u8]) -> Result<(), EncodingError> {
-        poison::adopt_circuits(self, decode(Holding::Circuits, value)?, "a home");
+    /// Applies circuits that a home has announced.
+    pub(crate) fn handle_circuits(&self, value: &[u8]) -> Result<(), EncodingError> {
+        poison::adopt_circuits(self, decode(ReplicatedState::Circuits, value)?, "a home");
         Ok(())
     }
 
-    /// Why a request may not be sent at all, where that is known without asking.
-    pub(crate) fn refuse_if_open(&self, inquiry: &Inquiry) -> Result<(), Problem> {
+    /// Refuses a request whose circuit is known to be open, without asking a home.
+    pub(crate) fn refuse_if_open(&self, inbound: &InboundRequest) -> Result<(), Problem> {
         let admission = self
             .circuit_breakers
-            .admit(self.clock.now_ms(), inquiry.content);
+            .admit(self.clock.now_ms(), inbound.content);
         match admission {
-            Admission::Free | Admission::AskHome => Ok(()),
+            Admission::Allowed | Admission::NeedsProbe => Ok(()),
             Admission::Refused { retry_after_ms } => Err(Problem::Quarantined { retry_after_ms }),
         }
     }
 
-    /// Whether a request may begin to run now. Where its content runs one at a time, this is the one
+    /// Admits a request to run. If its content runs one at a time, this request occupies that place
     /// from then on.
-    pub(crate) async fn admit(&self, inquiry: &Inquiry) -> Result<(), Problem> {
-        let service = ServiceKey::of(&inquiry.service);
-        let admitted = poison::admit(self, service, inquiry.content).await;
+    pub(crate) async fn admit(&self, inbound: &InboundRequest) -> Result<(), Problem> {
+        let service = ServiceKey::of(&inbound.service);
+        let admitted = poison::admit(self, service, inbound.content).await;
         admitted.map_err(|quarantined| Problem::Quarantined {
             retry_after_ms: quarantined.retry_after_ms,
         })
     }
 
-    /// An upstream has answered a request with success.
-    pub(crate) fn note_success(self: &Arc<Self>, inquiry: &Inquiry) {
-        let service = ServiceKey::of(&inquiry.service);
-        poison::note_success(&self.as_circuit_host(), service, inquiry.content);
+    /// Records that an upstream answered a request with success.
+    pub(crate) fn note_success(self: &Arc<Self>, inbound: &InboundRequest) {
+        let service = ServiceKey::of(&inbound.service);
+        poison::note_success(&self.as_circuit_host(), service, inbound.content);
     }
 }
--- /dev/null
+++ b/crates/gateway/src/probe.rs
@@ -0,0 +1,152 @@
+//! Probes engines whose state is in doubt.
+//!
+//! A registration shows that an engine is leaving as long as the store can be read. During a store
+//! outage an engine that had ended looked empty to its home, which sent each new generation there
+//! first: hosts met closed ports until their attempts were used up, and generations on engines
+//! whose notice reached nobody were cut off. The home therefore probes engines with reported
+//! failures, and all engines of its cells during an outage and until they have registered again: an
+//! engine that leaves in that time never registers again.
+
+use std::collections::HashMap;
+use std::sync::Arc;
+use std::time::Duration;
+
+use fulmarpath_policy::{Millis, UpstreamKey, Verdict};
+use fulmarpath_wire::{CellKey, GatewayPeerClient};
+use parking_lot::Mutex;
+use spdlog::{info, warn};
+use tokio::time::sleep;
+
+use crate::control::ProbeResult;
+use crate::gateway::Gateway;
+
+/// Minimum time between two probes of one engine. Together with the age of an engine's reports, a
+/// notice is detected when half of the shortest one is left.
+const MIN_PROBE_INTERVAL_MS: Millis = 300;
+/// Between two rounds of probes of all engines during a store outage, and of unreachable engines to
+/// detect that they are back.
+const PROBE_ROUND_PERIOD: Duration = Duration::from_millis(400);
+/// Delays before a leaving engine is probed for its time left: its reports lag, so an earlier probe
+/// returns the state before the notice.
+const TIME_LEFT_PROBE_DELAYS: [Duration; 2] =
+    [Duration::from_millis(620), Duration::from_millis(400)];
+
+/// Time of the last probe of each engine.
+#[derive(Debug, Default)]
+pub(crate) struct ProbeTimes {
+    at_ms: Mutex<HashMap<UpstreamKey, Millis>>,
+}
+
+impl ProbeTimes {
+    /// Whether an engine is due for a probe; records the probe.
+    fn begin(&self, now_ms: Millis, engine: UpstreamKey) -> bool {
+        let mut at_ms = self.at_ms.lock();
+        at_ms.retain(|_, at_ms| now_ms.saturating_sub(*at_ms) < MIN_PROBE_INTERVAL_MS);
+        at_ms.insert(engine, now_ms).is_none()
+    }
+}
+
+impl Gateway {
+    /// Reports to a cell's home that a request on an engine failed, with the verdict on it.
+    pub(crate) fn report_engine_failure(
+        self: &Arc<Self>,
+        cell: CellKey,
+        engine: UpstreamKey,
+        verdict: Verdict,
+    ) {
+        let Some((key, member)) = self.home_of(cell) else {
+            return;
+        };
+        let gateway = self.clone();
+        if key == self.host_key() {
+            tokio::spawn(async move { gateway.handle_engine_failure(cell, engine, verdict).await });
+            return;
+        }
+        tokio::spawn(async move {
+            let call = |client: GatewayPeerClient, context| async move {
+                client.doubt(context, cell, engine, verdict).await
+            };
+            if let Err(error) = gateway.fleet.peers.call(member.address, call).await {
+                warn!("cells: could not report a failing engine to the home: {error}");
+            }
+        });
+    }
+
+    /// Counts a failure as a cell's home, and probes the engine.
+    ///
+    /// An engine that fails a part of its requests reports itself healthy and looks emptier than
+    /// the others. Each host meets it once or twice; only the home receives all reports.
+    pub(crate) async fn handle_engine_failure(
+        self: &Arc<Self>,
+        cell: CellKey,
+        engine: UpstreamKey,
+        verdict: Verdict,
+    ) {
+        let now_ms = self.clock.now_ms();
+        self.cells.record_failure(now_ms, cell, engine, verdict);
+        self.clone().probe_engine(cell, engine).await;
+    }
+
+    /// Probes an engine, unless it was probed a moment ago.
+    pub(crate) async fn probe_engine(self: Arc<Self>, cell: CellKey, engine: UpstreamKey) {
+        if !self.probe_times.begin(self.clock.now_ms(), engine) {
+            return;
+        }
+        let Some(destination) = self.instances.find(engine) else {
+            return;
+        };
+        let result = self.control.probe(destination.address).await;
+        if !self.is_current_start(engine, result) {
+            return;
+        }
+        let status = result.status;
+        let now_ms = self.clock.now_ms();
+        if self.cells.apply_probe(now_ms, cell, engine, status) {
+            info!("cells: {:016x} was looked at: {status:?}", engine.0);
+        }
+    }
+
+    /// Whether a probe result comes from the known start of an engine. A result of a later start is
+    /// recorded as a restart; a result of an earlier start arrived late.
+    fn is_current_start(&self, engine: UpstreamKey, result: ProbeResult) -> bool {
+        let known = self.instances.registration(engine);
+        let Some((known, reported_ms)) = known.zip(result.born_ms) else {
+            return true;
+        };
+        let Some(known_ms) = known.started_at_ms else {
+            return true;
+        };
+        if reported_ms > known_ms {
+            let mut roster = self.roster.lock();
+            if roster.observe_start(&known.instance, reported_ms) {
+                self.apply_directory(&roster.directory());
+            }
+        }
+        reported_ms == known_ms
+    }
+
+    /// Probes the engines of this host's cells while registrations cannot show which are leaving,
+    /// and engines that were unreachable.
+    pub(crate) async fn probe_uncertain_engines(self: Arc<Self>) {
+        loop {
+            sleep(PROBE_ROUND_PERIOD).await;
+            let is_uncertain = self.roster.lock().is_uncertain(self.clock.now_ms());
+            for (cell, engine, is_gone) in self.cells.engines() {
+                if (is_uncertain || is_gone) && self.is_home(cell) {
+                    tokio::spawn(self.clone().probe_engine(cell, engine));
+                }
+            }
+        }
+    }
+
+    /// Probes a leaving engine for the time that it has left.
+    ///
+    /// Notices differ by a third. With the shortest notice assumed, the last third of a longer one
+    /// went unused; with a longer one assumed, transfers were cut off by the engine's end.
+    pub(crate) async fn probe_time_left(self: Arc<Self>, cell: CellKey, engine: UpstreamKey) {
+        for wait in TIME_LEFT_PROBE_DELAYS {
+            sleep(wait).await;
+            self.clone().probe_engine(cell, engine).await;
+        }
+    }
+}
--- a/crates/gateway/src/recovery.rs
+++ b/crates/gateway/src/recovery.rs
@@ -1,202 +1,215 @@
-//! How a generation goes on at another engine: after its own was told to stop it, or was lost.
+//! Resumes a generation on another engine after a migration stopped it or its engine was lost.
 
 use std::net::SocketAddr;
 
 use fulmarpath_policy::{Millis, Verdict};
-use fulmarpath_wire::CarryAnswer;
+use fulmarpath_wire::MigrationAnswer;
 use spdlog::info;
 
-use crate::attempt::{Answer, Terms};
-use crate::crashes::BrokenRun;
+use crate::attempt::{Answer, DispatchOptions};
+use crate::crashes::InterruptedRun;
+use crate::engine_stream::{EngineStream, StreamRead};
 use crate::head::Continuation;
 use crate::instance::Destination;
-use crate::relay::{Relay, Stopped};
-use crate::source::{Heard, Source};
-use crate::start::Started;
+use crate::relay::{Relay, StoppedGeneration};
+use crate::start::StartedGeneration;
 
-/// A stopped engine closes its stream just before it answers; what was on its way is there within
-/// a way between data centres.
-const DRAIN_MS: Millis = 12;
-/// A running copy that doesn't go on within this time is no better than an engine that is silent.
-const GO_ON_MS: Millis = 300;
-/// How often a generation may break and go on: each costs its caller a pause.
-const RECOVERIES: u32 = 3;
+/// A stopped engine closes its stream just before it responds; data in transit arrives within the
+/// latency between data centres.
+const DRAIN_TIMEOUT_MS: Millis = 12;
+/// A running copy that does not resume within this time is no better than a silent engine.
+const RESUME_TIMEOUT_MS: Millis = 300;
+/// Maximum number of recoveries of one generation: each one costs its caller a pause.
+const MAX_RECOVERIES: u32 = 3;
 
 impl Relay {
-    /// Goes on after an engine was lost: from the running copy of its memory, or from the copy that
-    /// a carry had made so far.
+    /// Resumes after an engine was lost: from the running copy of the KV cache, or from the copy
+    /// that a migration has made so far.
     pub(crate) async fn recover(&mut self) -> bool {
-        self.source.flight.note(Verdict::Failed);
-        let broken = self.broken_run();
-        let is_suspect = broken.is_suspect();
-        self.gateway.note_broken(broken);
+        self.stream.in_flight.set_verdict(Verdict::Failed);
+        let interrupted = self.interrupted_run();
+        let is_suspect = interrupted.is_suspect();
+        self.gateway.check_for_crash(interrupted);
         self.recoveries += 1;
-        if self.recoveries > RECOVERIES {
+        if self.recoveries > MAX_RECOVERIES {
             return false;
         }
-        // One that has run for a while ended nothing, and goes on whatever its circuit.
-        if is_suspect && self.gateway.admit(&self.inquiry).await.is_err() {
+        // A generation that has run for a while did not crash its engine, and resumes regardless of
+        // its circuit.
+        if is_suspect && self.gateway.admit(&self.inbound).await.is_err() {
             return false;
         }
-        let lost = self.source.engine();
+        let lost = self.stream.engine();
         self.gateway
-            .doubt(self.ticket.cell, lost.upstream, Verdict::Failed);
-        if let Some(carrying) = self.carrying.take() {
-            let went_on = match carrying.copied() {
-                Some((to, copy)) => self.go_on(&to, lost.address, &copy).await,
+            .report_engine_failure(self.run_guard.cell, lost.upstream, Verdict::Failed);
+        if let Some(migration) = self.migration.take() {
+            let has_resumed = match migration.copied() {
+                Some((to, copy_id)) => self.resume_at(&to, lost.address, &copy_id).await,
                 None => false,
             };
-            if went_on {
-                carrying.answer(CarryAnswer::Moved);
+            if has_resumed {
+                migration.answer(MigrationAnswer::Moved);
                 return true;
             }
-            carrying.abandon(CarryAnswer::Over);
+            migration.discard(MigrationAnswer::Over);
         }
         if let Some(backup) = self.backup.take() {
-            let id = self.journey.id.clone();
-            if self.go_on(&backup, backup.address, &id).await {
+            let id = self.tracker.id.clone();
+            if self.resume_at(&backup, backup.address, &id).await {
                 return true;
             }
         }
-        self.resume().await
+        self.regenerate().await
     }
 
-    /// What its engine broke off.
-    fn broken_run(&self) -> BrokenRun {
+    /// Describes the run that the engine broke off.
+    fn interrupted_run(&self) -> InterruptedRun {
         let now_ms = self.gateway.clock.now_ms();
-        let begun_ms = self.source.begun_ms;
+        let begun_ms = self.stream.begun_ms;
         let ran_ms = begun_ms.map(|begun_ms| now_ms.saturating_sub(begun_ms));
-        let chosen = &self.source.flight.chosen;
-        BrokenRun::new(chosen, &self.inquiry, &self.journey.id, ran_ms)
+        let chosen = &self.stream.in_flight.chosen;
+        InterruptedRun::new(chosen, &self.inbound, &self.tracker.id, ran_ms)
     }
 
-    /// Leaves an engine that is silent in the middle of a stream for the one that keeps a running copy;
-    /// stays where that one doesn't go on.
+    /// Abandons an engine that is silent in the middle of a stream and resumes from the running
+    /// copy; stays with the engine if the copy does not resume.
     ///
-    /// An engine that goes dark resets nothing, and one that pauses a generation says nothing of it: its
-    /// caller sees a stream that stands still, and gives up after seconds though the copy is there. The
-    /// silent engine's connection is closed as soon as the other one goes on, so both work on it for a
-    /// few ms at the most.
-    pub(crate) async fn leave_silent(&mut self) {
+    /// An engine that loses its network resets no connection, and an engine that preempts a
+    /// generation does not report it: the caller sees a stalled stream and disconnects after
+    /// seconds although the copy exists. The connection to the silent engine is closed as soon as
+    /// the other engine resumes, so both work on the generation for a few ms at most.
+    pub(crate) async fn fail_over_from_silent_engine(&mut self) {
         let Some(backup) = self.backup.take() else {
             return;
         };
-        let silent = self.source.engine();
-        let id = self.journey.id.clone();
-        let until_ms = self.gateway.clock.now_ms() + GO_ON_MS;
-        let until_ms = until_ms.min(self.inquiry.deadline_ms);
+        let silent = self.stream.engine();
+        let id = self.tracker.id.clone();
+        let until_ms = self.gateway.clock.now_ms() + RESUME_TIMEOUT_MS;
+        let until_ms = until_ms.min(self.inbound.deadline_ms);
         if self
-            .go_on_until(until_ms, &backup, backup.address, &id)
+            .resume_before(until_ms, &backup, backup.address, &id)
             .await
         {
             self.gateway.metrics.continuation("left_silent");
-            self.gateway
-                .doubt(self.ticket.cell, silent.upstream, Verdict::Failed);
+            self.gateway.report_engine_failure(
+                self.run_guard.cell,
+                silent.upstream,
+                Verdict::Failed,
+            );
         }
     }
 
-    /// Has another engine make the rest anew, where the stream may be resumed.
-    async fn resume(&mut self) -> bool {
+    /// Regenerates the remaining output on another engine, if the stream may be resumed.
+    async fn regenerate(&mut self) -> bool {
         let gateway = self.gateway.clone();
-        self.tries.lose(gateway.clock.now_ms());
-        let started = gateway.start_again(
-            &self.inquiry,
-            &self.ticket,
-            &mut self.journey,
-            &mut self.tries,
+        self.attempts.mark_lost(gateway.clock.now_ms());
+        let started = gateway.restart_generation(
+            &self.inbound,
+            &self.run_guard,
+            &mut self.tracker,
+            &mut self.attempts,
             self.last_event,
         );
-        let Some(Started { answer, backup }) = started.await else {
+        let Some(StartedGeneration { answer, backup }) = started.await else {
             return false;
         };
         info!(
             "moves: request {} is made anew at {} after event {:?}",
-            self.journey.id, answer.flight.chosen.instance, self.last_event
+            self.tracker.id, answer.in_flight.chosen.instance, self.last_event
         );
         gateway.metrics.continuation("anew");
-        self.go_on_with(answer, backup);
+        self.switch_to(answer, backup);
         true
     }
 
-    /// Another engine's stream takes the place of the one before.
-    fn go_on_with(&mut self, answer: Answer, backup: Option<Destination>) {
-        self.has_just_moved = true;
-        // A part of an event is of no use to the caller: the engine that goes on sends it whole.
-        self.events.take_rest();
-        self.source = Source::new(self.gateway.clock.now_ms(), answer);
+    /// Replaces the current stream by that of another engine.
+    fn switch_to(&mut self, answer: Answer, backup: Option<Destination>) {
+        self.has_just_switched = true;
+        // An incomplete event is discarded: the next engine sends it in full.
+        self.events.take_remainder();
+        self.stream = EngineStream::new(self.gateway.clock.now_ms(), answer);
         self.backup = backup;
         self.handover.restart();
-        let engine = self.source.engine().upstream;
+        let engine = self.stream.engine().upstream;
         let backup = self.backup.as_ref().map(|backup| backup.upstream);
-        self.gateway.runs.update(self.ticket.run, |statement| {
+        self.gateway.runs.update(self.run_guard.run, |statement| {
             statement.engine = engine;
             statement.backup = backup;
         });
     }
 
-    /// Reads what a stopped engine still has on its way.
+    /// Reads the data that a stopped engine still has in transit.
     async fn drain(&mut self) {
-        let until_ms = self.gateway.clock.now_ms() + DRAIN_MS;
-        while self.handover.reads() {
-            let heard = self.source.hear(&mut self.events, until_ms, &self.gateway);
-            if !matches!(heard.await, Heard::Bytes) {
+        let until_ms = self.gateway.clock.now_ms() + DRAIN_TIMEOUT_MS;
+        while self.handover.is_stream_open() {
+            let read = self.stream.read(&mut self.events, until_ms, &self.gateway);
+            if !matches!(read.await, StreamRead::Bytes) {
                 return;
             }
         }
     }
 
-    /// Goes on with a generation that was stopped: at the destination, or again where it was, which
-    /// still has its memory.
-    pub(crate) async fn go_on_after_stop(&mut self) -> bool {
-        let Some(Stopped { to, copy }) = self.stopped.take() else {
+    /// Resumes a generation that was stopped: at the destination, or at the source, which still has
+    /// its KV cache.
+    pub(crate) async fn resume_after_stop(&mut self) -> bool {
+        let Some(StoppedGeneration { to, copy_id }) = self.stopped.take() else {
             return false;
         };
         self.drain().await;
-        let here = self.source.engine();
-        let has_moved = match to {
-            Some(to) => self.go_on(&to, here.address, &copy).await,
+        let source = self.stream.engine();
+        let has_migrated = match to {
+            Some(to) => self.resume_at(&to, source.address, &copy_id).await,
             None => false,
         };
-        let goes_on = has_moved || self.go_on(&here, here.address, &copy).await;
-        self.end_carry(match has_moved {
-            true => CarryAnswer::Moved,
-            false => CarryAnswer::Stayed,
+        let continues = has_migrated || self.resume_at(&source, source.address, &copy_id).await;
+        self.end_migration(match has_migrated {
+            true => MigrationAnswer::Moved,
+            false => MigrationAnswer::Stayed,
         });
-        goes_on
+        continues
     }
 
-    /// Asks an engine to go on from a copy; true where it does.
-    async fn go_on(&mut self, at: &Destination, source: SocketAddr, copy: &str) -> bool {
-        let until_ms = self.inquiry.deadline_ms;
-        self.go_on_until(until_ms, at, source, copy).await
+    /// Asks an engine to resume from a copy; returns whether it does.
+    async fn resume_at(
+        &mut self,
+        destination: &Destination,
+        source: SocketAddr,
+        copy_id: &str,
+    ) -> bool {
+        let until_ms = self.inbound.deadline_ms;
+        self.resume_before(until_ms, destination, source, copy_id)
+            .await
     }
 
-    async fn go_on_until(
+    async fn resume_before(
         &mut self,
         until_ms: Millis,
-        at: &Destination,
+        destination: &Destination,
         source: SocketAddr,
-        copy: &str,
+        copy_id: &str,
     ) -> bool {
         let now_ms = self.gateway.clock.now_ms();
-        let taken = self.gateway.take_continuation(at.upstream, until_ms);
-        let chosen = taken.await;
+        let reserved = self
+            .gateway
+            .reserve_continuation(destination.upstream, until_ms);
+        let chosen = reserved.await;
         let Some(chosen) = chosen else { return false };
-        let service = &self.inquiry.service;
+        let service = &self.inbound.service;
         self.gateway.count_continuation(now_ms, service);
         let backup = self.backup.clone();
-        let backup = backup.filter(|backup| backup.upstream != at.upstream && !backup.is_lost());
-        let terms = Terms {
+        let backup =
+            backup.filter(|backup| backup.upstream != destination.upstream && !backup.is_lost());
+        let options = DispatchOptions {
             until_ms,
             backup: backup.as_ref().map(|backup| backup.address),
             continuation: Some(Continuation {
                 source,
-                copy: copy.to_owned(),
+                copy_id: copy_id.to_owned(),
             }),
             last_event: self.last_event,
         };
         let gateway = self.gateway.clone();
-        let sent = gateway.dispatch(&self.inquiry, &mut self.journey, chosen, terms);
+        let sent = gateway.dispatch(&self.inbound, &mut self.tracker, chosen, options);
         let answer = match sent.await {
             Ok(answer) if answer.response.status().is_success() => answer,
             Ok(_) | Err(_) => {
@@ -207,12 +220,12 @@
         gateway.metrics.continuation("yes");
         info!(
             "moves: request {} goes on at {} after event {:?}, {} ms",
-            self.journey.id,
-            answer.flight.chosen.instance,
+            self.tracker.id,
+            answer.in_flight.chosen.instance,
             self.last_event,
             gateway.clock.now_ms().saturating_sub(now_ms)
         );
-        self.go_on_with(answer, backup);
+        self.switch_to(answer, backup);
         true
     }
 }
--- a/crates/gateway/src/relay.rs
+++ b/crates/gateway/src/relay.rs
@@ -1,232 +1,238 @@
-//! One generation on its way to its caller, on one engine after another if need be.
+//! Relays one generation to its caller, across migrations and failovers between engines.
 
 use std::sync::Arc;
 use std::time::Duration;
 
 use bytes::{Bytes, BytesMut};
-use fulmarpath_http::BodyBroken;
-use fulmarpath_policy::{CarryStep, Handover, Millis, Next, RunEnd, RunKey, StreamEnd, Verdict};
-use fulmarpath_wire::{CarryAnswer, CellKey};
+use fulmarpath_http::BodyInterrupted;
+use fulmarpath_policy::{
+    Handover, MigrationStep, Millis, NextStep, RunEnd, RunKey, StreamEnd, Verdict,
+};
+use fulmarpath_wire::{CellKey, MigrationAnswer};
 use spdlog::info;
 use tokio::sync::mpsc;
 use tokio::time::sleep;
 
-use crate::carry::{Carrying, Step};
-use crate::events::{Events, split};
+use crate::engine_stream::{EngineStream, StreamRead};
+use crate::events::{EventBuffer, split};
 use crate::gateway::Gateway;
+use crate::inbound::InboundRequest;
 use crate::instance::Destination;
-use crate::intake::Inquiry;
-use crate::journey::Journey;
-use crate::runs::CarryOrder;
-use crate::source::{Heard, Source};
-use crate::start::{Started, Tries};
+use crate::migration::{Migration, Step};
+use crate::runs::MigrationOrder;
+use crate::start::{Attempts, StartedGeneration};
+use crate::tracker::RequestTracker;
 
-/// The part of the longest pause that is on time after which a silent engine is left for the running
-/// copy elsewhere; the rest is for the other engine to go on. Engines that go dark reset nothing, and their
-/// streams would be lost for want of a word, though copies stand.
-const SILENCE_SHARE: f32 = 0.6;
+/// Fraction of the route's gap target after which a silent engine is abandoned for the running copy
+/// on another engine. The remainder is for the other engine to resume. An engine that loses power
+/// or its network resets no connection, so without this its streams would be lost although copies
+/// of them exist.
+const SILENCE_FRACTION: f32 = 0.6;
 
-/// How long a host that has just woken takes to read what had come meanwhile.
-const LISTEN_MS: Millis = 4;
+/// Time to read the bytes that arrived while this host itself was suspended.
+const RESUME_READ_MS: Millis = 4;
 
-/// Counts a generation at its cell's home until it is dropped.
-pub(crate) struct Ticket {
+/// Counts a generation at its cell's home until dropped.
+pub(crate) struct RunGuard {
     pub(crate) gateway: Arc<Gateway>,
     pub(crate) cell: CellKey,
     pub(crate) run: RunKey,
-    /// Its answer has reached the caller to the end.
-    pub(crate) is_whole: bool,
-    /// From its placement to its first event.
+    /// The complete response has reached the caller.
+    pub(crate) is_complete: bool,
+    /// Time from the placement to the first event.
     pub(crate) first_ms: Option<Millis>,
 }
 
-impl Drop for Ticket {
+impl Drop for RunGuard {
     fn drop(&mut self) {
         let out_tokens = self.gateway.runs.remove(self.run);
         let end = RunEnd {
             out_tokens: out_tokens.unwrap_or_default(),
-            is_whole: self.is_whole,
+            is_complete: self.is_complete,
             first_ms: self.first_ms,
         };
-        self.gateway.tell_end(self.cell, self.run, end);
+        self.gateway.report_end(self.cell, self.run, end);
     }
 }
 
-/// A generation that its engine has stopped.
-pub(crate) struct Stopped {
-    /// The engine that holds its memory; `None` where that is still its own.
+/// A generation that its engine has stopped for a migration.
+pub(crate) struct StoppedGeneration {
+    /// The engine that holds its KV cache; `None` if that is still the source.
     pub(crate) to: Option<Destination>,
-    /// Names the memory.
-    pub(crate) copy: String,
+    /// Identifies the copy of the KV cache.
+    pub(crate) copy_id: String,
 }
 
-/// One generation on its way to its caller.
+/// One generation that is relayed to its caller.
 pub(crate) struct Relay {
     pub(crate) gateway: Arc<Gateway>,
-    pub(crate) inquiry: Inquiry,
-    pub(crate) journey: Journey,
-    pub(crate) ticket: Ticket,
-    pub(crate) tries: Tries,
-    pub(crate) source: Source,
-    pub(crate) events: Events,
-    /// The last event that has reached the caller.
+    pub(crate) inbound: InboundRequest,
+    pub(crate) tracker: RequestTracker,
+    pub(crate) run_guard: RunGuard,
+    pub(crate) attempts: Attempts,
+    pub(crate) stream: EngineStream,
+    pub(crate) events: EventBuffer,
+    /// The last event that has been sent to the caller.
     pub(crate) last_event: Option<u64>,
     event_tokens: u32,
-    orders: mpsc::Receiver<CarryOrder>,
+    orders: mpsc::Receiver<MigrationOrder>,
     pub(crate) handover: Handover,
-    pub(crate) carrying: Option<Carrying>,
-    /// Set between a stop and the continuation after it.
-    pub(crate) stopped: Option<Stopped>,
+    pub(crate) migration: Option<Migration>,
+    /// Set between a stop and the resumption after it.
+    pub(crate) stopped: Option<StoppedGeneration>,
     pub(crate) backup: Option<Destination>,
     pub(crate) recoveries: u32,
-    /// The next event is the first from another engine.
-    pub(crate) has_just_moved: bool,
-    /// The engine has ended its answer as it should.
-    is_whole: bool,
+    /// The next event is the first from a different engine.
+    pub(crate) has_just_switched: bool,
+    /// The engine has ended its response normally.
+    is_complete: bool,
     status: u16,
 }
 
 impl Relay {
     pub(crate) fn new(
-        inquiry: Inquiry,
-        journey: Journey,
-        ticket: Ticket,
-        tries: Tries,
-        started: Started,
+        inbound: InboundRequest,
+        tracker: RequestTracker,
+        run_guard: RunGuard,
+        attempts: Attempts,
+        started: StartedGeneration,
     ) -> Self {
-        let Started { answer, backup } = started;
-        let gateway = ticket.gateway.clone();
-        let traits = gateway.engine_traits(&inquiry.service);
+        let StartedGeneration { answer, backup } = started;
+        let gateway = run_guard.gateway.clone();
+        let traits = gateway.engine_traits(&inbound.service);
         Self {
-            orders: gateway.runs.begin(ticket.run),
+            orders: gateway.runs.begin(run_guard.run),
             event_tokens: traits.map_or(1, |traits| traits.event_tokens),
             status: answer.response.status().as_u16(),
-            source: Source::new(gateway.clock.now_ms(), answer),
-            events: Events::default(),
-            last_event: inquiry.last_event,
+            stream: EngineStream::new(gateway.clock.now_ms(), answer),
+            events: EventBuffer::default(),
+            last_event: inbound.last_event,
             handover: Handover::default(),
-            carrying: None,
+            migration: None,
             stopped: None,
             recoveries: 0,
-            has_just_moved: false,
-            is_whole: false,
+            has_just_switched: false,
+            is_complete: false,
             gateway,
-            inquiry,
-            journey,
-            ticket,
-            tries,
+            inbound,
+            tracker,
+            run_guard,
+            attempts,
             backup,
         }
     }
 
-    /// The next whole events; `None` behind the last.
-    pub(crate) async fn next(&mut self) -> Option<Result<Bytes, BodyBroken>> {
+    /// The next complete events; `None` after the last.
+    pub(crate) async fn next(&mut self) -> Option<Result<Bytes, BodyInterrupted>> {
         loop {
             match self.take_events() {
                 Ok(Some(events)) => return Some(Ok(events)),
-                Ok(None) if self.is_whole => return self.finish(),
+                Ok(None) if self.is_complete => return self.finish(),
                 Ok(None) => {}
-                Err(broken) => return Some(Err(self.give_up("stream_gap", broken))),
+                Err(broken) => return Some(Err(self.fail("stream_gap", broken))),
             }
             let Some(next) = self.step().await else {
-                return Some(Err(self.give_up("stream_overdue", BodyBroken)));
+                return Some(Err(self.fail("stream_overdue", BodyInterrupted)));
             };
-            let goes_on = match next {
-                Next::Read | Next::AwaitCarry => true,
-                Next::Finish => {
-                    self.is_whole = true;
+            let continues = match next {
+                NextStep::Read | NextStep::AwaitMigration => true,
+                NextStep::Finish => {
+                    self.is_complete = true;
                     true
                 }
-                Next::GoOn => self.go_on_after_stop().await || self.recover().await,
-                Next::Recover => self.recover().await,
+                NextStep::Resume => self.resume_after_stop().await || self.recover().await,
+                NextStep::Recover => self.recover().await,
             };
-            if !goes_on {
-                return Some(Err(self.give_up("stream_broken", BodyBroken)));
+            if !continues {
+                return Some(Err(self.fail("stream_broken", BodyInterrupted)));
             }
         }
     }
 
-    /// Waits for whatever comes first; `None` where the caller's time ran out.
-    async fn step(&mut self) -> Option<Next> {
-        let until_ms = self.inquiry.deadline_ms;
+    /// Waits for the next event of any kind; `None` if the deadline has passed.
+    async fn step(&mut self) -> Option<NextStep> {
+        let until_ms = self.inbound.deadline_ms;
         let left_ms = until_ms.saturating_sub(self.gateway.clock.now_ms());
-        let reads = self.handover.reads();
-        let lost = self.source.flight.chosen.lost.clone();
+        let reads = self.handover.is_stream_open();
+        let lost = self.stream.in_flight.chosen.lost.clone();
         let silence = self.silence_left();
-        let heard = tokio::select! {
+        let read = tokio::select! {
             biased;
-            heard = self.source.hear(&mut self.events, until_ms, &self.gateway), if reads => heard,
-            () = sleep(Duration::from_millis(left_ms)), if !reads => Heard::Overdue,
-            () = lost.cancelled(), if reads => Heard::Broken,
-            () = sleep(silence.unwrap_or_default()), if silence.is_some() => self.hear_once_more().await,
-            Some(order) = self.orders.recv(), if self.handover.may_begin() => {
-                self.begin(order);
-                Heard::Bytes
+            read = self.stream.read(&mut self.events, until_ms, &self.gateway), if reads => read,
+            () = sleep(Duration::from_millis(left_ms)), if !reads => StreamRead::Overdue,
+            () = lost.cancelled(), if reads => StreamRead::Broken,
+            () = sleep(silence.unwrap_or_default()), if silence.is_some() => {
+                self.confirm_silence().await
             }
-            step = Carrying::step(&mut self.carrying), if self.carrying.is_some() => {
+            Some(order) = self.orders.recv(), if self.handover.can_begin_migration() => {
+                self.begin_migration(order);
+                StreamRead::Bytes
+            }
+            step = Migration::step(&mut self.migration), if self.migration.is_some() => {
                 return Some(self.advance(step));
             }
         };
-        match heard {
-            Heard::Bytes => Some(Next::Read),
-            Heard::End => Some(self.handover.end(StreamEnd::Whole)),
-            Heard::Broken => Some(self.handover.end(StreamEnd::Broken)),
-            Heard::Overdue => None,
+        match read {
+            StreamRead::Bytes => Some(NextStep::Read),
+            StreamRead::End => Some(self.handover.end_stream(StreamEnd::Complete)),
+            StreamRead::Broken => Some(self.handover.end_stream(StreamEnd::Broken)),
+            StreamRead::Overdue => None,
         }
     }
 
-    /// How long the engine may still be silent before its generation goes on from the running copy.
+    /// How long the engine may stay silent before the generation resumes from the running copy.
     fn silence_left(&self) -> Option<Duration> {
-        let may_leave = self.backup.is_some() && self.handover.may_begin();
-        let target_ms = self.inquiry.route.gap_target_ms?;
-        // What the engine before took, for a last copy or in silence, isn't this one's silence.
-        let since_ms = self.journey.last_event_ms()?.max(self.source.since_ms);
-        let until_ms = since_ms + (target_ms as f32 * SILENCE_SHARE) as Millis;
+        let can_fail_over = self.backup.is_some() && self.handover.can_begin_migration();
+        let target_ms = self.inbound.route.gap_target_ms?;
+        // Time spent by the previous engine, for a final copy or in silence, does not count as this
+        // engine's silence.
+        let since_ms = self.tracker.last_event_ms()?.max(self.stream.since_ms);
+        let until_ms = since_ms + (target_ms as f32 * SILENCE_FRACTION) as Millis;
         let left_ms = until_ms.saturating_sub(self.gateway.clock.now_ms());
-        may_leave.then(|| Duration::from_millis(left_ms))
+        can_fail_over.then(|| Duration::from_millis(left_ms))
     }
 
-    /// Leaves a silent engine, unless it was this host that stood still: what had come meanwhile is read
-    /// first, which takes the reader of the connection a moment.
-    async fn hear_once_more(&mut self) -> Heard {
-        let until_ms = self.gateway.clock.now_ms() + LISTEN_MS;
-        let heard = self.source.hear(&mut self.events, until_ms, &self.gateway);
-        match heard.await {
-            Heard::Overdue => {
-                self.leave_silent().await;
-                Heard::Bytes
+    /// Abandons a silent engine, unless this host itself was suspended: bytes that arrived
+    /// meanwhile are read first, for which the connection's reader needs a moment.
+    async fn confirm_silence(&mut self) -> StreamRead {
+        let until_ms = self.gateway.clock.now_ms() + RESUME_READ_MS;
+        let read = self.stream.read(&mut self.events, until_ms, &self.gateway);
+        match read.await {
+            StreamRead::Overdue => {
+                self.fail_over_from_silent_engine().await;
+                StreamRead::Bytes
             }
-            heard => heard,
+            read => read,
         }
     }
 
-    fn give_up(&mut self, outcome: &'static str, broken: BodyBroken) -> BodyBroken {
-        self.source.flight.note(Verdict::Failed);
-        self.journey.end(outcome, self.status);
+    fn fail(&mut self, outcome: &'static str, broken: BodyInterrupted) -> BodyInterrupted {
+        self.stream.in_flight.set_verdict(Verdict::Failed);
+        self.tracker.end(outcome, self.status);
         broken
     }
 
-    fn finish(&mut self) -> Option<Result<Bytes, BodyBroken>> {
-        if let Some(rest) = self.events.take_rest() {
-            return Some(Ok(rest));
+    fn finish(&mut self) -> Option<Result<Bytes, BodyInterrupted>> {
+        if let Some(remainder) = self.events.take_remainder() {
+            return Some(Ok(remainder));
         }
-        self.source.flight.note(Verdict::Good);
-        if self.journey.events > 0 {
-            self.gateway.note_success(&self.inquiry);
+        self.stream.in_flight.set_verdict(Verdict::Good);
+        if self.tracker.events > 0 {
+            self.gateway.note_success(&self.inbound);
         }
-        self.ticket.is_whole = self.journey.events > 0 && self.inquiry.last_event.is_none();
-        self.ticket.first_ms = self.journey.first_after_placed_ms();
-        self.journey.end("answered", self.status);
+        self.run_guard.is_complete = self.tracker.events > 0 && self.inbound.last_event.is_none();
+        self.run_guard.first_ms = self.tracker.first_after_placed_ms();
+        self.tracker.end("answered", self.status);
         None
     }
 
-    /// Whole events that the caller doesn't have yet.
+    /// Takes the complete events that the caller does not have yet.
     ///
-    /// An engine that goes on with a generation may begin with events that are out already; passed
-    /// on they would come twice. One that begins too late would leave a hole, and a stream that is
-    /// visibly broken is better than that.
-    fn take_events(&mut self) -> Result<Option<Bytes>, BodyBroken> {
-        let Some(piece) = self.events.take_whole() else {
+    /// An engine that resumes a generation may begin with events that were already sent; these are
+    /// dropped to prevent duplicates. If it begins too late, events are missing, and a visibly
+    /// broken stream is better than one with a gap.
+    fn take_events(&mut self) -> Result<Option<Bytes>, BodyInterrupted> {
+        let Some(piece) = self.events.take_complete() else {
             return Ok(None);
         };
         let mut fresh = BytesMut::new();
@@ -238,7 +244,7 @@
                     continue;
                 }
                 if number > last + 1 {
-                    return Err(BodyBroken);
+                    return Err(BodyInterrupted);
                 }
             }
             self.last_event = number.or(self.last_event);
@@ -248,81 +254,85 @@
         if fresh.is_empty() {
             return Ok(None);
         }
-        self.note_progress(count);
+        self.record_progress(count);
         Ok(Some(fresh.freeze()))
     }
 
-    fn note_progress(&mut self, events: u32) {
+    fn record_progress(&mut self, events: u32) {
         let now_ms = self.gateway.clock.now_ms();
-        if let Some(pause_ms) = self.journey.pass_on(now_ms, events) {
+        if let Some(pause_ms) = self.tracker.record_events(now_ms, events) {
             let metrics = &self.gateway.metrics;
             metrics.pause_ms.observe(pause_ms as f64);
-            let target_ms = self.inquiry.route.gap_target_ms;
+            let target_ms = self.inbound.route.gap_target_ms;
             let is_stall = target_ms.is_some_and(|target_ms| pause_ms > target_ms);
-            if is_stall && !std::mem::take(&mut self.has_just_moved) {
+            if is_stall && !std::mem::take(&mut self.has_just_switched) {
                 metrics.stalls.inc();
             }
         }
-        let out_tokens = self.journey.events * self.event_tokens;
+        let out_tokens = self.tracker.events * self.event_tokens;
         let runs = &self.gateway.runs;
-        runs.update(self.ticket.run, |statement| {
+        runs.update(self.run_guard.run, |statement| {
             statement.out_tokens = out_tokens
         });
     }
 
-    fn begin(&mut self, order: CarryOrder) {
+    fn begin_migration(&mut self, order: MigrationOrder) {
         let control = self.gateway.control.clone();
-        let source = self.source.address();
-        let id = self.journey.id.clone();
-        self.handover.begin();
-        self.carrying = Some(Carrying::begin(control, source, id, order));
+        let source = self.stream.address();
+        let id = self.tracker.id.clone();
+        self.handover.begin_migration();
+        self.migration = Some(Migration::begin(control, source, id, order));
     }
 
-    /// Takes what a carry has come to.
-    fn advance(&mut self, step: Step) -> Next {
+    /// Handles the outcome of a migration step.
+    fn advance(&mut self, step: Step) -> NextStep {
         let answer = match step {
-            Step::Copied => return self.handover.step(CarryStep::Copied),
-            Step::Stopped { to, copy } => {
-                self.stopped = Some(Stopped { to: Some(to), copy });
-                return self.handover.step(CarryStep::Stopped);
+            Step::Copied => return self.handover.advance_migration(MigrationStep::Copied),
+            Step::Stopped { to, copy_id } => {
+                self.stopped = Some(StoppedGeneration {
+                    to: Some(to),
+                    copy_id,
+                });
+                return self.handover.advance_migration(MigrationStep::Stopped);
             }
-            Step::StoppedHere { copy } => {
-                self.stopped = Some(Stopped { to: None, copy });
-                return self.handover.step(CarryStep::Stopped);
+            Step::StoppedAtSource { copy_id } => {
+                self.stopped = Some(StoppedGeneration { to: None, copy_id });
+                return self.handover.advance_migration(MigrationStep::Stopped);
             }
-            Step::Stayed => CarryAnswer::Stayed,
-            Step::Refused => CarryAnswer::Refused,
-            // Before the first event it still waits inside its engine, and there is no copy.
-            Step::NotThere if self.journey.events == 0 => CarryAnswer::Stayed,
-            Step::NotThere | Step::LeftBehind => CarryAnswer::LeftBehind,
+            Step::Stayed => MigrationAnswer::Stayed,
+            Step::Refused => MigrationAnswer::Refused,
+            // Before the first event the generation is still queued in its engine, and there is no
+            // copy.
+            Step::NotFound if self.tracker.events == 0 => MigrationAnswer::Stayed,
+            Step::NotFound | Step::Orphaned => MigrationAnswer::LeftBehind,
         };
-        let next = self.handover.step(CarryStep::NotStopped);
-        let has_copy = self.carrying.as_ref().is_some_and(Carrying::has_copy);
-        // An engine that was lost before it could stop the generation leaves the first copy, and
-        // there may be no other.
-        if next != Next::Recover || !has_copy {
-            self.end_carry(answer);
+        let next = self.handover.advance_migration(MigrationStep::NotStopped);
+        let has_copy = self.migration.as_ref().is_some_and(Migration::has_copy);
+        // If the engine was lost before it could stop the generation, the first copy remains, and
+        // may be the only one.
+        if next != NextStep::Recover || !has_copy {
+            self.end_migration(answer);
         }
         next
     }
 
-    pub(crate) fn end_carry(&mut self, answer: CarryAnswer) {
-        if let Some(carrying) = self.carrying.take() {
+    pub(crate) fn end_migration(&mut self, answer: MigrationAnswer) {
+        if let Some(migration) = self.migration.take() {
             info!(
                 "moves: request {} to {}: {answer:?}",
-                self.journey.id,
-                carrying.destination()
+                self.tracker.id,
+                migration.destination()
             );
-            carrying.answer(answer);
+            migration.answer(answer);
         }
     }
 }
 
 impl Drop for Relay {
-    /// The generation is over, or its caller has left, while a copy of it is made.
+    /// The generation has ended or its caller has left while a copy is being made.
     fn drop(&mut self) {
-        if let Some(carrying) = self.carrying.take() {
-            carrying.abandon(CarryAnswer::Over);
+        if let Some(migration) = self.migration.take() {
+            migration.discard(MigrationAnswer::Over);
         }
     }
 }
--- a/crates/gateway/src/runs.rs
+++ b/crates/gateway/src/runs.rs
@@ -3,24 +3,24 @@
 use std::collections::HashMap;
 
 use fulmarpath_policy::{HostKey, RunKey, RunStatement, UpstreamKey};
-use fulmarpath_wire::{CarryAnswer, CellKey, Restatement};
+use fulmarpath_wire::{CellKey, MigrationAnswer, RelayedRuns};
 use parking_lot::Mutex;
 use tokio::sync::{mpsc, oneshot};
 
 use crate::instance::Destination;
 
-/// An order to carry a generation to another engine.
-pub(crate) struct CarryOrder {
+/// An order to migrate a generation to another engine.
+pub(crate) struct MigrationOrder {
     pub(crate) to: Destination,
-    pub(crate) answer: oneshot::Sender<CarryAnswer>,
+    pub(crate) answer: oneshot::Sender<MigrationAnswer>,
 }
 
 #[derive(Debug)]
 struct Entry {
     cell: CellKey,
     statement: RunStatement,
-    /// To its relay; `None` while its engine has not begun to answer.
-    orders: Option<mpsc::Sender<CarryOrder>>,
+    /// Sends to its relay; `None` until its engine begins to respond.
+    orders: Option<mpsc::Sender<MigrationOrder>>,
 }
 
 /// The generations that this host relays.
@@ -30,15 +30,16 @@
 }
 
 impl Runs {
-    /// A generation is sent to an engine, where it may wait for long before the answer begins.
+    /// Records that a generation is sent to an engine, where it may be queued for long before the
+    /// response begins.
     ///
-    /// Stated only once its answer began, it was forgotten by its home while it waited: the home
-    /// took the engine for emptier than it was and sent more there, and prompts waited for 3 to 6 s
-    /// on a few engines while others had room. Stated from here on, it is counted all the time.
+    /// If it were stated only once its response began, its home would not count it while it is
+    /// queued: the home would underestimate the engine's load and send more there, and prompts
+    /// would wait for 3 to 6 s on a few engines while others have capacity.
     pub(crate) fn place(&self, cell: CellKey, statement: RunStatement) {
         let mut entries = self.entries.lock();
         let known = entries.entry(statement.run);
-        // One that is made anew elsewhere keeps its relay.
+        // A generation that is regenerated elsewhere keeps its relay.
         known
             .and_modify(|entry| entry.statement = statement)
             .or_insert(Entry {
@@ -48,8 +49,9 @@
             });
     }
 
-    /// A generation's answer has begun; its relay gets the orders.
-    pub(crate) fn begin(&self, run: RunKey) -> mpsc::Receiver<CarryOrder> {
+    /// Records that a generation's response has begun; returns the channel on which its relay
+    /// receives migration orders.
+    pub(crate) fn begin(&self, run: RunKey) -> mpsc::Receiver<MigrationOrder> {
         let (orders, received) = mpsc::channel(1);
         if let Some(entry) = self.entries.lock().get_mut(&run) {
             entry.orders = Some(orders);
@@ -57,25 +59,25 @@
         received
     }
 
-    /// Changes what is stated of a generation.
+    /// Changes the statement of a generation.
     pub(crate) fn update(&self, run: RunKey, change: impl FnOnce(&mut RunStatement)) {
         if let Some(entry) = self.entries.lock().get_mut(&run) {
             change(&mut entry.statement);
         }
     }
 
-    /// A generation is over; the tokens that had come of it.
+    /// Removes a generation that has ended; returns its output tokens.
     pub(crate) fn remove(&self, run: RunKey) -> Option<u32> {
         let entry = self.entries.lock().remove(&run)?;
         Some(entry.statement.out_tokens)
     }
 
-    /// All generations, by the cell that their engine is of now.
+    /// All generations, grouped by the current cell of their engine.
     pub(crate) fn restatements(
         &self,
         host: HostKey,
         cell_with: impl Fn(UpstreamKey) -> Option<CellKey>,
-    ) -> Vec<Restatement> {
+    ) -> Vec<RelayedRuns> {
         let mut by_cell: HashMap<CellKey, Vec<RunStatement>> = HashMap::new();
         for entry in self.entries.lock().values() {
             let cell = cell_with(entry.statement.engine).unwrap_or(entry.cell);
@@ -83,24 +85,24 @@
         }
         let cells = by_cell.into_iter();
         cells
-            .map(|(cell, runs)| Restatement { cell, host, runs })
+            .map(|(cell, runs)| RelayedRuns { cell, host, runs })
             .collect()
     }
 
-    /// Has a generation carried to another engine.
-    pub(crate) async fn carry(&self, run: RunKey, to: Destination) -> CarryAnswer {
+    /// Has a generation migrated to another engine.
+    pub(crate) async fn migrate(&self, run: RunKey, to: Destination) -> MigrationAnswer {
         let orders = match self.entries.lock().get(&run) {
             Some(entry) => entry.orders.clone(),
-            None => return CarryAnswer::Over,
+            None => return MigrationAnswer::Over,
         };
-        // Before its first token there is nothing to carry.
+        // Before the first token there is nothing to migrate.
         let Some(orders) = orders else {
-            return CarryAnswer::Stayed;
+            return MigrationAnswer::Stayed;
         };
         let (answer, answered) = oneshot::channel();
-        if orders.send(CarryOrder { to, answer }).await.is_err() {
-            return CarryAnswer::Over;
+        if orders.send(MigrationOrder { to, answer }).await.is_err() {
+            return MigrationAnswer::Over;
         }
-        answered.await.unwrap_or(CarryAnswer::Over)
+        answered.await.unwrap_or(MigrationAnswer::Over)
     }
 }
--- a/crates/gateway/src/serve.rs
+++ b/crates/gateway/src/serve.rs
@@ -1,10 +1,10 @@
-//! Runs a host's gateway from its start to its end.
+//! Runs a host's gateway from start to shutdown.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
 use std::time::Duration;
 
-use fulmarpath_http::{Reply, empty, full, serve, serve_by};
+use fulmarpath_http::{Reply, empty, full, serve, serve_with_limits};
 use fulmarpath_policy::Millis;
 use hyper::StatusCode;
 use spdlog::info;
@@ -14,14 +14,14 @@
 
 use crate::gateway::Gateway;
 
-/// Where a gateway listens.
+/// The addresses on which a gateway listens.
 #[derive(Debug, Clone, Copy)]
 pub struct Listen {
     /// For callers.
     pub callers: SocketAddr,
-    /// For the balancer's question whether callers may come.
+    /// For the load balancer's readiness probe.
     pub readiness: SocketAddr,
-    /// For the collector of metrics.
+    /// For the metrics scraper.
     pub metrics: SocketAddr,
     /// For the other hosts.
     pub peers: SocketAddr,
@@ -32,9 +32,9 @@
 pub struct Listeners {
     /// For callers.
     pub callers: TcpListener,
-    /// For the balancer's question whether callers may come.
+    /// For the load balancer's readiness probe.
     pub readiness: TcpListener,
-    /// For the collector of metrics.
+    /// For the metrics scraper.
     pub metrics: TcpListener,
     /// For the other hosts.
     pub peers: TcpListener,
@@ -55,25 +55,26 @@
     }
 }
 
-/// A gateway could not start.
+/// A listener could not be opened.
 #[derive(Debug, thiserror::Error)]
 #[error("could not listen on {address}")]
 pub struct ListenError {
     /// The address.
     pub address: SocketAddr,
-    /// Why.
+    /// The cause.
     #[source]
     pub source: std::io::Error,
 }
 
-/// How long new callers are still taken after a stop's signal: the balancer asks once a second,
-/// sends callers on until the second miss, and a caller that was sent may take a second to come.
+/// How long new callers are still accepted after the stop signal: the load balancer probes once per
+/// second, routes callers here until the second failure, and a caller that was routed here may take
+/// a second to arrive.
 const LINGER_MS: Millis = 3_400;
-/// What is left of the grace for closing connections and ending the process.
-const EXIT_MS: Millis = 400;
+/// Part of the grace period reserved for closing connections and ending the process.
+const EXIT_RESERVE_MS: Millis = 400;
 
 impl Gateway {
-    /// Serves until `stopped`, then finishes what runs within the grace.
+    /// Serves until `stopped`, then finishes running requests within the grace period.
     pub async fn run(self: Arc<Self>, listeners: Listeners, stopped: impl Future<Output = ()>) {
         let Listeners {
             callers,
@@ -82,32 +83,35 @@
             peers,
         } = listeners;
         let (stop, stops) = watch::channel(false);
-        let (_keep, never) = watch::channel(false);
+        let (_never_stop, never) = watch::channel(false);
         tokio::spawn(self.clone().answer_readiness(readiness, never.clone()));
         tokio::spawn(self.clone().answer_metrics(metrics, never));
-        tokio::spawn(self.clone().answer_peers(peers));
-        tokio::spawn(self.clone().follow_configuration());
-        tokio::spawn(self.clone().follow_registrations());
+        tokio::spawn(self.clone().serve_peers(peers));
+        tokio::spawn(self.clone().sync_configuration());
+        tokio::spawn(self.clone().sync_registrations());
         if let Some(bound_ms) = self.settings.evacuation_bound_ms {
-            tokio::spawn(self.clone().follow_evacuations(bound_ms));
+            tokio::spawn(self.clone().sync_evacuations(bound_ms));
         }
-        tokio::spawn(self.clone().expire_kept());
+        tokio::spawn(self.clone().expire_unconfirmed());
         tokio::spawn(self.clone().restate_runs());
-        tokio::spawn(self.clone().carry_off_leaving());
-        tokio::spawn(self.clone().look_around());
+        tokio::spawn(self.clone().migrate_off_leaving());
+        tokio::spawn(self.clone().probe_uncertain_engines());
         tokio::spawn(self.clone().join_fleet(self.settings.seeds.clone()));
         let gateway = self.clone();
-        let handler = move |request| gateway.clone().answer(request);
-        let server = tokio::spawn(serve_by(callers, self.clone(), stops, handler));
+        let handler = move |request| gateway.clone().handle(request);
+        let server = tokio::spawn(serve_with_limits(callers, self.clone(), stops, handler));
         info!("host: {} started", self.settings.host.name);
         stopped.await;
         info!("host: {} stops", self.settings.host.name);
-        let left_ms = self.settings.grace_ms.saturating_sub(EXIT_MS);
+        let left_ms = self.settings.grace_ms.saturating_sub(EXIT_RESERVE_MS);
         self.drain(self.clock.now_ms() + left_ms);
         self.leave_fleet().await;
         sleep(Duration::from_millis(LINGER_MS)).await;
         let _ = stop.send(true);
-        let left_ms = self.settings.grace_ms.saturating_sub(LINGER_MS + EXIT_MS);
+        let left_ms = self
+            .settings
+            .grace_ms
+            .saturating_sub(LINGER_MS + EXIT_RESERVE_MS);
         let finished = timeout(Duration::from_millis(left_ms), server).await;
         match finished {
             Ok(_) => info!("host: {} stopped, all is answered", self.settings.host.name),
@@ -135,7 +139,7 @@
     }
 }
 
-/// The longest head of a probe.
+/// Maximum size of the head of a probe.
 const PROBE_HEADER_BYTES: usize = 8_192;
 
 fn readiness(is_ready: bool) -> Reply {
--- a/crates/gateway/src/start.rs
+++ b/crates/gateway/src/start.rs
@@ -1,4 +1,4 @@
-//! At which engine a generation starts, and at which others after that.
+//! Selects the engine on which a generation starts, and retries it on other engines.
 
 use std::pin::pin;
 use std::sync::Arc;
@@ -7,62 +7,62 @@
 use fulmarpath_policy::{Millis, Placement, PlacementRequest, RunStatement, UpstreamKey, Verdict};
 use tokio::time::{sleep, timeout};
 
-use crate::attempt::{Answer, Failure, Terms};
+use crate::attempt::{Answer, DispatchOptions, Failure};
 use crate::configuration::EngineTraits;
 use crate::drain::can_finish;
 use crate::gateway::Gateway;
+use crate::inbound::InboundRequest;
 use crate::instance::{Chosen, Destination};
-use crate::intake::Inquiry;
-use crate::journey::Journey;
-use crate::key::centre_of;
+use crate::key::data_centre_key;
 use crate::problem::Problem;
-use crate::relay::Ticket;
+use crate::relay::RunGuard;
+use crate::tracker::RequestTracker;
 
-/// Upstreams asked for one generation until one takes it.
-const DISPATCHES: usize = 4;
-/// The part of the time to a first event for which a generation waits for room. What is left has
-/// to be enough for its prompt to be read.
-const WAIT_SHARE: f32 = 0.55;
-/// An engine is in doubt whose answer has not begun after so many times the time in which it is on
-/// time: on a crowded one it is merely late.
-const SILENCE_TARGETS: Millis = 2;
-/// Between two questions for room.
-const WAIT_PERIOD: Duration = Duration::from_millis(60);
+/// Maximum number of engines that one generation is sent to.
+const MAX_DISPATCHES: usize = 4;
+/// Fraction of the first-event target for which a generation waits for capacity. The remainder must
+/// suffice for the prefill.
+const CAPACITY_WAIT_FRACTION: f32 = 0.55;
+/// An engine whose response has not begun after this multiple of the first-event target is reported
+/// as failing. After the target alone, a loaded engine would merely be late.
+const SILENCE_TARGET_MULTIPLE: Millis = 2;
+/// Interval between two placement requests while the cell is full.
+const PLACEMENT_RETRY_INTERVAL: Duration = Duration::from_millis(60);
 
-/// Where a generation starts.
-struct Start {
+/// An engine selected for a generation, with the request counted there.
+struct SelectedEngine {
     chosen: Chosen,
     backup: Option<Destination>,
 }
 
-/// A generation that an engine answers.
-pub(crate) struct Started {
+/// A generation that an engine has begun to answer.
+pub(crate) struct StartedGeneration {
     pub(crate) answer: Answer,
-    /// The engine that keeps a running copy of its memory.
+    /// The engine that keeps a running copy of the generation's KV cache.
     pub(crate) backup: Option<Destination>,
 }
 
-/// The engines that one request was sent to.
+/// The engines that one request has been sent to.
 #[derive(Default)]
-pub(crate) struct Tries {
+pub(crate) struct Attempts {
     tried: Vec<Chosen>,
-    /// Those among them where it may have run.
+    /// Number of engines on which it may have run.
     runs: u32,
-    /// When it was lost at the last of them, where its stream had begun.
+    /// When the last engine was lost, if its stream had begun.
     lost_ms: Option<Millis>,
-    /// The last engine's own failure, which is the caller's answer where no other is found.
-    failed: Option<Started>,
+    /// The last engine's own error response, returned to the caller if no other engine answers.
+    failed_response: Option<StartedGeneration>,
 }
 
-impl Tries {
-    /// The stream broke off at the last of them.
-    pub(crate) fn lose(&mut self, now_ms: Millis) {
+impl Attempts {
+    /// Records that the stream of the last engine broke off.
+    pub(crate) fn mark_lost(&mut self, now_ms: Millis) {
         self.lost_ms = Some(now_ms);
     }
 
-    /// What a caller may be told: a request that may have run must never be said not to have run.
-    fn honest(&self, problem: Problem) -> Problem {
-        match self.runs > 0 && problem.says_not_run() {
+    /// Replaces a problem that guarantees that the request has not run if it may have run.
+    fn without_false_not_run(&self, problem: Problem) -> Problem {
+        match self.runs > 0 && problem.guarantees_not_run() {
             true => Problem::Broken,
             false => problem,
         }
@@ -70,92 +70,96 @@
 }
 
 impl Gateway {
-    /// Sends a generation to an engine, and where that is safe to others, until one answers.
-    pub(crate) async fn start(
+    /// Sends a generation to an engine, and to further engines where a retry is safe, until one
+    /// answers.
+    pub(crate) async fn start_generation(
         self: &Arc<Self>,
-        inquiry: &Inquiry,
-        ticket: &Ticket,
-        journey: &mut Journey,
-        tries: &mut Tries,
-    ) -> Result<Started, Problem> {
-        if !self.can_finish(inquiry) {
+        inbound: &InboundRequest,
+        run_guard: &RunGuard,
+        tracker: &mut RequestTracker,
+        attempts: &mut Attempts,
+    ) -> Result<StartedGeneration, Problem> {
+        if !self.can_finish(inbound) {
             return Err(Problem::Stopping);
         }
-        let started = self.try_engines(inquiry, ticket, journey, tries, inquiry.last_event);
+        let started = self.start_on_any(inbound, run_guard, tracker, attempts, inbound.last_event);
         match started.await {
             Ok(started) => Ok(started),
             Err(problem) => {
-                let problem = self.when_refused(tries.honest(problem), &inquiry.service);
-                tries.failed.take().ok_or(problem)
+                let problem =
+                    self.refine_refusal(attempts.without_false_not_run(problem), &inbound.service);
+                attempts.failed_response.take().ok_or(problem)
             }
         }
     }
 
-    /// Sends a stream that broke off to another engine, which goes on behind `last_event`; `None`
-    /// where it may not run again or no engine takes it.
-    pub(crate) async fn start_again(
+    /// Sends a stream that broke off to another engine, which resumes after `last_event`. Returns
+    /// `None` if the generation may not run again or no engine accepts it.
+    pub(crate) async fn restart_generation(
         self: &Arc<Self>,
-        inquiry: &Inquiry,
-        ticket: &Ticket,
-        journey: &mut Journey,
-        tries: &mut Tries,
+        inbound: &InboundRequest,
+        run_guard: &RunGuard,
+        tracker: &mut RequestTracker,
+        attempts: &mut Attempts,
         last_event: Option<u64>,
-    ) -> Option<Started> {
-        if !inquiry.may_run_again(tries.runs) || !self.can_finish(inquiry) {
+    ) -> Option<StartedGeneration> {
+        if !inbound.may_run_again(attempts.runs) || !self.can_finish(inbound) {
             return None;
         }
-        let started = self.try_engines(inquiry, ticket, journey, tries, last_event);
+        let started = self.start_on_any(inbound, run_guard, tracker, attempts, last_event);
         let started = started.await.ok()?;
         let is_stream = started.answer.response.status().is_success();
         is_stream.then_some(started)
     }
 
-    async fn try_engines(
+    async fn start_on_any(
         self: &Arc<Self>,
-        inquiry: &Inquiry,
-        ticket: &Ticket,
-        journey: &mut Journey,
-        tries: &mut Tries,
+        inbound: &InboundRequest,
+        run_guard: &RunGuard,
+        tracker: &mut RequestTracker,
+        attempts: &mut Attempts,
         last_event: Option<u64>,
-    ) -> Result<Started, Problem> {
+    ) -> Result<StartedGeneration, Problem> {
         let mut problem = Problem::NoUpstream;
         let mut is_admitted = false;
-        while tries.tried.len() < DISPATCHES {
+        while attempts.tried.len() < MAX_DISPATCHES {
             let now_ms = self.clock.now_ms();
-            if now_ms >= inquiry.deadline_ms {
+            if now_ms >= inbound.deadline_ms {
                 return Err(Problem::TooLateToSend);
             }
-            if !tries.tried.is_empty() && !self.may_retry(now_ms, &inquiry.service) {
+            if !attempts.tried.is_empty() && !self.may_retry(now_ms, &inbound.service) {
                 break;
             }
             if !std::mem::replace(&mut is_admitted, true) {
-                self.admit(inquiry).await?;
+                self.admit(inbound).await?;
             }
-            let found = self.find_start(inquiry, ticket, journey, tries).await?;
-            let Some(start) = found else { break };
-            // It may have waited for room while others showed what it does.
-            self.refuse_if_open(inquiry)?;
-            tries.tried.push(start.chosen.clone());
-            let tried = self.try_engine(inquiry, ticket, journey, start, last_event);
+            let found = self
+                .find_engine(inbound, run_guard, tracker, attempts)
+                .await?;
+            let Some(selected) = found else { break };
+            // The circuit may have opened while the request waited for capacity.
+            self.refuse_if_open(inbound)?;
+            attempts.tried.push(selected.chosen.clone());
+            let tried = self.start_on(inbound, run_guard, tracker, selected, last_event);
             let failure = match tried.await {
                 Ok(started) => {
-                    tries.runs += 1;
+                    attempts.runs += 1;
                     is_admitted = false;
                     let has_failed = started.answer.response.status().is_server_error();
-                    if !has_failed || !inquiry.may_run_again(tries.runs) {
+                    if !has_failed || !inbound.may_run_again(attempts.runs) {
                         return Ok(started);
                     }
-                    tries.failed = Some(started);
+                    attempts.failed_response = Some(started);
                     continue;
                 }
                 Err(failure) => failure,
             };
-            tries.runs += u32::from(!failure.is_not_run());
+            attempts.runs += u32::from(!failure.is_not_run());
             is_admitted &= failure.is_not_run();
             problem = failure.problem();
             let is_last = match failure {
                 Failure::Unsent | Failure::Shed => false,
-                Failure::Unknown => !inquiry.may_run_again(tries.runs),
+                Failure::Unknown => !inbound.may_run_again(attempts.runs),
                 Failure::Overdue => true,
             };
             if is_last {
@@ -166,30 +170,32 @@
     }
 
     /// Sends a generation to one engine.
-    async fn try_engine(
+    async fn start_on(
         self: &Arc<Self>,
-        inquiry: &Inquiry,
-        ticket: &Ticket,
-        journey: &mut Journey,
-        start: Start,
+        inbound: &InboundRequest,
+        run_guard: &RunGuard,
+        tracker: &mut RequestTracker,
+        selected: SelectedEngine,
         last_event: Option<u64>,
-    ) -> Result<Started, Failure> {
-        if start.backup.is_some() {
+    ) -> Result<StartedGeneration, Failure> {
+        if selected.backup.is_some() {
             self.metrics.running_copies.inc();
         }
-        journey.placed(self.clock.now_ms());
-        let statement = statement(inquiry, ticket, &start);
-        self.runs.place(ticket.cell, statement);
-        let terms = Terms {
-            until_ms: inquiry.deadline_ms,
-            backup: start.backup.as_ref().map(|backup| backup.address),
+        tracker.mark_placed(self.clock.now_ms());
+        let statement = run_statement(inbound, run_guard, &selected);
+        self.runs.place(run_guard.cell, statement);
+        let options = DispatchOptions {
+            until_ms: inbound.deadline_ms,
+            backup: selected.backup.as_ref().map(|backup| backup.address),
             last_event,
-            ..Terms::default()
+            ..DispatchOptions::default()
         };
-        let engine = start.chosen.upstream;
-        let dispatch = self.dispatch(inquiry, journey, start.chosen, terms);
-        let answer = self.note_silence(inquiry, ticket, engine, dispatch).await;
-        // Without a signature a success isn't the engine's own.
+        let engine = selected.chosen.upstream;
+        let dispatch = self.dispatch(inbound, tracker, selected.chosen, options);
+        let answer = self
+            .report_silence(inbound, run_guard, engine, dispatch)
+            .await;
+        // A successful response without a signature does not come from the engine itself.
         let answer = answer.and_then(|answer| {
             let is_success = answer.response.status().is_success();
             match is_success && !answer.head.is_signed {
@@ -197,68 +203,70 @@
                 false => Ok(answer),
             }
         });
-        if let Some(verdict) = doubt_of(&answer) {
-            self.doubt(ticket.cell, engine, verdict);
+        if let Some(verdict) = engine_verdict(&answer) {
+            self.report_engine_failure(run_guard.cell, engine, verdict);
         }
         let answer = answer?;
-        Ok(Started {
+        Ok(StartedGeneration {
             answer,
-            backup: start.backup,
+            backup: selected.backup,
         })
     }
 
-    /// Waits for an engine's answer, and tells the home where it stays away: an engine that hangs shows
-    /// nothing but silence, and looks empty.
-    async fn note_silence(
+    /// Waits for an engine's response and reports the engine to the home if it stays silent: an
+    /// engine that hangs returns no errors and appears idle.
+    async fn report_silence(
         self: &Arc<Self>,
-        inquiry: &Inquiry,
-        ticket: &Ticket,
+        inbound: &InboundRequest,
+        run_guard: &RunGuard,
         engine: UpstreamKey,
         dispatch: impl Future<Output = Result<Answer, Failure>>,
     ) -> Result<Answer, Failure> {
         let mut dispatch = pin!(dispatch);
-        let patience = Duration::from_millis(inquiry.route.target_ms * SILENCE_TARGETS);
-        if let Ok(answer) = timeout(patience, dispatch.as_mut()).await {
+        let silence_timeout =
+            Duration::from_millis(inbound.route.target_ms * SILENCE_TARGET_MULTIPLE);
+        if let Ok(answer) = timeout(silence_timeout, dispatch.as_mut()).await {
             return answer;
         }
-        self.doubt(ticket.cell, engine, Verdict::Failed);
+        self.report_engine_failure(run_guard.cell, engine, Verdict::Failed);
         dispatch.await
     }
 
-    /// Whether this host, if it stops, stops after the generation has surely ended.
-    fn can_finish(&self, inquiry: &Inquiry) -> bool {
-        let (Some(ends_ms), Some(generation)) = (self.ends_ms(), &inquiry.generation) else {
+    /// Whether the generation is certain to end before this host stops, if it is stopping.
+    fn can_finish(&self, inbound: &InboundRequest) -> bool {
+        let (Some(ends_ms), Some(generation)) = (self.stops_at_ms(), &inbound.generation) else {
             return true;
         };
         can_finish(self.clock.now_ms(), ends_ms, generation.output_limit_tokens)
     }
 
-    /// Asks the cell's home until there is room; `None` where no engine is left to try.
-    async fn find_start(
+    /// Requests a placement from the cell's home until there is capacity. Returns `None` if no
+    /// engine is left to try.
+    async fn find_engine(
         &self,
-        inquiry: &Inquiry,
-        ticket: &Ticket,
-        journey: &mut Journey,
-        tries: &Tries,
-    ) -> Result<Option<Start>, Problem> {
-        let tried = &tries.tried;
-        let mut refusing: Vec<UpstreamKey> = tried.iter().map(|one| one.upstream).collect();
-        let wait_ms = (inquiry.route.target_ms as f32 * WAIT_SHARE) as Millis;
-        let since_ms = tries.lost_ms.unwrap_or(journey.arrived_ms);
-        let until_ms = inquiry.deadline_ms.min(since_ms + wait_ms);
+        inbound: &InboundRequest,
+        run_guard: &RunGuard,
+        tracker: &mut RequestTracker,
+        attempts: &Attempts,
+    ) -> Result<Option<SelectedEngine>, Problem> {
+        let tried = &attempts.tried;
+        let mut refused_by: Vec<UpstreamKey> = tried.iter().map(|one| one.upstream).collect();
+        let wait_ms = (inbound.route.target_ms as f32 * CAPACITY_WAIT_FRACTION) as Millis;
+        let since_ms = attempts.lost_ms.unwrap_or(tracker.arrived_ms);
+        let until_ms = inbound.deadline_ms.min(since_ms + wait_ms);
         loop {
-            let asked_ms = self.clock.now_ms();
-            let is_last_call = asked_ms >= until_ms;
-            let mut without = refusing.clone();
-            without.extend(self.instances.closed(asked_ms));
-            let mut request = self.placement_request(inquiry, ticket, without);
+            let requested_ms = self.clock.now_ms();
+            let is_final_attempt = requested_ms >= until_ms;
+            let mut excluded = refused_by.clone();
+            excluded.extend(self.instances.throttled(requested_ms));
+            let mut request = self.placement_request(inbound, run_guard, excluded);
             if let Some(request) = &mut request {
-                let waited_ms = asked_ms.saturating_sub(journey.arrived_ms);
-                request.patience_ms = inquiry.route.target_ms.saturating_sub(waited_ms);
-                request.is_last_call = is_last_call;
+                let waited_ms = requested_ms.saturating_sub(tracker.arrived_ms);
+                request.max_wait_ms = inbound.route.target_ms.saturating_sub(waited_ms);
+                request.is_final_attempt = is_final_attempt;
             }
             let placement = match &request {
-                Some(request) => self.place(ticket.cell, request.clone()).await,
+                Some(request) => self.place(run_guard.cell, request.clone()).await,
                 None => Placement::NoEngine,
             };
             match placement {
@@ -267,30 +275,31 @@
                     backup,
                     seen,
                 } => {
-                    journey.seen(seen);
-                    if self.is_held_back(engine).await {
-                        // Others may take each of its starts: this one has no time left to try.
-                        refusing.extend(is_last_call.then_some(engine));
+                    tracker.set_engine_snapshot(seen);
+                    if self.is_throttled(engine).await {
+                        // Other hosts may take every start of this engine, and this request has no
+                        // time left to retry.
+                        refused_by.extend(is_final_attempt.then_some(engine));
                         continue;
                     }
                     let now_ms = self.clock.now_ms();
-                    if let Some(chosen) = self.instances.take(now_ms, engine) {
+                    if let Some(chosen) = self.instances.reserve(now_ms, engine) {
                         let backup = backup.and_then(|one| self.instances.destination(now_ms, one));
-                        return Ok(Some(Start { chosen, backup }));
+                        return Ok(Some(SelectedEngine { chosen, backup }));
                     }
-                    refusing.push(engine);
+                    refused_by.push(engine);
                 }
-                Placement::Full { retry_after_ms } if is_last_call => {
+                Placement::Full { retry_after_ms } if is_final_attempt => {
                     return Err(Problem::Full { retry_after_ms });
                 }
-                Placement::Full { .. } => sleep(WAIT_PERIOD).await,
+                Placement::Full { .. } => sleep(PLACEMENT_RETRY_INTERVAL).await,
                 Placement::TooLarge => return Err(Problem::TooLarge),
                 Placement::NoEngine => {
                     let tried: Vec<_> = tried.iter().map(|one| one.key).collect();
                     let chosen = self
-                        .find_upstream(&inquiry.service, &tried, until_ms)
+                        .find_upstream(&inbound.service, &tried, until_ms)
                         .await?;
-                    return Ok(chosen.map(|chosen| Start {
+                    return Ok(chosen.map(|chosen| SelectedEngine {
                         chosen,
                         backup: None,
                     }));
@@ -299,46 +308,48 @@
         }
     }
 
-    /// What the cell's home must know; `None` for a stream that isn't a generation.
+    /// Builds the placement request for the cell's home. Returns `None` for a stream that is not a
+    /// generation.
     fn placement_request(
         &self,
-        inquiry: &Inquiry,
-        ticket: &Ticket,
-        without: Vec<UpstreamKey>,
+        inbound: &InboundRequest,
+        run_guard: &RunGuard,
+        excluded: Vec<UpstreamKey>,
     ) -> Option<PlacementRequest> {
-        let generation = inquiry.generation.as_ref()?;
-        // Engines that don't state their memory are chosen by their load alone.
-        let traits = self.engine_traits(&inquiry.service)?;
+        let generation = inbound.generation.as_ref()?;
+        // Engines that do not report their memory are selected by load alone.
+        let traits = self.engine_traits(&inbound.service)?;
         if traits.memory_tokens == 0 {
             return None;
         }
         Some(PlacementRequest {
-            run: ticket.run,
+            run: run_guard.run,
             host: self.host_key(),
-            organisation: inquiry.organisation_key(),
-            data_centre: centre_of(&self.settings.host.data_centre),
+            organisation: inbound.organisation_key(),
+            data_centre: data_centre_key(&self.settings.host.data_centre),
             prompt_tokens: generation.prompt_tokens,
             limit_tokens: generation.output_limit_tokens,
             hint_tokens: generation.length_hint_tokens,
-            likeness: inquiry.likeness(),
-            priority: inquiry.priority,
-            patience_ms: inquiry.route.target_ms,
-            left_ms: inquiry.deadline_ms.saturating_sub(self.clock.now_ms()),
-            is_last_call: false,
-            without,
+            retry_key: inbound.retry_key(),
+            priority: inbound.priority,
+            max_wait_ms: inbound.route.target_ms,
+            left_ms: inbound.deadline_ms.saturating_sub(self.clock.now_ms()),
+            is_final_attempt: false,
+            excluded,
             can_back_up: traits.can_back_up,
         })
     }
 
-    /// What engines of a service can do; `None` where its upstreams aren't engines.
+    /// Capabilities of a service's engines; `None` if its upstreams are not engines.
     pub(crate) fn engine_traits(&self, service: &str) -> Option<EngineTraits> {
-        let in_force = self.in_force()?;
-        in_force.service(service)?.engine.clone()
+        let active = self.active_configuration()?;
+        active.service(service)?.engine.clone()
     }
 }
 
-/// Why an engine is in doubt after an answer, or for want of one.
-fn doubt_of(answer: &Result<Answer, Failure>) -> Option<Verdict> {
+/// The verdict to report about an engine after a response or a failed dispatch; `None` if there is
+/// nothing to report.
+fn engine_verdict(answer: &Result<Answer, Failure>) -> Option<Verdict> {
     match answer {
         Ok(answer) if answer.response.status().is_server_error() => Some(Verdict::Failed),
         Ok(answer) if answer.head.is_closing || answer.head.signals.is_leaving => {
@@ -351,13 +362,17 @@
     }
 }
 
-fn statement(inquiry: &Inquiry, ticket: &Ticket, start: &Start) -> RunStatement {
-    let generation = inquiry.generation.clone().unwrap_or_default();
+fn run_statement(
+    inbound: &InboundRequest,
+    run_guard: &RunGuard,
+    selected: &SelectedEngine,
+) -> RunStatement {
+    let generation = inbound.generation.clone().unwrap_or_default();
     RunStatement {
-        run: ticket.run,
-        organisation: inquiry.organisation_key(),
-        engine: start.chosen.upstream,
-        backup: start.backup.as_ref().map(|backup| backup.upstream),
+        run: run_guard.run,
+        organisation: inbound.organisation_key(),
+        engine: selected.chosen.upstream,
+        backup: selected.backup.as_ref().map(|backup| backup.upstream),
         prompt_tokens: generation.prompt_tokens,
         out_tokens: 0,
         limit_tokens: generation.output_limit_tokens,
--- /dev/null
+++ b/crates/gateway/src/store_sync.rs
@@ -0,0 +1,301 @@
+//! Keeps the configuration and the upstreams in step with the store.
+
+use std::ops::Range;
+use std::sync::Arc;
+use std::time::Duration;
+
+use fulmarpath_policy::{Millis, Revision};
+use rand::Rng;
+use spdlog::{info, warn};
+use tokio::time::sleep;
+
+use crate::collection_reader::{CollectionReader, StoreUpdate, outcome};
+use crate::configuration::Configuration;
+use crate::directory::{Directory, DirectoryChange, Registration};
+use crate::gateway::Gateway;
+use crate::metadata::{Change, Freshness};
+use crate::roster::Roster;
+
+/// Share of the bound within which a change must be in force that one watch waits. A store that
+/// falls silent or loses an answer is detected only when the watch ends; each watch costs a call.
+pub(crate) const WATCH_SHARE: f32 = 0.5;
+/// How often a host that does not watch checks whether it should.
+const WATCH_CHECK_PERIOD: Duration = Duration::from_millis(200);
+/// How often a host that has just started checks whether its peers have been asked.
+const JOIN_CHECK_PERIOD: Duration = Duration::from_millis(10);
+/// Between two reads of a host that has neither data from its peers nor from the store: before the
+/// first configuration is written, and during a store outage. Randomised for each read.
+const READ_INTERVAL_MS: Range<u64> = 800..1_600;
+/// Share of the same bound that passes between two watches of the upstreams, so that changes close
+/// together cost one call. The home of a cell does not wait, as the notice of a leaving engine is
+/// short.
+const WATCH_PAUSE_SHARE: f32 = 0.06;
+/// How often state that is kept for a limited time is checked for expiry.
+const EXPIRY_CHECK_PERIOD: Duration = Duration::from_millis(100);
+
+/// Spaces the reads of a host that has no data yet.
+#[derive(Debug, Default)]
+struct InitialReads {
+    next_ms: Millis,
+}
+
+impl InitialReads {
+    /// Whether to read now; false until the random interval has passed.
+    fn is_due(&mut self, gateway: &Gateway) -> bool {
+        let now_ms = gateway.clock.now_ms();
+        if now_ms < self.next_ms || !gateway.may_read() {
+            return false;
+        }
+        self.next_ms = now_ms + rand::rng().random_range(READ_INTERVAL_MS);
+        true
+    }
+}
+
+impl Gateway {
+    /// Watches the operator's configuration while this host is the watcher of its area.
+    pub(crate) async fn sync_configuration(self: Arc<Self>) {
+        let source = &*self.metadata.configuration;
+        let wait = self.share_of_change_bound(WATCH_SHARE);
+        let mut reader = CollectionReader::new("the configuration", "configuration");
+        let mut initial_reads = InitialReads::default();
+        let mut revision = None;
+        loop {
+            if !self.is_watcher() {
+                revision = None;
+                if self.version() == 0 && initial_reads.is_due(&self) {
+                    self.read_configuration().await;
+                }
+                sleep(self.watch_check_period()).await;
+                continue;
+            }
+            match reader.read(&self, source, revision, wait).await {
+                Ok(update) => {
+                    revision = Some(update.revision());
+                    for configuration in configurations(update) {
+                        self.apply_stored_configuration(configuration);
+                    }
+                    self.read_circuits().await;
+                }
+                Err(error) => {
+                    revision = None;
+                    reader.handle_failure(&self, &error).await;
+                }
+            }
+        }
+    }
+
+    /// Applies the stored configuration, and announces it.
+    fn apply_stored_configuration(self: &Arc<Self>, configuration: Configuration) {
+        let (stored, held) = (configuration.version, self.version());
+        if stored < held {
+            info!("configuration: the store has version {stored}, {held} stays in force");
+        }
+        if self.apply_configuration(configuration, "the store") {
+            self.announce_configuration();
+        }
+    }
+
+    /// Watches the upstreams' registrations while this host should.
+    pub(crate) async fn sync_registrations(self: Arc<Self>) {
+        let source = &*self.metadata.registrations;
+        let wait = self.share_of_change_bound(WATCH_SHARE);
+        let mut reader = CollectionReader::new("the upstreams", "upstreams");
+        let mut initial_reads = InitialReads::default();
+        let mut is_listed = false;
+        loop {
+            if !self.watches_upstreams() {
+                is_listed = false;
+                if !self.knows_upstreams() && initial_reads.is_due(&self) {
+                    self.read_registrations().await;
+                }
+                sleep(self.watch_check_period()).await;
+                continue;
+            }
+            let held = self.roster.lock().revision();
+            if !is_listed {
+                self.reset_announced_revision();
+            }
+            let since = is_listed.then_some(held);
+            match reader.read(&self, source, since, wait).await {
+                Ok(update) => {
+                    is_listed = true;
+                    self.apply_registrations(update);
+                    self.schedule_directory_announcement();
+                    if !self.is_home_of_any_cell() {
+                        sleep(self.share_of_change_bound(WATCH_PAUSE_SHARE)).await;
+                    }
+                }
+                Err(error) => {
+                    is_listed = false;
+                    if error.is_outage() {
+                        self.roster
+                            .lock()
+                            .mark_store_unavailable(self.clock.now_ms());
+                    }
+                    reader.handle_failure(&self, &error).await;
+                }
+            }
+        }
+    }
+
+    /// Applies the store's update of the upstreams, or drops it if peers have sent a later one.
+    fn apply_registrations(&self, update: StoreUpdate<Registration>) {
+        let held = self.roster.lock().revision();
+        if update.revision() < held {
+            self.report_stale_answer("the upstreams", update.revision(), held);
+        }
+        self.update_roster(|roster, now_ms| match update {
+            StoreUpdate::Snapshot(list) => roster.replace(now_ms, list),
+            StoreUpdate::Changes(changes) => roster.apply(now_ms, changes),
+        });
+    }
+
+    fn share_of_change_bound(&self, share: f32) -> Duration {
+        Duration::from_millis((self.settings.change_bound_ms as f32 * share) as u64)
+    }
+
+    /// Whether a peer or the store has provided a list of upstreams.
+    fn knows_upstreams(&self) -> bool {
+        self.roster.lock().revision() > Revision::default()
+    }
+
+    /// Whether this host may read from the store what no peer has provided.
+    fn may_read(&self) -> bool {
+        let now_ms = self.clock.now_ms();
+        self.fleet.join.lock().may_read_store(now_ms)
+    }
+
+    /// Time until a host that does not watch checks again whether it should.
+    pub(crate) fn watch_check_period(&self) -> Duration {
+        match self.may_read() {
+            true => WATCH_CHECK_PERIOD,
+            false => JOIN_CHECK_PERIOD,
+        }
+    }
+
+    /// Reads the configuration once if no peer has provided it.
+    async fn read_configuration(self: &Arc<Self>) {
+        // This host begins to serve with the configuration, so the evacuations have to be known by
+        // then.
+        let (listed, ()) = tokio::join!(
+            self.metadata.configuration.list(Freshness::MayBeStale),
+            self.read_evacuations()
+        );
+        self.metrics.store_call("configuration", outcome(&listed));
+        match listed {
+            Ok(all) => {
+                self.report_unusable_in_list("the configuration", &all);
+                for configuration in all.items {
+                    self.apply_configuration(configuration, "the store, maybe old");
+                }
+                self.read_circuits().await;
+            }
+            Err(error) => {
+                self.metrics.store_failures.inc();
+                warn!(
+                    "store: no configuration known, and the configuration can't be read: {error}"
+                );
+            }
+        }
+    }
+
+    /// Reads the upstreams once if no peer has provided them.
+    async fn read_registrations(self: &Arc<Self>) {
+        let listed = self
+            .metadata
+            .registrations
+            .list(Freshness::MayBeStale)
+            .await;
+        self.metrics.store_call("upstreams", outcome(&listed));
+        match listed {
+            Ok(list) => {
+                self.report_unusable_in_list("the upstreams", &list);
+                self.update_roster(|roster, now_ms| roster.load_provisional(now_ms, list));
+            }
+            Err(error) => {
+                self.metrics.store_failures.inc();
+                warn!("store: no upstream known, and the upstreams can't be read: {error}");
+            }
+        }
+    }
+
+    /// Ends what was kept only until the store would confirm it after an outage or a restore.
+    pub(crate) async fn expire_unconfirmed(self: Arc<Self>) {
+        loop {
+            sleep(EXPIRY_CHECK_PERIOD).await;
+            self.expire_evacuations();
+            let mut roster = self.roster.lock();
+            if roster.expire(self.clock.now_ms()) {
+                self.apply_directory(&roster.directory());
+            }
+        }
+    }
+
+    /// Applies a peer's change of the upstreams.
+    pub(crate) fn apply_peer_upstreams(&self, change: DirectoryChange) {
+        self.observe_era(change.revision, "a peer");
+        let now_ms = self.clock.now_ms();
+        let is_complete = change.is_complete();
+        let mut roster = self.roster.lock();
+        let before = roster.revision();
+        if roster.apply_peer_change(now_ms, change) {
+            let revision = roster.revision();
+            let extent = if is_complete {
+                "complete"
+            } else {
+                "incremental"
+            };
+            info!("upstreams: revision {revision} from a peer, {extent}, replaces {before}");
+            self.apply_directory(&roster.directory());
+        }
+        log_store_restored(before, &roster);
+    }
+
+    fn update_roster(&self, step: impl FnOnce(&mut Roster, Millis) -> bool) {
+        let now_ms = self.clock.now_ms();
+        let mut roster = self.roster.lock();
+        roster.mark_store_available(now_ms);
+        let before = roster.revision();
+        if step(&mut roster, now_ms) {
+            let directory = roster.directory();
+            info!(
+                "upstreams: {} known at revision {}",
+                directory.registrations.len(),
+                directory.revision
+            );
+            self.apply_directory(&directory);
+        }
+        log_store_restored(before, &roster);
+    }
+}
+
+/// Logs the differences to a store that was restored from a backup since a revision.
+pub(crate) fn log_store_restored(before: Revision, roster: &Roster) {
+    let revision = roster.revision();
+    if !revision.is_restore_since(before, Directory::PROVISIONAL) {
+        return;
+    }
+    let unconfirmed = roster.unconfirmed();
+    info!(
+        "upstreams: revision {revision} follows {before}: {} kept that the store lacks, {} ignored that had left",
+        unconfirmed.missing, unconfirmed.restored
+    );
+}
+
+/// The configurations in an update from the store, in order. A removed configuration leaves the
+/// active one in force.
+fn configurations(update: StoreUpdate<Configuration>) -> Vec<Configuration> {
+    match update {
+        StoreUpdate::Snapshot(all) => all.items,
+        StoreUpdate::Changes(changes) => {
+            let puts = changes
+                .changes
+                .into_iter()
+                .filter_map(|change| match change {
+                    Change::Put(configuration) => Some(configuration),
+                    Change::Removed(_) | Change::Unusable(_) => None,
+                });
+            puts.collect()
+        }
+    }
+}
--- a/crates/gateway/src/journey.rs
+++ b/crates/gateway/src/tracker.rs
@@ -1,24 +1,24 @@
-//! One request from its arrival to its end, and the line that the log gets of it.
+//! Tracks one request from its arrival to its end and writes its log line.
 
 use std::sync::Arc;
 
-use fulmarpath_policy::{ContentKey, Millis, Seen, Verdict};
+use fulmarpath_policy::{ContentKey, EngineSnapshot, Millis, Verdict};
 use spdlog::info;
 
 use crate::configuration::{Route, RouteKind};
 use crate::gateway::Gateway;
 use crate::head::GenerationHead;
 use crate::instance::Chosen;
-use crate::key::run_of;
+use crate::key::run_key;
 use crate::metrics::EndLabels;
 use crate::problem::Problem;
 use crate::record::{Dispatch, REQUEST_PREFIX, RequestRecord, Size};
 
-/// How a dispatch ended whose answer's head came.
+/// Outcome of a dispatch whose response head arrived.
 pub(crate) const ANSWERED: &str = "answered";
 
 impl RouteKind {
-    /// Its name on metrics and log lines.
+    /// Its name in metrics and log lines.
     pub(crate) fn name(self) -> &'static str {
         match self {
             Self::Idempotent => "idempotent",
@@ -28,17 +28,17 @@
     }
 }
 
-/// One request from its arrival to its end. Dropped without an end, its caller has left.
-pub(crate) struct Journey {
+/// Tracks one request from its arrival to its end. If dropped without an end, the caller has left.
+pub(crate) struct RequestTracker {
     gateway: Arc<Gateway>,
     pub(crate) id: String,
     content: Option<ContentKey>,
     pub(crate) arrived_ms: Millis,
-    /// Events that were passed on.
+    /// Events that were sent to the caller.
     pub(crate) events: u32,
     placed_ms: Option<Millis>,
     size: Option<Size>,
-    seen: Option<Seen>,
+    engine_snapshot: Option<EngineSnapshot>,
     first_event_ms: Option<Millis>,
     longest_pause_ms: Millis,
     event_at_ms: Millis,
@@ -49,7 +49,7 @@
     ended: bool,
 }
 
-impl Journey {
+impl RequestTracker {
     pub(crate) fn new(gateway: Arc<Gateway>, arrived_ms: Millis) -> Self {
         Self {
             version: gateway.version(),
@@ -60,7 +60,7 @@
             events: 0,
             placed_ms: None,
             size: None,
-            seen: None,
+            engine_snapshot: None,
             first_event_ms: None,
             longest_pause_ms: 0,
             event_at_ms: 0,
@@ -71,19 +71,19 @@
         }
     }
 
-    /// The route is known.
-    pub(crate) fn on(&mut self, route: &Route) {
+    /// Sets the route.
+    pub(crate) fn set_route(&mut self, route: &Route) {
         self.route.clone_from(&route.name);
         self.kind = route.kind.name();
     }
 
-    /// What the request asks for, and for whom.
-    pub(crate) fn asks_for(&mut self, content: ContentKey) {
+    /// Sets the key of the request's content and organisation.
+    pub(crate) fn set_content(&mut self, content: ContentKey) {
         self.content = Some(content);
     }
 
-    /// The request asks for a generation.
-    pub(crate) fn asks(&mut self, generation: &GenerationHead) {
+    /// Sets the size of the requested generation.
+    pub(crate) fn set_size(&mut self, generation: &GenerationHead) {
         self.size = Some(Size {
             prompt_tokens: generation.prompt_tokens,
             limit_tokens: generation.output_limit_tokens,
@@ -91,19 +91,20 @@
         });
     }
 
-    /// The cell's home has chosen an engine, by what it saw.
-    pub(crate) fn seen(&mut self, seen: Seen) {
-        self.seen = Some(seen);
+    /// Sets the state of the engine on which the cell's home based its selection.
+    pub(crate) fn set_engine_snapshot(&mut self, snapshot: EngineSnapshot) {
+        self.engine_snapshot = Some(snapshot);
     }
 
-    /// An upstream was found that takes the request.
-    pub(crate) fn placed(&mut self, now_ms: Millis) {
+    /// Records when an upstream was first selected for the request.
+    pub(crate) fn mark_placed(&mut self, now_ms: Millis) {
         let since_ms = now_ms.saturating_sub(self.arrived_ms);
         self.placed_ms.get_or_insert(since_ms);
     }
 
-    /// Events are passed on; the pause since the last ones, where there were any.
-    pub(crate) fn pass_on(&mut self, now_ms: Millis, events: u32) -> Option<Millis> {
+    /// Records events sent to the caller; returns the pause since the previous ones, if there were
+    /// any.
+    pub(crate) fn record_events(&mut self, now_ms: Millis, events: u32) -> Option<Millis> {
         let is_first = self.events == 0;
         self.events += events;
         let last_ms = std::mem::replace(&mut self.event_at_ms, now_ms);
@@ -116,36 +117,36 @@
         Some(pause_ms)
     }
 
-    /// From the placement to the first event, where the first dispatch brought it.
+    /// Time from the placement to the first event, if the first dispatch produced it.
     pub(crate) fn first_after_placed_ms(&self) -> Option<Millis> {
         let first = self.dispatches.first()?;
         let first_ms = self.first_event_ms?.checked_sub(self.placed_ms?)?;
         (first.outcome == ANSWERED).then_some(first_ms)
     }
 
-    /// When events were passed on last.
+    /// When events were last sent to the caller.
     pub(crate) fn last_event_ms(&self) -> Option<Millis> {
         (self.events > 0).then_some(self.event_at_ms)
     }
 
-    /// The request went to an upstream, or was about to.
-    pub(crate) fn dispatched(&mut self, dispatch: Dispatch) {
+    /// Records that the request is being sent to an upstream.
+    pub(crate) fn begin_dispatch(&mut self, dispatch: Dispatch) {
         self.dispatches.push(dispatch);
     }
 
-    /// The last dispatch ended.
-    pub(crate) fn dispatch_ended(&mut self, outcome: &'static str) {
+    /// Sets the outcome of the last dispatch.
+    pub(crate) fn end_dispatch(&mut self, outcome: &'static str) {
         if let Some(last) = self.dispatches.last_mut() {
             outcome.clone_into(&mut last.outcome);
         }
     }
 
-    /// The caller gets an answer of our own.
-    pub(crate) fn problem(&mut self, problem: Problem) {
+    /// Ends the request with a response of the gateway itself.
+    pub(crate) fn end_with_problem(&mut self, problem: Problem) {
         self.end(problem.name(), problem.status().as_u16());
     }
 
-    /// The request is over.
+    /// Ends the request: counts it and writes its log line.
     pub(crate) fn end(&mut self, outcome: &'static str, status: u16) {
         if std::mem::replace(&mut self.ended, true) {
             return;
@@ -155,14 +156,16 @@
         self.gateway.metrics.requests.get_or_create(&labels).inc();
         match serde_json::to_string(&self.record(outcome, status)) {
             Ok(line) => info!("{REQUEST_PREFIX}{line}"),
-            Err(error) => spdlog::warn!("log: could not write the line of a request: {error}"),
+            Err(error) => {
+                spdlog::warn!("log: could not serialize the record of a request: {error}")
+            }
         }
     }
 
     fn record(&self, outcome: &str, status: u16) -> RequestRecord {
         RequestRecord {
             request: self.id.clone(),
-            run: format!("{:016x}", run_of(&self.id).0),
+            run: format!("{:016x}", run_key(&self.id).0),
             content: self.content.map(|content| format!("{:016x}", content.0)),
             route: self.route.clone(),
             kind: self.kind.to_owned(),
@@ -173,7 +176,7 @@
             took_ms: self.gateway.clock.now_ms().saturating_sub(self.arrived_ms),
             placed_ms: self.placed_ms,
             size: self.size,
-            seen: self.seen,
+            seen: self.engine_snapshot,
             first_event_ms: self.first_event_ms,
             longest_pause_ms: self.longest_pause_ms,
             events: self.events,
@@ -182,20 +185,21 @@
     }
 }
 
-impl Drop for Journey {
+impl Drop for RequestTracker {
     fn drop(&mut self) {
         self.end("caller_left", 0);
     }
 }
 
-/// A request at an upstream; without another verdict it counts as unheard when dropped.
-pub(crate) struct Flight {
+/// A request in flight at an upstream. Unless another verdict is set, it counts as `Unheard` when
+/// dropped.
+pub(crate) struct InFlightRequest {
     gateway: Arc<Gateway>,
     pub(crate) chosen: Chosen,
     verdict: Verdict,
 }
 
-impl Flight {
+impl InFlightRequest {
     pub(crate) fn new(gateway: Arc<Gateway>, chosen: Chosen) -> Self {
         Self {
             gateway,
@@ -204,13 +208,13 @@
         }
     }
 
-    /// How the exchange went.
-    pub(crate) fn note(&mut self, verdict: Verdict) {
+    /// Sets the verdict on the exchange.
+    pub(crate) fn set_verdict(&mut self, verdict: Verdict) {
         self.verdict = verdict;
     }
 }
 
-impl Drop for Flight {
+impl Drop for InFlightRequest {
     fn drop(&mut self) {
         let now_ms = self.gateway.clock.now_ms();
         let instances = &self.gateway.instances;
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -1,24 +1,21 @@
-//! Decisions only: which engine, whether it fits, whose turn it is, how often to try again.
+//! Pure decision logic: engine selection, admission, queue order, retries and membership rules.
 //!
-//! Nothing here performs input or output or reads a clock: the present time is an argument, in
-//! milliseconds since a start that the caller chooses.
+//! Nothing here performs I/O or reads a clock. The current time is an argument, in milliseconds
+//! since an epoch that the caller chooses.
 
-mod absences;
-mod ask;
 mod backlog;
 mod backpressure;
-mod branches;
+mod broadcast;
 mod cell;
+mod cell_partitioning;
 mod choose;
 mod circuit;
 mod cold;
-mod division;
 mod drift;
 mod evacuations;
 mod failures;
 mod fair;
 mod fit;
-mod gauge;
 mod handover;
 mod home;
 mod home_settings;
@@ -30,51 +27,54 @@
 mod load;
 mod pacer;
 mod permit;
+mod permit_request;
 mod pick;
 mod queue;
 mod rendezvous;
 mod retry;
 mod retry_window;
 mod revision;
-mod unexplained;
+mod unaccounted_memory;
+mod unresponsive_hosts;
+mod upstream_stats;
 mod watchers;
 mod weights;
 
-pub use absences::Absences;
-pub use ask::{Ask, AskId, Outcome, PermitKey, RefusalReason};
 pub use backpressure::{Backpressure, Signals};
-pub use branches::{Listener, branches, parts};
+pub use broadcast::{Recipient, broadcast_branches, split_branch};
 pub use cell::{
-    Carry, CarryEnd, Cell, CellEngine, EngineFigures, Placement, PlacementRequest, RunEnd, RunKey,
-    RunStatement, Seen,
+    Cell, CellEngine, EngineCapacity, EngineSnapshot, Migration, MigrationOutcome, Placement,
+    PlacementRequest, RunEnd, RunKey, RunStatement,
 };
+pub use cell_partitioning::CellPartitioning;
 pub use choose::{Choice, choose};
 pub use circuit::{
-    Admission, Circuit, CircuitState, Circuits, CrashRecord, Restoration, Successes,
-    may_have_ended_it,
+    Admission, Circuit, CircuitState, Circuits, CrashRecord, RecentSuccesses, Restoration,
+    is_crash_suspect,
 };
 pub use cold::{Cold, ColdBound, ColdStarts};
-pub use division::Division;
 pub use drift::Drift;
 pub use evacuations::{EvacuationChange, EvacuationState, Evacuations};
 pub use fair::Fairness;
 pub use fit::{FitRule, Footprint};
-pub use gauge::{FlightId, Gauge, StatedLoad, Verdict};
-pub use handover::{CarryStep, Handover, Next, StreamEnd};
+pub use handover::{Handover, MigrationStep, NextStep, StreamEnd};
 pub use home::{Home, HomeLoad};
 pub use home_settings::HomeSettings;
 pub use join::Join;
 pub use key::{ContentKey, HostKey, Millis, ModelKey, OrganisationKey, ServiceKey, UpstreamKey};
 pub use lag::Lag;
-pub use lengths::{Curve, Lengths};
-pub use limits::{Bounds, LimitTable, Over};
+pub use lengths::{Lengths, SurvivalCurve};
+pub use limits::{LimitExceeded, LimitTable, RequestLimits};
 pub use load::EngineLoad;
 pub use pacer::Pacer;
+pub use permit_request::{EnginePermitRequest, Outcome, PermitKey, PermitRequestId, RefusalReason};
 pub use pick::{Candidate, Pick, pick};
 pub use queue::OrderRule;
 pub use rendezvous::{highest, rank};
 pub use retry::RetryBudget;
 pub use retry_window::{RetryBound, RetryWindow};
 pub use revision::Revision;
+pub use unresponsive_hosts::UnresponsiveHosts;
+pub use upstream_stats::{InFlightId, ReportedLoad, UpstreamStats, Verdict};
 pub use watchers::{WatchArea, WatchCandidate};
 pub use weights::Weights;
--- /dev/null
+++ b/crates/policy/src/upstream_stats.rs
@@ -0,0 +1,177 @@
+//! Statistics that one host keeps of one upstream: load, latency and failures.
+//!
+//! Many hosts send to the same upstream and none sees the others' requests. A load report in a
+//! response is the most recent information available. Requests that this host has started or
+//! finished since are added to it, and its weight falls to zero within [`REPORT_TTL_MS`]. Failures
+//! and latency count as load, so a failing upstream gets less work without being excluded, and is
+//! tried again as they decay. (Load by peak latency and requests in flight: Finagle's "peak EWMA"
+//! balancer.)
+
+use serde::{Deserialize, Serialize};
+
+use crate::failures::Failures;
+use crate::key::Millis;
+
+/// Age at which a load report is ignored: several times the duration of a small request.
+const REPORT_TTL_MS: Millis = 1_500;
+/// Weight of one response in the smoothed latency: about the last eight count.
+const GAIN: f32 = 0.12;
+/// Factor on the cost at a failure share of 1. An upstream that fails half of its requests is
+/// chosen only if the others are many times as busy.
+const FAILURE_WEIGHT: f32 = 24.0;
+/// Latency assumed before the first response.
+const UNKNOWN_LATENCY_MS: f32 = 30.0;
+
+/// Load that an upstream reports of itself.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub struct ReportedLoad {
+    /// Requests in progress.
+    pub running: u32,
+    /// Requests queued at the upstream.
+    pub waiting: u32,
+    /// Maximum number of requests in progress.
+    pub slots: u32,
+}
+
+/// How a request to an upstream ended.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
+pub enum Verdict {
+    /// A complete response that is not a failure of the upstream.
+    Good,
+    /// The upstream failed, broke off the response or did not answer.
+    Failed,
+    /// The upstream reported that it has not run the request.
+    Shed,
+    /// The outcome is unknown, because the caller disconnected.
+    Unheard,
+}
+
+#[derive(Debug, Clone, Copy)]
+struct LoadReport {
+    load: ReportedLoad,
+    at_ms: Millis,
+    /// Requests of this host since the report: started minus ended.
+    since: i32,
+}
+
+/// Statistics that one host keeps of one upstream.
+#[derive(Debug, Clone, Default)]
+pub struct UpstreamStats {
+    in_flight: Vec<(u64, Millis)>,
+    next_id: u64,
+    report: Option<LoadReport>,
+    latency_ms: Option<f32>,
+    failures: Failures,
+    penalised_until_ms: Millis,
+}
+
+/// Identifies a request in flight.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub struct InFlightId(u64);
+
+impl UpstreamStats {
+    /// Records that a request is sent.
+    pub fn start(&mut self, now_ms: Millis) -> InFlightId {
+        let id = self.next_id;
+        self.next_id += 1;
+        self.in_flight.push((id, now_ms));
+        if let Some(report) = &mut self.report {
+            report.since += 1;
+        }
+        InFlightId(id)
+    }
+
+    /// Records that a request has ended.
+    pub fn end(&mut self, now_ms: Millis, flight: InFlightId, verdict: Verdict) {
+        let position = self.in_flight.iter().position(|(id, _)| *id == flight.0);
+        let Some(position) = position else { return };
+        self.in_flight.swap_remove(position);
+        if let Some(report) = &mut self.report {
+            report.since -= 1;
+        }
+        match verdict {
+            Verdict::Good => self.failures.record(now_ms, 0.0),
+            Verdict::Failed => self.failures.record(now_ms, 1.0),
+            Verdict::Shed => self.failures.record(now_ms, 0.5),
+            Verdict::Unheard => {}
+        }
+    }
+
+    /// Records the time to the first byte of a response.
+    pub fn record_latency(&mut self, latency_ms: Millis) {
+        let latency_ms = latency_ms as f32;
+        let smoothed = self.latency_ms.unwrap_or(latency_ms);
+        // Increases of the latency are adopted faster than decreases.
+        let gain = if latency_ms > smoothed {
+            2.0 * GAIN
+        } else {
+            GAIN
+        };
+        self.latency_ms = Some(smoothed + (latency_ms - smoothed) * gain);
+    }
+
+    /// Records a load report of the upstream.
+    pub fn record_load(&mut self, now_ms: Millis, load: ReportedLoad) {
+        self.report = Some(LoadReport {
+            load,
+            at_ms: now_ms,
+            since: 0,
+        });
+    }
+
+    /// Records that no connection could be established.
+    pub fn record_unreachable(&mut self, now_ms: Millis) {
+        self.failures.record_unreachable(now_ms);
+    }
+
+    /// Raises the cost until `until_ms`, because the upstream is full or about to leave.
+    pub fn penalise_until(&mut self, until_ms: Millis) {
+        self.penalised_until_ms = self.penalised_until_ms.max(until_ms);
+    }
+
+    /// Number of requests of this host in flight.
+    pub fn in_flight(&self) -> usize {
+        self.in_flight.len()
+    }
+
+    /// Share of recent requests that failed.
+    pub fn failure_share(&self, now_ms: Millis) -> f32 {
+        self.failures.share(now_ms)
+    }
+
+    /// Cost of one more request, for comparison between upstreams of one service.
+    pub fn cost(&self, now_ms: Millis) -> f32 {
+        let failure_factor = 1.0 + FAILURE_WEIGHT * self.failure_share(now_ms);
+        let penalty = if now_ms < self.penalised_until_ms {
+            4.0
+        } else {
+            1.0
+        };
+        (1.0 + self.occupancy(now_ms)) * self.latency_or_age_ms(now_ms) * failure_factor * penalty
+    }
+
+    /// Estimated number of requests at the upstream, from all hosts.
+    pub fn occupancy(&self, now_ms: Millis) -> f32 {
+        let own = self.in_flight.len() as f32;
+        let Some(report) = self.report else {
+            return own;
+        };
+        let age_ms = now_ms.saturating_sub(report.at_ms);
+        if age_ms >= REPORT_TTL_MS {
+            return own;
+        }
+        let reported = (report.load.running + report.load.waiting) as f32;
+        let estimated = (reported + report.since as f32).max(own);
+        let weight = 1.0 - age_ms as f32 / REPORT_TTL_MS as f32;
+        own + (estimated - own) * weight
+    }
+
+    /// The smoothed latency, or the age of the oldest request in flight if that is greater. An
+    /// upstream that hangs sends no response whose latency could be smoothed.
+    fn latency_or_age_ms(&self, now_ms: Millis) -> f32 {
+        let oldest_ms = self.in_flight.iter().map(|(_, at_ms)| *at_ms).min();
+        let pending_ms = oldest_ms.map_or(0, |at_ms| now_ms.saturating_sub(at_ms));
+        let smoothed = self.latency_ms.unwrap_or(UNKNOWN_LATENCY_MS);
+        smoothed.max(pending_ms as f32).max(1.0)
+    }
+}
--- a/src/cmd/dev.rs
+++ b/src/cmd/dev.rs
@@ -5,9 +5,9 @@
 use std::time::Duration;
 
 use bpaf::Bpaf;
-use fulmarpath::dev::{CALLER_KEY, Deployment, Size};
+use fulmarpath::dev::{CALLER_KEY, Deployment, DeploymentSpec};
 use fulmarpath::init_log;
-use fulmarpath::settings::LogForm;
+use fulmarpath::settings::LogFormat;
 use fulmarpath_http::{Lines, send};
 use http_body_util::Full;
 use hyper::Request;
@@ -30,12 +30,12 @@
 impl Run for Dev {
     fn run(&self) -> Result<(), CommandError> {
         if self.ask.is_none() {
-            init_log(LogForm::Text)?;
+            init_log(LogFormat::Text)?;
         } else {
             spdlog::default_logger().set_level_filter(spdlog::LevelFilter::Off);
         }
         block_on(async {
-            let deployment = Deployment::start(Size::default()).await?;
+            let deployment = Deployment::start(DeploymentSpec::default()).await?;
             let address = deployment.caller_address(0);
             match &self.ask {
                 Some(prompt) => ask(address, prompt).await,
--- a/src/host.rs
+++ b/src/host.rs
@@ -49,11 +49,11 @@
     /// # Errors
     /// [`HostError`]
     pub async fn start(settings: &HostSettings) -> Result<Self, HostError> {
-        Self::start_without(settings, None).await
+        Self::start_with_safeguard_disabled(settings, None).await
     }
 
     /// Starts a host that lacks a safeguard, for a fault run that must notice it.
-    pub(crate) async fn start_without(
+    pub(crate) async fn start_with_safeguard_disabled(
         settings: &HostSettings,
         without: Option<Safeguard>,
     ) -> Result<Self, HostError> {
@@ -70,25 +70,25 @@
             host: settings.host.clone(),
             data_centre: settings.data_centre.clone(),
             peer_address,
-            confirm_bound_ms: CONFIRM_BOUND_MS,
+            contact_timeout_ms: CONFIRM_BOUND_MS,
             claims,
-            without,
+            disabled_safeguard: without,
         };
         let object_api = Arc::new(HttpObjectApi::new(settings.object_api_address));
         let host_list = Arc::new(HttpHostList::new(settings.host_list_address));
         let engines = Arc::new(HttpEngines {
-            plain_bound: Duration::from_millis(settings.plain_bound_ms),
+            plain_timeout: Duration::from_millis(settings.plain_bound_ms),
         });
         let node = Node::start(node_settings, peers, object_api, host_list, engines).await?;
         let entry_settings = EntrySettings {
             header_limit_bytes: settings.header_limit_bytes,
             body_limit_bytes: settings.body_limit_bytes,
             stream_limit: settings.stream_limit,
-            silence_bound: Duration::from_millis(settings.silence_bound_ms),
-            grace_ms: GRACE_MS,
-            keyed_ms: claims.window_ms,
+            silence_timeout: Duration::from_millis(settings.silence_bound_ms),
+            reconnect_grace_ms: GRACE_MS,
+            keyed_retention_ms: claims.window_ms,
             linger: Duration::from_millis(settings.linger_ms),
-            drain_bound: Duration::from_millis(settings.drain_bound_ms),
+            drain_timeout: Duration::from_millis(settings.drain_bound_ms),
             operator_key_sha256: settings.operator_key_sha256.clone(),
         };
         let server = EntryServer::start(node.clone(), callers, entry_settings);
