--- a/src/bin/fulmarpath-standin.rs
+++ b/src/bin/fulmarpath-standin.rs
@@ -1,5 +1,5 @@
-//! `fulmarpath-standin`: the platform, engines and a plain service as one process, for trials with
-//! hosts as processes of their own.
+//! `fulmarpath-standin`: stand-ins for the platform, engines and a plain service in one process,
+//! for tests in which each host is a separate process.
 
 use std::net::{Ipv4Addr, SocketAddr};
 
@@ -10,17 +10,17 @@
 use fulmarpath_store::{HostEntry, ListedState, Role};
 use tokio::net::TcpListener;
 
-/// Stand-ins for what lies outside
+/// Run stand-ins for the platform, engines and a plain service
 #[derive(Debug, Clone, Bpaf)]
 #[bpaf(options)]
 struct Options {
-    /// Engines
+    /// Number of engines
     #[bpaf(argument("N"), fallback(4))]
     engines: usize,
-    /// The model that the engines serve
+    /// Model that the engines serve
     #[bpaf(argument("MODEL"), fallback(String::from("gutachter-lm")))]
     model: String,
-    /// The plain service
+    /// Name of the plain service
     #[bpaf(argument("SERVICE"), fallback(String::from("pruefportal")))]
     plain: String,
     /// Entry hosts to list, as NAME=DATA_CENTRE=PEER_ADDRESS
--- a/src/client.rs
+++ b/src/client.rs
@@ -1,4 +1,4 @@
-//! The operators' client of a host.
+//! HTTP client for the operator interface of a host.
 
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -14,26 +14,26 @@
 
 use crate::error::CommandError;
 
-const BOUND: Duration = Duration::from_millis(15_000);
+const CALL_TIMEOUT: Duration = Duration::from_millis(15_000);
 
-/// Where and as whom an operator speaks to a host.
+/// The host that a command calls, and the key that authenticates it.
 #[derive(Debug, Clone, bpaf::Bpaf)]
 pub(crate) struct Target {
-    /// Any entry host's address for callers
+    /// Caller address of any entry host
     #[bpaf(argument("IP:PORT"), fallback(([127, 0, 0, 1], 8080).into()), display_fallback)]
     host: SocketAddr,
-    /// File that holds the operators' key
+    /// File that holds the operator key
     #[bpaf(argument("FILE"), fallback(PathBuf::from("operator.key")))]
     key_file: PathBuf,
 }
 
 impl Target {
-    /// Asks the host for something.
+    /// Sends a GET request and decodes the response.
     pub(crate) async fn get<T: DeserializeOwned>(&self, path: &str) -> Result<T, CommandError> {
         self.call(Method::GET, path, Bytes::new()).await
     }
 
-    /// Asks the host to change something.
+    /// Sends a POST request and decodes the response.
     pub(crate) async fn post<B: Serialize, T: DeserializeOwned>(
         &self,
         path: &str,
@@ -50,32 +50,38 @@
         body: Bytes,
     ) -> Result<T, CommandError> {
         let address = self.host;
-        let no_answer = || CommandError::NoAnswer { address };
+        let no_response = || CommandError::NoResponse { address };
         let request = Request::builder()
             .method(method)
             .uri(path)
-            .header(AUTHORIZATION, format!("Bearer {}", key(&self.key_file)?))
+            .header(
+                AUTHORIZATION,
+                format!("Bearer {}", read_key(&self.key_file)?),
+            )
             .body(Full::new(body))
-            .map_err(|_| no_answer())?;
-        let answer = send(address, request, BOUND).await;
-        let answer = answer.map_err(|_| no_answer())?;
-        let status = answer.status();
-        let body = answer.bytes(BOUND).await.map_err(|_| no_answer())?;
+            .map_err(|_| no_response())?;
+        let response = send(address, request, CALL_TIMEOUT).await;
+        let response = response.map_err(|_| no_response())?;
+        let status = response.status();
+        let body = response
+            .bytes(CALL_TIMEOUT)
+            .await
+            .map_err(|_| no_response())?;
         if status.is_success() {
-            return serde_json::from_slice(&body).map_err(|_| no_answer());
+            return serde_json::from_slice(&body).map_err(|_| no_response());
         }
         let problem: serde_json::Value = serde_json::from_slice(&body).unwrap_or_default();
-        let detail = problem["detail"].as_str().unwrap_or("the host refused");
-        Err(CommandError::Refused {
+        let detail = problem["detail"].as_str().unwrap_or("no detail given");
+        Err(CommandError::Rejected {
             detail: detail.to_owned(),
         })
     }
 }
 
-fn key(file: &Path) -> Result<String, CommandError> {
+fn read_key(file: &Path) -> Result<String, CommandError> {
     match std::fs::read_to_string(file) {
         Ok(key) => Ok(key.trim().to_owned()),
-        Err(_) => Err(CommandError::KeyFile {
+        Err(_) => Err(CommandError::UnreadableKey {
             file: file.to_owned(),
         }),
     }
--- a/src/cmd/apply.rs
+++ b/src/cmd/apply.rs
@@ -1,4 +1,4 @@
-//! `fulmarpath apply`: brings a directory of declarations into force.
+//! `fulmarpath apply`: activates a directory of declarations.
 
 use std::path::PathBuf;
 
@@ -6,23 +6,23 @@
 use fulmarpath::settings::{self, Declarations};
 use serde::Serialize;
 
-use super::status::{Accepted, wait_in_force};
+use super::status::{Accepted, wait_until_active};
 use super::{Run, block_on};
 use crate::client::{Target, target};
 use crate::error::CommandError;
 
-/// Bring a directory of declarations into force
+/// Activate a directory of declarations
 #[derive(Debug, Clone, Bpaf)]
 #[bpaf(command)]
 pub(crate) struct Apply {
     #[bpaf(external)]
     target: Target,
-    /// Refuse unless this revision is in force
+    /// Apply only if this revision is active
     #[bpaf(argument("REVISION"))]
     onto: Option<u64>,
-    /// End only when every live host has it in force
+    /// Wait until the revision is active on every live host
     wait: bool,
-    /// The directory of declarations
+    /// Directory of declarations
     #[bpaf(positional("DIRECTORY"))]
     directory: PathBuf,
 }
@@ -42,7 +42,7 @@
             let accepted: Accepted = self.target.post("/operator/apply", &body).await?;
             println!("revision {} accepted", accepted.revision);
             if self.wait {
-                wait_in_force(&self.target, accepted.revision).await?;
+                wait_until_active(&self.target, accepted.revision).await?;
             }
             Ok(())
         })
--- a/src/cmd/check.rs
+++ b/src/cmd/check.rs
@@ -1,4 +1,4 @@
-//! `fulmarpath check`: reads a directory of declarations and names every mistake in it.
+//! `fulmarpath check`: validates a directory of declarations and reports every error in it.
 
 use std::path::PathBuf;
 
@@ -12,7 +12,7 @@
 #[derive(Debug, Clone, Bpaf)]
 #[bpaf(command)]
 pub(crate) struct Check {
-    /// The directory
+    /// Directory of declarations
     #[bpaf(positional("DIRECTORY"))]
     directory: PathBuf,
 }
--- a/src/cmd/dev.rs
+++ b/src/cmd/dev.rs
@@ -1,4 +1,4 @@
-//! `fulmarpath dev`: three hosts and the stand-ins in one process.
+//! `fulmarpath dev`: three hosts and their stand-in upstreams in one process.
 
 use std::io::Write;
 use std::net::SocketAddr;
@@ -16,16 +16,16 @@
 use super::{Run, block_on};
 use crate::error::CommandError;
 
-/// Run a whole trial deployment on loopback
+/// Run a complete trial deployment on loopback
 #[derive(Debug, Clone, Bpaf)]
 #[bpaf(command)]
 pub(crate) struct Dev {
-    /// Stream the answer to one prompt and exit
+    /// Stream the completion of one prompt and exit
     #[bpaf(argument("TEXT"))]
     ask: Option<String>,
 }
 
-const ANSWER_BOUND: Duration = Duration::from_millis(30_000);
+const RESPONSE_TIMEOUT: Duration = Duration::from_millis(30_000);
 
 impl Run for Dev {
     fn run(&self) -> Result<(), CommandError> {
@@ -38,9 +38,9 @@
             let deployment = Deployment::start(DeploymentSpec::default()).await?;
             let address = deployment.caller_address(0);
             match &self.ask {
-                Some(prompt) => ask(address, prompt).await,
+                Some(prompt) => stream_completion(address, prompt).await,
                 None => {
-                    println!("{}", curl(address));
+                    println!("{}", curl_command(address));
                     let _ = tokio::signal::ctrl_c().await;
                     Ok(())
                 }
@@ -49,30 +49,33 @@
     }
 }
 
-fn curl(address: SocketAddr) -> String {
+fn curl_command(address: SocketAddr) -> String {
     format!(
         "curl -N http://{address}/v1/completions -H 'Authorization: Bearer {CALLER_KEY}' \
          -d '{{\"model\": \"reports\", \"prompt\": \"flap track wear\", \"stream\": true}}'"
     )
 }
 
-async fn ask(address: SocketAddr, prompt: &str) -> Result<(), CommandError> {
-    let no_answer = || CommandError::NoAnswer { address };
+async fn stream_completion(address: SocketAddr, prompt: &str) -> Result<(), CommandError> {
+    let no_response = || CommandError::NoResponse { address };
     let body = serde_json::json!({ "model": "reports", "prompt": prompt, "stream": true });
     let request = Request::post("/v1/completions")
         .header(AUTHORIZATION, format!("Bearer {CALLER_KEY}"))
         .body(Full::new(body.to_string().into()))
-        .map_err(|_| no_answer())?;
-    let call = send(address, request, ANSWER_BOUND).await;
-    let call = call.map_err(|_| no_answer())?;
+        .map_err(|_| no_response())?;
+    let call = send(address, request, RESPONSE_TIMEOUT).await;
+    let call = call.map_err(|_| no_response())?;
     if !call.status().is_success() {
         let detail = format!("status {}", call.status());
-        return Err(CommandError::Refused { detail });
+        return Err(CommandError::Rejected { detail });
     }
     let mut lines = Lines::new(call);
     loop {
-        let line = lines.next(ANSWER_BOUND).await.map_err(|_| no_answer())?;
-        let line = line.ok_or_else(no_answer)?;
+        let line = lines
+            .next(RESPONSE_TIMEOUT)
+            .await
+            .map_err(|_| no_response())?;
+        let line = line.ok_or_else(no_response)?;
         let Some(data) = line.strip_prefix(b"data: ") else {
             continue;
         };
@@ -80,7 +83,7 @@
             println!();
             return Ok(());
         }
-        let chunk: serde_json::Value = serde_json::from_slice(data).map_err(|_| no_answer())?;
+        let chunk: serde_json::Value = serde_json::from_slice(data).map_err(|_| no_response())?;
         print!(
             "{}",
             chunk["choices"][0]["text"].as_str().unwrap_or_default()
--- a/src/cmd/explain.rs
+++ b/src/cmd/explain.rs
@@ -1,4 +1,4 @@
-//! `fulmarpath explain`: why a request ended as it did.
+//! `fulmarpath explain`: finds in host logs why a request had its outcome.
 
 use std::path::PathBuf;
 
@@ -7,15 +7,15 @@
 use super::Run;
 use crate::error::CommandError;
 
-/// Tell from hosts' logs why a request ended as it did
+/// Find in host logs why a request had its outcome
 #[derive(Debug, Clone, Bpaf)]
 #[bpaf(command)]
 pub(crate) struct Explain {
-    /// The caller's id of the request
+    /// Request id that the caller sent
     #[bpaf(positional("ID"))]
     id: String,
-    /// Logs of one or more hosts
-    #[bpaf(positional("FILE"), some("name at least one log"))]
+    /// Log files of one or more hosts
+    #[bpaf(positional("FILE"), some("pass at least one log file"))]
     files: Vec<PathBuf>,
 }
 
--- a/src/cmd/gateway.rs
+++ b/src/cmd/gateway.rs
@@ -1,4 +1,4 @@
-//! `fulmarpath gateway`: one host on the users' platform.
+//! `fulmarpath gateway`: one gateway host on the platform.
 
 use std::path::{Path, PathBuf};
 use std::sync::Arc;
@@ -15,30 +15,30 @@
 use super::Run;
 use crate::error::CommandError;
 
-/// A worker's stack; decoding a configuration goes deepest.
+/// Stack size of a worker thread. Decoding a configuration needs the deepest stack.
 const STACK_BYTES: usize = 512 * 1024;
-/// Threads for the few calls of the runtime that block.
+/// Threads for blocking calls, of which there are few.
 const BLOCKING_THREADS: usize = 2;
 
-/// Between two looks whether lines of the log were left out.
-const DROPPED_PERIOD: Duration = Duration::from_secs(2);
+/// Interval between reports of dropped log lines.
+const DROPPED_LINES_PERIOD: Duration = Duration::from_secs(2);
 
-/// Run one host of the gateway on the platform
+/// Run one gateway host on the platform
 #[derive(Debug, Clone, Bpaf)]
 #[bpaf(command("gateway"))]
 pub(crate) struct Serve {
-    /// The settings file; by default the one that the environment names
+    /// Settings file; by default the one named in the environment
     #[bpaf(positional("SETTINGS.YAML"), optional)]
     settings: Option<PathBuf>,
 }
 
 impl Run for Serve {
     fn run(&self) -> Result<(), CommandError> {
-        let named = std::env::var_os(FILE_VARIABLE).map(PathBuf::from);
+        let from_environment = std::env::var_os(FILE_VARIABLE).map(PathBuf::from);
         let file = self
             .settings
             .clone()
-            .or(named)
+            .or(from_environment)
             .ok_or(CommandError::NoSettings)?;
         let settings = NodeFile::read(&file)?;
         init_gateway_log()?;
@@ -49,9 +49,9 @@
             .enable_all()
             .build()
             .map_err(CommandError::Runtime)?;
-        let ended = runtime.block_on(run_host(&file, &settings));
+        let result = runtime.block_on(run_host(&file, &settings));
         runtime.shutdown_background();
-        ended
+        result
     }
 }
 
@@ -67,7 +67,7 @@
         store,
     ));
     tokio::spawn(reload(file.to_owned(), gateway.clone(), hang_up));
-    tokio::spawn(tell_dropped_lines());
+    tokio::spawn(report_dropped_lines());
     let stopped = async {
         let _ = terminate.recv().await;
     };
@@ -76,28 +76,28 @@
     Ok(())
 }
 
-/// Takes what may change of the settings while the host runs.
+/// Reads the settings again on SIGHUP and applies those that may change at run time.
 async fn reload(file: PathBuf, gateway: Arc<Gateway>, mut hang_up: Signal) {
     while hang_up.recv().await.is_some() {
         match NodeFile::read(&file) {
             Ok(settings) => {
-                info!("settings: read anew from {}", file.display());
+                info!("settings: reloaded from {}", file.display());
                 gateway.reload(settings.gateway_settings());
             }
-            Err(error) => warn!("settings: kept as they were: {error}"),
+            Err(error) => warn!("settings: reload failed, keeping the previous ones: {error}"),
         }
     }
 }
 
-/// Tells the log how much of it was left out.
-async fn tell_dropped_lines() {
-    let mut told = 0;
+/// Logs how many log lines were dropped since the last report.
+async fn report_dropped_lines() {
+    let mut reported = 0;
     loop {
-        tokio::time::sleep(DROPPED_PERIOD).await;
+        tokio::time::sleep(DROPPED_LINES_PERIOD).await;
         let dropped = dropped_lines();
-        if dropped > told {
-            warn!("log: {} lines were left out", dropped - told);
-            told = dropped;
+        if dropped > reported {
+            warn!("log: {} lines were dropped", dropped - reported);
+            reported = dropped;
         }
     }
 }
--- a/src/cmd/history.rs
+++ b/src/cmd/history.rs
@@ -1,4 +1,4 @@
-//! `fulmarpath history`: the latest changes.
+//! `fulmarpath history`: lists the latest configuration changes.
 
 use bpaf::Bpaf;
 use fulmarpath::cluster::HistoryEntry;
@@ -7,7 +7,7 @@
 use crate::client::{Target, target};
 use crate::error::CommandError;
 
-/// Show the latest changes of the configuration
+/// Show the latest configuration changes
 #[derive(Debug, Clone, Bpaf)]
 #[bpaf(command)]
 pub(crate) struct History {
--- a/src/cmd/mod.rs
+++ b/src/cmd/mod.rs
@@ -1,4 +1,4 @@
-//! The subcommands, one file each.
+//! The subcommands.
 
 mod apply;
 mod check;
@@ -16,13 +16,13 @@
 
 use crate::error::CommandError;
 
-/// Something that the command line asks for.
+/// A subcommand.
 pub(crate) trait Run {
-    /// Does it.
+    /// Executes the subcommand.
     fn run(&self) -> Result<(), CommandError>;
 }
 
-/// Serves generations of unknown length on crowded engines
+/// Serves generations of unknown length on engines under high load
 #[derive(Debug, Clone, Bpaf)]
 #[bpaf(options("fulmarpath"), version, generate(command))]
 pub(crate) enum Command {
@@ -42,22 +42,22 @@
 impl Run for Command {
     fn run(&self) -> Result<(), CommandError> {
         match self {
-            Self::Serve(one) => one.run(),
-            Self::Dev(one) => one.run(),
-            Self::Explain(one) => one.run(),
-            Self::Gateway(one) => one.run(),
-            Self::Check(one) => one.run(),
-            Self::Plan(one) => one.run(),
-            Self::Apply(one) => one.run(),
-            Self::Preset(one) => one.run(),
-            Self::History(one) => one.run(),
-            Self::Rollback(one) => one.run(),
-            Self::Status(one) => one.run(),
+            Self::Serve(command) => command.run(),
+            Self::Dev(command) => command.run(),
+            Self::Explain(command) => command.run(),
+            Self::Gateway(command) => command.run(),
+            Self::Check(command) => command.run(),
+            Self::Plan(command) => command.run(),
+            Self::Apply(command) => command.run(),
+            Self::Preset(command) => command.run(),
+            Self::History(command) => command.run(),
+            Self::Rollback(command) => command.run(),
+            Self::Status(command) => command.run(),
         }
     }
 }
 
-/// Runs a future to its end on a runtime of its own.
+/// Runs a future to completion on a new runtime.
 fn block_on<T>(future: impl Future<Output = Result<T, CommandError>>) -> Result<T, CommandError> {
     let runtime = tokio::runtime::Builder::new_multi_thread()
         .enable_all()
--- a/src/cmd/plan.rs
+++ b/src/cmd/plan.rs
@@ -1,4 +1,4 @@
-//! `fulmarpath plan`: what an apply would change.
+//! `fulmarpath plan`: shows what `apply` would change.
 
 use std::path::PathBuf;
 
@@ -10,26 +10,26 @@
 use crate::client::{Target, target};
 use crate::error::CommandError;
 
-/// Show what an apply would change
+/// Show what `apply` would change
 #[derive(Debug, Clone, Bpaf)]
 #[bpaf(command)]
 pub(crate) struct Plan {
     #[bpaf(external)]
     target: Target,
-    /// The directory of declarations
+    /// Directory of declarations
     #[bpaf(positional("DIRECTORY"))]
     directory: PathBuf,
 }
 
 impl Run for Plan {
     fn run(&self) -> Result<(), CommandError> {
-        let wanted = settings::check(&self.directory)?;
+        let desired = settings::check(&self.directory)?;
         block_on(async {
             let report: Report = self.target.get("/operator/status").await?;
-            let held: Declarations = self.target.get("/operator/declarations").await?;
-            let differences = difference(&held, &wanted);
-            for one in &differences {
-                println!("{one}");
+            let active: Declarations = self.target.get("/operator/declarations").await?;
+            let differences = difference(&active, &desired);
+            for line in &differences {
+                println!("{line}");
             }
             let (count, revision) = (differences.len(), report.revision);
             println!("{count} differences from revision {revision}");
--- a/src/cmd/preset.rs
+++ b/src/cmd/preset.rs
@@ -1,14 +1,14 @@
-//! `fulmarpath preset use`: puts another preset in force.
+//! `fulmarpath preset use`: activates another preset.
 
 use bpaf::Bpaf;
 use serde::Serialize;
 
-use super::status::{Accepted, wait_in_force};
+use super::status::{Accepted, wait_until_active};
 use super::{Run, block_on};
 use crate::client::{Target, target};
 use crate::error::CommandError;
 
-/// Choose the preset in force
+/// Choose the active preset
 #[derive(Debug, Clone, Bpaf)]
 #[bpaf(command)]
 pub(crate) struct Preset {
@@ -16,15 +16,15 @@
     put: Put,
 }
 
-/// Put a preset in force
+/// Activate a preset
 #[derive(Debug, Clone, Bpaf)]
 #[bpaf(command("use"))]
 pub(crate) struct Put {
     #[bpaf(external)]
     target: Target,
-    /// End only when every live host has it in force
+    /// Wait until the revision is active on every live host
     wait: bool,
-    /// The preset
+    /// Preset to activate
     #[bpaf(positional("PRESET"))]
     preset: String,
 }
@@ -45,7 +45,7 @@
             let accepted: Accepted = target.post("/operator/preset", &Body { preset }).await?;
             println!("revision {} accepted", accepted.revision);
             if *wait {
-                wait_in_force(target, accepted.revision).await?;
+                wait_until_active(target, accepted.revision).await?;
             }
             Ok(())
         })
--- a/src/cmd/rollback.rs
+++ b/src/cmd/rollback.rs
@@ -1,22 +1,22 @@
-//! `fulmarpath rollback`: an earlier revision's content as a new revision.
+//! `fulmarpath rollback`: activates the content of an earlier revision as a new revision.
 
 use bpaf::Bpaf;
 use serde::Serialize;
 
-use super::status::{Accepted, wait_in_force};
+use super::status::{Accepted, wait_until_active};
 use super::{Run, block_on};
 use crate::client::{Target, target};
 use crate::error::CommandError;
 
-/// Bring an earlier revision's content into force again
+/// Activate the content of an earlier revision again
 #[derive(Debug, Clone, Bpaf)]
 #[bpaf(command)]
 pub(crate) struct Rollback {
     #[bpaf(external)]
     target: Target,
-    /// End only when every live host has it in force
+    /// Wait until the revision is active on every live host
     wait: bool,
-    /// The earlier revision
+    /// Earlier revision to restore
     #[bpaf(positional("REVISION"))]
     to: u64,
 }
@@ -33,7 +33,7 @@
             let accepted: Accepted = self.target.post("/operator/rollback", &body).await?;
             println!("revision {} accepted", accepted.revision);
             if self.wait {
-                wait_in_force(&self.target, accepted.revision).await?;
+                wait_until_active(&self.target, accepted.revision).await?;
             }
             Ok(())
         })
--- a/src/cmd/serve.rs
+++ b/src/cmd/serve.rs
@@ -1,4 +1,4 @@
-//! `fulmarpath serve`: one entry host.
+//! `fulmarpath serve`: runs one entry host.
 
 use std::path::PathBuf;
 
@@ -14,7 +14,7 @@
 #[derive(Debug, Clone, Bpaf)]
 #[bpaf(command)]
 pub(crate) struct Serve {
-    /// The host's own settings
+    /// Settings file of the host
     #[bpaf(positional("SETTINGS.YAML"))]
     settings: PathBuf,
 }
@@ -23,20 +23,20 @@
     fn run(&self) -> Result<(), CommandError> {
         let settings = read_host(&self.settings)?;
         init_log(settings.log_form)?;
-        let traces = settings
+        let trace_guard = settings
             .otlp_address
             .map(|address| init_traces(address, &settings.host));
-        let _traces = traces.transpose()?;
+        let _trace_guard = trace_guard.transpose()?;
         block_on(async {
             let mut terminate = listen(SignalKind::terminate())?;
             let mut interrupt = listen(SignalKind::interrupt())?;
             let host = Host::start(&settings).await?;
-            wait(&mut terminate, &mut interrupt).await;
-            let hurry = wait(&mut terminate, &mut interrupt);
-            let stopped = host.stop(hurry).await;
+            wait_for_signal(&mut terminate, &mut interrupt).await;
+            let abort = wait_for_signal(&mut terminate, &mut interrupt);
+            let stopped = host.stop(abort).await;
             if stopped.interrupted > 0 {
-                return Err(CommandError::Cut {
-                    cut: stopped.interrupted,
+                return Err(CommandError::Aborted {
+                    count: stopped.interrupted,
                 });
             }
             Ok(())
@@ -48,7 +48,7 @@
     signal(kind).map_err(CommandError::Runtime)
 }
 
-async fn wait(terminate: &mut Signal, interrupt: &mut Signal) {
+async fn wait_for_signal(terminate: &mut Signal, interrupt: &mut Signal) {
     tokio::select! {
         _ = terminate.recv() => {}
         _ = interrupt.recv() => {}
--- a/src/cmd/status.rs
+++ b/src/cmd/status.rs
@@ -1,4 +1,4 @@
-//! `fulmarpath status`: which revision is in force where.
+//! `fulmarpath status`: shows the active revision of each host.
 
 use std::time::{Duration, Instant};
 
@@ -9,7 +9,7 @@
 use crate::client::{Target, target};
 use crate::error::CommandError;
 
-/// Show which revision is in force where
+/// Show the active revision of each host
 #[derive(Debug, Clone, Bpaf)]
 #[bpaf(command)]
 pub(crate) struct Status {
@@ -17,13 +17,13 @@
     target: Target,
 }
 
-/// A change that was accepted.
+/// Response to an accepted change.
 #[derive(Debug, Deserialize)]
 pub(crate) struct Accepted {
     pub(crate) revision: u64,
 }
 
-/// What a host says of itself and of its peers.
+/// A host's status, with the revisions of its peers.
 #[derive(Debug, Deserialize)]
 pub(crate) struct Report {
     host: String,
@@ -67,28 +67,28 @@
     }
 }
 
-const WAIT_BOUND: Duration = Duration::from_millis(10_000);
-const WAIT_CHECK: Duration = Duration::from_millis(100);
+const WAIT_TIMEOUT: Duration = Duration::from_millis(10_000);
+const WAIT_POLL_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Waits until every member that answers has a revision in force.
-pub(crate) async fn wait_in_force(target: &Target, revision: u64) -> Result<(), CommandError> {
+/// Waits until every live member has activated the revision.
+pub(crate) async fn wait_until_active(target: &Target, revision: u64) -> Result<(), CommandError> {
     let started = Instant::now();
     loop {
         let report: Report = target.get("/operator/status").await?;
         let lagging: Vec<String> = report
             .members
             .into_iter()
-            .filter(|member| member.revision.is_none_or(|held| held < revision))
+            .filter(|member| member.revision.is_none_or(|active| active < revision))
             .map(|member| member.host)
             .collect();
         if lagging.is_empty() {
             println!("revision {revision} in force on every live host");
             return Ok(());
         }
-        if started.elapsed() > WAIT_BOUND {
+        if started.elapsed() > WAIT_TIMEOUT {
             let lagging = lagging.join(", ");
             return Err(CommandError::Lagging { revision, lagging });
         }
-        tokio::time::sleep(WAIT_CHECK).await;
+        tokio::time::sleep(WAIT_POLL_INTERVAL).await;
     }
 }
--- a/src/dev.rs
+++ b/src/dev.rs
@@ -1,4 +1,4 @@
-//! A whole small deployment in one process on loopback, for trials and tests.
+//! A small complete deployment in one process on loopback, for trials and tests.
 
 pub mod caller;
 
@@ -19,31 +19,31 @@
 
 use crate::host::{Host, HostError};
 
-/// The caller's key of the first organisation in [`declarations`].
+/// Caller key of the first organisation in [`declarations`].
 pub const CALLER_KEY: &str = "dev-caller";
-/// The caller's key of the second organisation, a rival of the first.
+/// Caller key of the second organisation.
 pub const OTHER_CALLER_KEY: &str = "dev-rival";
-/// The operators' key of a [`Deployment`].
+/// Operator key of a [`Deployment`].
 pub const OPERATOR_KEY: &str = "dev-operator";
 
-/// The model of the trial's engines.
+/// Model that all engines serve.
 const MODEL: &str = "drafts";
 const DATA_CENTRES: [&str; 3] = ["zrh-a", "zrh-b", "zrh-c"];
-const READY_BOUND: Duration = Duration::from_millis(15_000);
-const READY_CHECK: Duration = Duration::from_millis(20);
+const READY_TIMEOUT: Duration = Duration::from_millis(15_000);
+const READY_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// What a deployment consists of.
+/// The size and the settings of a deployment.
 #[derive(Debug, Clone, Copy)]
 pub struct DeploymentSpec {
-    /// Entry hosts.
+    /// Number of entry hosts.
     pub hosts: usize,
-    /// Engines of the one model.
+    /// Number of engines.
     pub engines: usize,
-    /// What each engine is like.
+    /// Capacity and timing of each engine.
     pub engine: EngineSpec,
-    /// Silence after which a stream is resumed.
+    /// Time in milliseconds without data after which a stream is resumed.
     pub silence_bound_ms: u64,
-    /// A safeguard that all hosts lack.
+    /// A safeguard that is disabled on all hosts.
     pub disabled_safeguard: Option<Safeguard>,
 }
 
@@ -62,7 +62,7 @@
 /// A deployment could not start.
 #[derive(Debug, thiserror::Error)]
 pub enum DevError {
-    /// A loopback port can't be used.
+    /// Binding to a loopback port failed.
     #[error("could not listen on loopback")]
     Listen(#[from] std::io::Error),
     /// A host could not start.
@@ -71,20 +71,20 @@
     /// The declarations were not accepted.
     #[error("could not apply the declarations")]
     Apply(#[from] fulmarpath_cluster::PublishError),
-    /// The hosts did not become ready in time.
-    #[error("could not bring all hosts to take work in time")]
+    /// The hosts were not ready within 15 s.
+    #[error("could not get all hosts ready in time")]
     NotReady,
 }
 
-/// A host on a runtime of its own, so that it can be killed whole.
-struct Running {
+/// A host on its own runtime, so that all of its tasks can be killed at once.
+struct RunningHost {
     host: Host,
     runtime: Runtime,
 }
 
-/// Hosts and stand-ins.
+/// A deployment of hosts and stand-ins.
 pub struct Deployment {
-    hosts: Vec<Option<Running>>,
+    hosts: Vec<Option<RunningHost>>,
     /// The engines.
     pub engines: Vec<StandinEngine>,
     /// The plain service `lookup`.
@@ -93,7 +93,7 @@
     pub object_api: StandinObjectApi,
     /// The host list.
     pub host_list: StandinHostList,
-    size: DeploymentSpec,
+    spec: DeploymentSpec,
 }
 
 impl Drop for Deployment {
@@ -104,23 +104,23 @@
     }
 }
 
-async fn listener() -> std::io::Result<TcpListener> {
+async fn bind_loopback() -> std::io::Result<TcpListener> {
     TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).await
 }
 
 impl Deployment {
-    /// Starts everything and applies [`declarations`].
+    /// Starts all stand-ins and hosts and applies [`declarations`].
     ///
     /// # Errors
     /// [`DevError`]
-    pub async fn start(size: DeploymentSpec) -> Result<Self, DevError> {
-        let object_api = StandinObjectApi::start(listener().await?)?;
-        let host_list = StandinHostList::start(listener().await?)?;
-        let plain = StandinPlain::start(listener().await?)?;
+    pub async fn start(spec: DeploymentSpec) -> Result<Self, DevError> {
+        let object_api = StandinObjectApi::start(bind_loopback().await?)?;
+        let host_list = StandinHostList::start(bind_loopback().await?)?;
+        let plain = StandinPlain::start(bind_loopback().await?)?;
         host_list.put(entry("lookup-1", Role::Plain, 0, "lookup", plain.address));
         let mut engines = Vec::new();
-        for number in 0..size.engines {
-            let engine = StandinEngine::start(listener().await?, size.engine)?;
+        for number in 0..spec.engines {
+            let engine = StandinEngine::start(bind_loopback().await?, spec.engine)?;
             let name = format!("engine-{number}");
             let listed = entry(&name, Role::Engine, number, MODEL, engine.address);
             host_list.put(listed);
@@ -132,9 +132,9 @@
             plain,
             object_api,
             host_list,
-            size,
+            spec,
         };
-        for _ in 0..size.hosts {
+        for _ in 0..spec.hosts {
             deployment.add_host().await?;
         }
         let change = Change::Apply {
@@ -148,7 +148,7 @@
         Ok(deployment)
     }
 
-    /// Starts one more host and lists it.
+    /// Starts one more host, adds it to the host list and returns its index.
     ///
     /// # Errors
     /// [`DevError`]
@@ -160,31 +160,32 @@
             .enable_all()
             .build()?;
         let settings = self.host_settings(number, &name);
-        let disabled = self.size.disabled_safeguard;
-        let start = async move { Host::start_with_safeguard_disabled(&settings, disabled).await };
+        let disabled_safeguard = self.spec.disabled_safeguard;
+        let start =
+            async move { Host::start_with_safeguard_disabled(&settings, disabled_safeguard).await };
         let host = runtime
             .spawn(start)
             .await
             .map_err(|_| DevError::NotReady)??;
         let listed = entry(&name, Role::Entry, number, "", host.peer_address);
         self.host_list.put(listed);
-        self.hosts.push(Some(Running { host, runtime }));
+        self.hosts.push(Some(RunningHost { host, runtime }));
         Ok(number)
     }
 
-    /// Ends a host at once, as a crash would: its connections close, its memory is gone.
+    /// Simulates a crash of a host: its connections close and its state is lost.
     pub fn kill(&mut self, host: usize) {
         if let Some(running) = self.hosts[host].take() {
             running.runtime.shutdown_background();
         }
     }
 
-    /// Stops a host gracefully and tells how many generations were cut.
+    /// Shuts a host down gracefully and returns how many generations were interrupted.
     pub async fn stop(&mut self, host: usize) -> usize {
         let Some(running) = self.hosts[host].take() else {
             return 0;
         };
-        let Running { host, runtime } = running;
+        let RunningHost { host, runtime } = running;
         let stop = async move { host.stop(std::future::pending()).await };
         let stopped = runtime.spawn(stop).await;
         runtime.shutdown_background();
@@ -202,7 +203,7 @@
             host_list_address: self.host_list.address,
             linger_ms: 200,
             drain_bound_ms: 30_000,
-            silence_bound_ms: self.size.silence_bound_ms,
+            silence_bound_ms: self.spec.silence_bound_ms,
             plain_bound_ms: 1_500,
             header_limit_bytes: 16_384,
             body_limit_bytes: 1_048_576,
@@ -213,51 +214,51 @@
         }
     }
 
-    /// The hosts that were not stopped.
+    /// The hosts that were neither stopped nor killed.
     pub fn running_hosts(&self) -> impl Iterator<Item = &Host> {
         self.hosts.iter().flatten().map(|running| &running.host)
     }
 
-    /// Hosts that were ever started.
+    /// Number of hosts started so far, including those that were stopped.
     pub fn host_count(&self) -> usize {
         self.hosts.len()
     }
 
-    /// One host.
+    /// The host with this index.
     ///
     /// # Panics
-    /// Where that host was stopped.
+    /// If that host was stopped.
     pub fn host(&self, host: usize) -> &Host {
         let running = self.hosts[host].as_ref();
         &running.expect("the host runs").host
     }
 
-    /// Where callers reach a host.
+    /// Address of a host for callers.
     ///
     /// # Panics
-    /// Where that host was stopped.
+    /// If that host was stopped.
     pub fn caller_address(&self, host: usize) -> SocketAddr {
         self.host(host).caller_address
     }
 
-    /// Waits until every host knows every other and takes work.
+    /// Waits until every running host knows all others and accepts work.
     ///
     /// # Errors
     /// [`DevError::NotReady`]
     pub async fn wait_until_ready(&self) -> Result<(), DevError> {
-        let wanted = self.running_hosts().count();
+        let expected = self.running_hosts().count();
         let all_ready = async {
             loop {
                 let ready = self
                     .running_hosts()
-                    .all(|host| host.node.takes_work() && host.node.member_count() >= wanted);
+                    .all(|host| host.node.takes_work() && host.node.member_count() >= expected);
                 if ready {
                     return;
                 }
-                tokio::time::sleep(READY_CHECK).await;
+                tokio::time::sleep(READY_POLL_INTERVAL).await;
             }
         };
-        let waited = tokio::time::timeout(READY_BOUND, all_ready).await;
+        let waited = tokio::time::timeout(READY_TIMEOUT, all_ready).await;
         waited.map_err(|_| DevError::NotReady)
     }
 }
@@ -273,7 +274,7 @@
     }
 }
 
-/// Declarations of two organisations, two generation services and a plain one.
+/// Declarations of two organisations, two generation services and one plain service.
 pub fn declarations() -> Declarations {
     let organisation = |name: &str, key: &str, weight| Organisation {
         name: name.to_owned(),
--- a/src/dev/caller.rs
+++ b/src/dev/caller.rs
@@ -1,4 +1,4 @@
-//! A caller as seen from outside, for trials, tests and measurements.
+//! An external caller, for trials, tests and benchmarks.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -8,44 +8,44 @@
 use hyper::{Method, Request, StatusCode};
 use serde_json::{Value, json};
 
-const BOUND: Duration = Duration::from_millis(12_000);
-/// Silence after which a caller gives up on a streamed answer.
-const SILENCE_BOUND: Duration = Duration::from_millis(3_000);
+const CALL_TIMEOUT: Duration = Duration::from_millis(12_000);
+/// Time without data after which a caller abandons a streamed response.
+const SILENCE_TIMEOUT: Duration = Duration::from_millis(3_000);
 
-/// What a caller asks for.
+/// A completion request of a caller.
 #[derive(Debug, Clone, Default)]
 pub struct CallerRequest {
-    /// The organisation's key.
+    /// Caller key of the organisation.
     pub key: &'static str,
     /// The prompt.
     pub prompt: String,
-    /// Makes it a submission that runs at most once.
+    /// Idempotency key; a submission with a key runs at most once.
     pub idempotency_key: Option<String>,
-    /// Goes on after this event.
+    /// Resumes the stream after this event.
     pub last_event_id: Option<String>,
-    /// The caller's own trace.
+    /// Trace context of the caller.
     pub traceparent: Option<String>,
 }
 
-/// What a caller got.
+/// What a caller received.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct CallerResponse {
-    /// The status of the answer; 0 where none came.
+    /// HTTP status; 0 if there was no response.
     pub status: u16,
-    /// The tokens, in the order they came.
+    /// The tokens in order of arrival.
     pub tokens: Vec<String>,
-    /// The events' ids.
+    /// The event ids in order of arrival.
     pub event_ids: Vec<String>,
-    /// Whether the end was reached.
+    /// Whether the stream reached its end.
     pub is_complete: bool,
-    /// The kind of problem, without its URN's prefix.
+    /// The problem type without the URN prefix.
     pub problem: Option<String>,
-    /// Whether no connection was made: the host never saw the request.
+    /// Whether no connection was made, so that the host never received the request.
     pub is_unsent: bool,
 }
 
 impl CallerResponse {
-    fn nothing() -> Self {
+    fn empty() -> Self {
         Self {
             status: 0,
             tokens: Vec::new(),
@@ -56,16 +56,16 @@
         }
     }
 
-    /// The tokens as one text.
+    /// The concatenated tokens.
     pub fn text(&self) -> String {
         self.tokens.concat()
     }
 }
 
-/// Sends one request with these headers.
+/// Sends one request with the given headers.
 ///
 /// # Errors
-/// [`HttpError`] where no answer came.
+/// [`HttpError`] if there was no response.
 pub async fn call(
     address: SocketAddr,
     method: Method,
@@ -79,89 +79,89 @@
     }
     let request = request.body(Full::new(body.into()));
     let request = request.map_err(|_| HttpError::Unreachable { address })?;
-    send(address, request, BOUND).await
+    send(address, request, CALL_TIMEOUT).await
 }
 
-/// Starts a streamed answer of the service `reports`.
+/// Starts a streamed completion of the service `reports`.
 ///
 /// # Errors
-/// [`HttpError`] where no answer came.
-pub async fn open(address: SocketAddr, ask: &CallerRequest) -> Result<Call, HttpError> {
-    let bearer = format!("Bearer {}", ask.key);
+/// [`HttpError`] if there was no response.
+pub async fn open(address: SocketAddr, request: &CallerRequest) -> Result<Call, HttpError> {
+    let bearer = format!("Bearer {}", request.key);
     let mut headers = vec![("authorization", bearer.as_str())];
-    if let Some(key) = &ask.idempotency_key {
+    if let Some(key) = &request.idempotency_key {
         headers.push(("idempotency-key", key));
     }
-    if let Some(id) = &ask.last_event_id {
+    if let Some(id) = &request.last_event_id {
         headers.push(("last-event-id", id));
     }
-    if let Some(trace) = &ask.traceparent {
+    if let Some(trace) = &request.traceparent {
         headers.push(("traceparent", trace));
     }
-    let body = json!({ "model": "reports", "prompt": ask.prompt, "stream": true });
+    let body = json!({ "model": "reports", "prompt": request.prompt, "stream": true });
     let path = "/v1/completions";
     call(address, Method::POST, path, &headers, body.to_string()).await
 }
 
-/// Reads a streamed answer to its end, or as many tokens as `most`.
-pub async fn read(opened: Result<Call, HttpError>, most: usize) -> CallerResponse {
-    let mut got = CallerResponse::nothing();
+/// Reads a streamed response to its end, but at most `limit` tokens.
+pub async fn read(opened: Result<Call, HttpError>, limit: usize) -> CallerResponse {
+    let mut response = CallerResponse::empty();
     let call = match opened {
         Ok(call) => call,
         Err(error) => {
-            got.is_unsent = error.is_unsent();
-            return got;
+            response.is_unsent = error.is_unsent();
+            return response;
         }
     };
-    got.status = call.status().as_u16();
+    response.status = call.status().as_u16();
     if call.status() != StatusCode::OK {
-        let problem = call.json(BOUND).await;
-        got.problem = problem.ok().as_ref().and_then(kind);
-        return got;
+        let problem = call.json(CALL_TIMEOUT).await;
+        response.problem = problem.ok().as_ref().and_then(problem_type);
+        return response;
     }
     let mut lines = Lines::new(call);
     let mut is_error = false;
-    while got.tokens.len() < most {
-        let Ok(Some(line)) = lines.next(SILENCE_BOUND).await else {
-            return got;
+    while response.tokens.len() < limit {
+        let Ok(Some(line)) = lines.next(SILENCE_TIMEOUT).await else {
+            return response;
         };
         let line = String::from_utf8_lossy(&line).into_owned();
         if let Some(id) = line.strip_prefix("id: ") {
-            got.event_ids.push(id.to_owned());
+            response.event_ids.push(id.to_owned());
         }
         is_error |= line == "event: error";
         let Some(data) = line.strip_prefix("data: ") else {
             continue;
         };
         if data == "[DONE]" {
-            got.is_complete = true;
-            return got;
+            response.is_complete = true;
+            return response;
         }
         let data: Value = serde_json::from_str(data).unwrap_or_default();
         if is_error {
-            got.problem = kind(&data);
-            return got;
+            response.problem = problem_type(&data);
+            return response;
         }
         let text = data["choices"][0]["text"].as_str().unwrap_or_default();
         if !text.is_empty() {
-            got.tokens.push(text.to_owned());
+            response.tokens.push(text.to_owned());
         }
     }
-    got
+    response
 }
 
-fn kind(problem: &Value) -> Option<String> {
-    let kind = problem["type"].as_str()?;
-    let kind = kind.trim_start_matches("urn:fulmarpath:problem:");
-    Some(kind.to_owned())
+fn problem_type(problem: &Value) -> Option<String> {
+    let urn = problem["type"].as_str()?;
+    let name = urn.trim_start_matches("urn:fulmarpath:problem:");
+    Some(name.to_owned())
 }
 
-/// Asks and reads the whole answer.
-pub async fn complete(address: SocketAddr, ask: &CallerRequest) -> CallerResponse {
-    read(open(address, ask).await, usize::MAX).await
+/// Sends a request and reads the complete response.
+pub async fn complete(address: SocketAddr, request: &CallerRequest) -> CallerResponse {
+    read(open(address, request).await, usize::MAX).await
 }
 
-/// The whole answer that a stand-in engine gives to a prompt.
+/// The complete text that a stand-in engine generates for a prompt.
 pub fn expected(prompt: &str) -> String {
     let length = fulmarpath_standin::answer_length(prompt, OUTPUT_LIMIT_TOKENS);
     (0..length)
@@ -169,5 +169,5 @@
         .collect()
 }
 
-/// The longest answer of the service `reports` in [`super::declarations`].
+/// Output limit of the service `reports` in [`super::declarations`].
 pub(super) const OUTPUT_LIMIT_TOKENS: u32 = 8_000;
--- a/src/error.rs
+++ b/src/error.rs
@@ -1,4 +1,4 @@
-//! What a command can fail with.
+//! Errors of the commands.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -20,9 +20,9 @@
     /// The trial deployment could not start.
     #[error("could not run the trial deployment")]
     Dev(#[from] DevError),
-    /// No settings file is named.
+    /// No settings file is given.
     #[error("could not find the settings")]
-    #[diagnostic(help("name the file on the command line or in the environment"))]
+    #[diagnostic(help("pass the file on the command line or in the environment"))]
     NoSettings,
     /// The platform's settings can't be used.
     #[error(transparent)]
@@ -30,7 +30,7 @@
     /// The gateway could not start.
     #[error("could not run the gateway")]
     Gateway(#[from] fulmarpath::gateway::ListenError),
-    /// A log can't be read.
+    /// A log file can't be read.
     #[error("could not read the log {}", file.display())]
     LogFile {
         /// The file.
@@ -39,51 +39,53 @@
         #[source]
         source: std::io::Error,
     },
-    /// The logs don't speak of the request.
+    /// No log line mentions the request.
     #[error(transparent)]
-    #[diagnostic(help("name the logs of all hosts; only the host that took it writes its line"))]
-    NotFound(#[from] fulmarpath::RequestNotFound),
+    #[diagnostic(help(
+        "pass the logs of all hosts: only the host that received the request logs it"
+    ))]
+    RequestNotFound(#[from] fulmarpath::RequestNotFound),
     /// The log could not be set up.
-    #[error("could not log")]
+    #[error("could not start logging")]
     Log(#[from] LogError),
-    /// Traces could not be set up.
-    #[error("could not trace")]
+    /// Tracing could not be set up.
+    #[error("could not start tracing")]
     Trace(#[from] TraceError),
     /// The runtime could not start.
     #[error("could not start the runtime")]
     Runtime(#[source] std::io::Error),
-    /// The operators' key can't be read.
-    #[error("could not read the operators' key from {}", file.display())]
-    #[diagnostic(help("name a file that holds the key with --key-file"))]
-    KeyFile {
+    /// The operator key can't be read.
+    #[error("could not read the operator key from {}", file.display())]
+    #[diagnostic(help("pass the file that holds the key with --key-file"))]
+    UnreadableKey {
         /// The file.
         file: PathBuf,
     },
-    /// The host didn't answer.
-    #[error("could not get an answer from {address}")]
-    #[diagnostic(help("name another host with --host; look at `status` before trying again"))]
-    NoAnswer {
+    /// The host did not respond, or its response was not valid.
+    #[error("could not get a valid response from {address}")]
+    #[diagnostic(help("pass another host with --host; check `status` before a retry"))]
+    NoResponse {
         /// The host.
         address: SocketAddr,
     },
-    /// The host refused.
+    /// The host rejected the request.
     #[error("could not do it: {detail}")]
-    Refused {
-        /// What the host said.
+    Rejected {
+        /// The reason that the host gave.
         detail: String,
     },
-    /// The change isn't in force everywhere in time.
-    #[error("could not bring revision {revision} into force in time on: {lagging}")]
+    /// A live host did not activate the revision within the wait.
+    #[error("could not activate revision {revision} in time on: {lagging}")]
     Lagging {
         /// The revision.
         revision: u64,
-        /// The hosts that lag.
+        /// The hosts that still run an older revision.
         lagging: String,
     },
-    /// A stop cut requests.
-    #[error("could not finish {cut} running requests before the stop")]
-    Cut {
+    /// Requests were aborted by the shutdown.
+    #[error("could not finish {count} running requests before the shutdown")]
+    Aborted {
         /// How many.
-        cut: usize,
+        count: usize,
     },
 }
--- a/src/explain.rs
+++ b/src/explain.rs
@@ -1,130 +1,130 @@
-//! Finds in hosts' logs why a request ended as it did.
+//! Finds in host logs why a request had its outcome.
 
 use std::fmt;
 
 use fulmarpath_gateway::{RequestRecord, STORE_RESTORED_PREFIX};
 use serde::Deserialize;
 
-/// What hosts believe may be of before a return of the store from a copy for so long; their clocks differ
-/// by seconds.
-const NEAR_MS: u64 = 60_000;
+/// A restore of the store is shown for requests that end within this time of it: hosts may still
+/// use entries from before the restore, and their clocks differ by seconds.
+const STORE_RESTORE_WINDOW_MS: u64 = 60_000;
 
-/// A line of a gateway's log.
+/// A line of a gateway log.
 #[derive(Debug, Clone, Deserialize)]
 struct LogLine {
-    /// Milliseconds since 1970, by the host's own clock.
+    /// Milliseconds since 1970, by the clock of the host.
     timestamp: u64,
     payload: String,
 }
 
-/// One line that speaks of the request.
+/// A log line that concerns the request.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 pub struct MatchingLine {
     /// Milliseconds since 1970, by the clock of the host that wrote it.
     pub at_ms: u64,
-    /// The file that it stands in.
+    /// Name of the log that contains it.
     pub source: String,
-    /// What it says.
+    /// The payload of the line.
     pub text: String,
 }
 
-/// What the logs say of a request.
+/// The outcome of a request and the log lines that concern it.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Explanation {
-    /// Why it ended as it did, one sentence for each host that took it.
+    /// The causes of the outcome, one sentence for each host that received the request.
     pub causes: Vec<String>,
-    /// The lines that speak of it, oldest first.
+    /// The lines that concern it, oldest first.
     pub lines: Vec<MatchingLine>,
-    /// Lines that could not be read.
+    /// Number of lines that could not be parsed.
     pub unreadable: usize,
 }
 
-/// No line speaks of the request.
+/// No log line concerns the request.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
-#[error("could not find request {id} in {lines} lines ({unreadable} of them unreadable)")]
+#[error("could not find request {id} in {line_count} lines ({unreadable} of them unreadable)")]
 pub struct RequestNotFound {
-    /// The request.
+    /// Id of the request.
     pub id: String,
-    /// Lines that were looked at.
-    pub lines: usize,
-    /// Lines that could not be read.
+    /// Number of lines that were searched.
+    pub line_count: usize,
+    /// Number of lines that could not be parsed.
     pub unreadable: usize,
 }
 
-/// Looks for a request in the logs of several hosts; each is a name and its text.
+/// Searches the logs of several hosts for a request. Each log is a name and its text.
 ///
 /// # Errors
 /// [`RequestNotFound`]
 pub fn explain(id: &str, logs: &[(String, String)]) -> Result<Explanation, RequestNotFound> {
-    let mut lines = 0;
+    let mut line_count = 0;
     let mut unreadable = 0;
-    let mut all = Vec::new();
+    let mut entries = Vec::new();
     for (source, text) in logs {
         for line in text.lines().filter(|line| !line.trim().is_empty()) {
-            lines += 1;
-            match read(line) {
-                Some(read) => all.push((source, read)),
+            line_count += 1;
+            match parse(line) {
+                Some(entry) => entries.push((source, entry)),
                 None => unreadable += 1,
             }
         }
     }
-    let records: Vec<RequestRecord> = all
+    let records: Vec<RequestRecord> = entries
         .iter()
         .filter_map(|(_, line)| RequestRecord::read(&line.payload))
         .filter(|record| record.request == id)
         .collect();
     let run = records.first().map(|record| record.run.as_str());
     let content = records.iter().find_map(|record| record.content.as_deref());
-    let has_ended = |outcome: &str| records.iter().any(|record| record.outcome == outcome);
-    let is_evacuated = has_ended("evacuated");
-    let is_held_back = has_ended("held_back");
-    let ends = all.iter().filter(|(_, line)| {
+    let has_outcome = |outcome: &str| records.iter().any(|record| record.outcome == outcome);
+    let is_evacuated = has_outcome("evacuated");
+    let is_throttled = has_outcome("held_back");
+    let end_lines = entries.iter().filter(|(_, line)| {
         let record = RequestRecord::read(&line.payload);
         record.is_some_and(|record| record.request == id)
     });
-    let ends_ms: Vec<u64> = ends.map(|(_, line)| line.timestamp).collect();
-    let is_near = |at_ms: u64| {
+    let ends_ms: Vec<u64> = end_lines.map(|(_, line)| line.timestamp).collect();
+    let is_near_end = |at_ms: u64| {
         ends_ms
             .iter()
-            .any(|end_ms| end_ms.abs_diff(at_ms) < NEAR_MS)
+            .any(|end_ms| end_ms.abs_diff(at_ms) < STORE_RESTORE_WINDOW_MS)
     };
-    let speaks = |line: &LogLine| {
+    let is_related = |line: &LogLine| {
         let payload = &line.payload;
-        // What ended upstreams was this content in other requests as well.
-        let on_content = payload.starts_with("circuits:") || payload.starts_with("crashes:");
+        // Other requests with the same content may have caused the crashes.
+        let is_by_content = payload.starts_with("circuits:") || payload.starts_with("crashes:");
         payload.contains(id)
             || run.is_some_and(|run| payload.contains(run))
             || (is_evacuated && payload.starts_with("evacuations:"))
-            || (is_held_back && payload.starts_with("backpressure:"))
-            || (payload.starts_with(STORE_RESTORED_PREFIX) && is_near(line.timestamp))
-            || (on_content && content.is_some_and(|content| payload.contains(content)))
+            || (is_throttled && payload.starts_with("backpressure:"))
+            || (payload.starts_with(STORE_RESTORED_PREFIX) && is_near_end(line.timestamp))
+            || (is_by_content && content.is_some_and(|content| payload.contains(content)))
     };
-    let mut matching: Vec<MatchingLine> = all
+    let mut lines: Vec<MatchingLine> = entries
         .iter()
-        .filter(|(_, line)| speaks(line))
+        .filter(|(_, line)| is_related(line))
         .map(|(source, line)| MatchingLine {
             at_ms: line.timestamp,
             source: (*source).clone(),
             text: line.payload.clone(),
         })
         .collect();
-    matching.sort();
-    if matching.is_empty() {
+    lines.sort();
+    if lines.is_empty() {
         return Err(RequestNotFound {
             id: id.to_owned(),
-            lines,
+            line_count,
             unreadable,
         });
     }
     Ok(Explanation {
         causes: records.iter().map(RequestRecord::cause).collect(),
-        lines: matching,
+        lines,
         unreadable,
     })
 }
 
-/// Reads a line; a collector may have written something before its JSON.
-fn read(line: &str) -> Option<LogLine> {
+/// Parses a line. A log collector may have put a prefix before the JSON.
+fn parse(line: &str) -> Option<LogLine> {
     let start = line.find('{')?;
     serde_json::from_str(&line[start..]).ok()
 }
--- a/src/host.rs
+++ b/src/host.rs
@@ -1,4 +1,4 @@
-//! One entry host: its part in the cluster and its callers' side.
+//! One entry host: its cluster node and its server for callers.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -10,15 +10,15 @@
 use fulmarpath_store::{HttpHostList, HttpObjectApi};
 use tokio::net::TcpListener;
 
-/// Without a word from the platform or a peer for so long, a host takes no new work.
-const CONFIRM_BOUND_MS: u64 = 3_000;
-/// How long a caller that lost its connection may take to come back.
-const GRACE_MS: u64 = 5_000;
+/// A host without contact to the platform or a peer for this long accepts no new work.
+const CONTACT_TIMEOUT_MS: u64 = 3_000;
+/// How long a disconnected caller may take to reconnect.
+const RECONNECT_GRACE_MS: u64 = 5_000;
 
 /// A host could not start.
 #[derive(Debug, thiserror::Error)]
 pub enum HostError {
-    /// An address can't be used.
+    /// Binding to an address failed.
     #[error("could not listen on {address}")]
     Listen {
         /// The address.
@@ -27,24 +27,24 @@
         #[source]
         source: std::io::Error,
     },
-    /// The part in the cluster could not start.
+    /// The cluster node could not start.
     #[error("could not join the cluster")]
     Start(#[from] StartError),
 }
 
 /// A running entry host.
 pub struct Host {
-    /// Its part in the cluster.
+    /// The node of the cluster that runs on it.
     pub node: Arc<Node>,
-    /// Where callers reach it.
+    /// Address of the server for callers.
     pub caller_address: SocketAddr,
-    /// Where its peers reach it.
+    /// Address of the server for peers.
     pub peer_address: SocketAddr,
     server: EntryServer,
 }
 
 impl Host {
-    /// Listens on the addresses of the settings and starts.
+    /// Binds the addresses of the settings and starts the host.
     ///
     /// # Errors
     /// [`HostError`]
@@ -52,10 +52,10 @@
         Self::start_with_safeguard_disabled(settings, None).await
     }
 
-    /// Starts a host that lacks a safeguard, for a fault run that must notice it.
+    /// Starts a host with a safeguard disabled. A fault run must detect the missing safeguard.
     pub(crate) async fn start_with_safeguard_disabled(
         settings: &HostSettings,
-        without: Option<Safeguard>,
+        disabled_safeguard: Option<Safeguard>,
     ) -> Result<Self, HostError> {
         let callers = listen(settings.caller_address).await?;
         let peers = listen(settings.peer_address).await?;
@@ -70,9 +70,9 @@
             host: settings.host.clone(),
             data_centre: settings.data_centre.clone(),
             peer_address,
-            contact_timeout_ms: CONFIRM_BOUND_MS,
+            contact_timeout_ms: CONTACT_TIMEOUT_MS,
             claims,
-            disabled_safeguard: without,
+            disabled_safeguard,
         };
         let object_api = Arc::new(HttpObjectApi::new(settings.object_api_address));
         let host_list = Arc::new(HttpHostList::new(settings.host_list_address));
@@ -85,7 +85,7 @@
             body_limit_bytes: settings.body_limit_bytes,
             stream_limit: settings.stream_limit,
             silence_timeout: Duration::from_millis(settings.silence_bound_ms),
-            reconnect_grace_ms: GRACE_MS,
+            reconnect_grace_ms: RECONNECT_GRACE_MS,
             keyed_retention_ms: claims.window_ms,
             linger: Duration::from_millis(settings.linger_ms),
             drain_timeout: Duration::from_millis(settings.drain_bound_ms),
@@ -100,9 +100,9 @@
         })
     }
 
-    /// Stops; what runs is finished unless `hurry` resolves first.
-    pub async fn stop(self, hurry: impl Future<Output = ()>) -> Stopped {
-        self.server.stop(hurry).await
+    /// Shuts down gracefully: running requests are finished, unless `abort` resolves first.
+    pub async fn stop(self, abort: impl Future<Output = ()>) -> Stopped {
+        self.server.stop(abort).await
     }
 }
 
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,6 +1,7 @@
-//! fulmarpath: serves generations of unknown length on crowded engines.
+//! fulmarpath: serves generations of unknown length on engines under high load.
 //!
-//! This is the library's face: a host to run, and a whole small deployment for trials and tests.
+//! The library provides an entry host, the gateway, and a small complete deployment for trials
+//! and tests.
 
 pub mod dev;
 mod explain;
--- a/src/log.rs
+++ b/src/log.rs
@@ -1,4 +1,4 @@
-//! Log lines on standard error, for people or as JSON.
+//! Log set-up: text or JSON on standard error, or for a gateway JSON on standard output.
 
 use std::num::NonZeroUsize;
 use std::sync::Arc;
@@ -14,7 +14,7 @@
 #[error("could not set up the log")]
 pub struct LogError(#[source] spdlog::Error);
 
-/// Sets up the log for the whole process.
+/// Sets up the log of the process on standard error.
 ///
 /// # Errors
 /// [`LogError`] where the sink can't be built.
@@ -41,11 +41,11 @@
     Ok(())
 }
 
-/// Lines that wait for standard output at most; a burst of a second at a host's peak. What comes
-/// while as many wait is dropped, so that a slow reader of the log never holds a request up.
-const WAITING_LINES: usize = 2_048;
+/// Capacity of the queue of log lines, enough for one second at a host's peak. When the queue is
+/// full, new lines are dropped, so that a slow log reader never delays a request.
+const QUEUE_LINES: usize = 2_048;
 
-/// Sets up the log of a gateway: JSON lines on standard output, written by a thread of its own.
+/// Sets up the log of a gateway: JSON lines on standard output, written by a dedicated thread.
 ///
 /// # Errors
 /// [`LogError`] where the sink can't be built.
@@ -56,7 +56,7 @@
         .build()
         .map_err(LogError)?;
     let pool = ThreadPool::builder()
-        .capacity(NonZeroUsize::new(WAITING_LINES).unwrap_or(NonZeroUsize::MIN))
+        .capacity(NonZeroUsize::new(QUEUE_LINES).unwrap_or(NonZeroUsize::MIN))
         .build()
         .map_err(LogError)?;
     let sink = AsyncPoolSink::builder()
@@ -71,7 +71,7 @@
     install(Arc::new(sink))
 }
 
-/// Lines of a gateway's log that were left out so far.
+/// Number of gateway log lines that were dropped since the start.
 pub fn dropped_lines() -> u64 {
     DROPPED_LINES.load(Ordering::Relaxed)
 }
--- a/src/trace.rs
+++ b/src/trace.rs
@@ -1,4 +1,4 @@
-//! Spans sent to a collector by OTLP, where an endpoint is set.
+//! Export of tracing spans to an OTLP collector.
 
 use std::net::SocketAddr;
 
@@ -11,18 +11,18 @@
 use tracing_subscriber::layer::SubscriberExt;
 use tracing_subscriber::util::SubscriberInitExt;
 
-/// Traces could not be set up.
+/// Tracing could not be set up.
 #[derive(Debug, thiserror::Error)]
 pub enum TraceError {
     /// The exporter can't be built.
-    #[error("could not build the exporter of traces")]
+    #[error("could not build the span exporter")]
     Exporter(#[from] ExporterBuildError),
-    /// Another subscriber is in place.
-    #[error("could not set up traces twice")]
+    /// A global subscriber is already installed.
+    #[error("could not set up tracing twice")]
     AlreadySet,
 }
 
-/// Sends what is left when dropped.
+/// Exports the remaining spans when dropped.
 pub struct TraceGuard(SdkTracerProvider);
 
 impl Drop for TraceGuard {
@@ -31,7 +31,7 @@
     }
 }
 
-/// Sends the spans of the whole process to the collector at `address`.
+/// Exports the spans of the process to the collector at `address`.
 ///
 /// # Errors
 /// [`TraceError`]
