--- a/crates/gateway/src/collection_reader.rs
+++ b/crates/gateway/src/collection_reader.rs
@@ -15,8 +15,8 @@
 /// Between two attempts while the store is unavailable; randomised, so that not all hosts call at
 /// once.
 const RETRY_MS: Range<u64> = 150..450;
-/// The same after [`SHORT_RETRIES`] attempts: each call has a cost, and a delay of a second after an
-/// outage of seconds is within the time that upstreams need to register again.
+/// The same after [`SHORT_RETRIES`] attempts: each call has a cost, and a delay of a second after
+/// an outage of seconds is within the time that upstreams need to register again.
 const LONG_RETRY_MS: Range<u64> = 400..900;
 /// Attempts with the short delay, for a connection that was cut or a store that rejected a single
 /// call.
@@ -119,8 +119,8 @@
         }
     }
 
-    /// Logs a failed call and waits before the next one. The collection has to be listed again then,
-    /// as after an outage a list shows more than a watch from an old revision.
+    /// Logs a failed call and waits before the next one. The collection has to be listed again
+    /// then, as after an outage a list shows more than a watch from an old revision.
     pub(crate) async fn handle_failure(&mut self, gateway: &Arc<Gateway>, error: &StoreError) {
         if !error.is_outage() {
             info!("store: {} to be read anew: {error}", self.what);
--- a/crates/gateway/src/roster.rs
+++ b/crates/gateway/src/roster.rs
@@ -10,8 +10,8 @@
 //!
 //! A store restored from a backup has lost its latest changes. Upstreams that registered after the
 //! backup get the same grace period to register again. An upstream that had left and is listed
-//! again only because of the backup gets no work until it writes its entry again, or until its entry
-//! has outlived the time after which the store removes a silent upstream.
+//! again only because of the backup gets no work until it writes its entry again, or until its
+//! entry has outlived the time after which the store removes a silent upstream.
 
 use std::collections::{HashMap, HashSet};
 
--- a/crates/gateway/src/store_sync.rs
+++ b/crates/gateway/src/store_sync.rs
@@ -277,7 +277,8 @@
     }
     let unconfirmed = roster.unconfirmed();
     info!(
-        "upstreams: revision {revision} follows {before}: {} kept that the store lacks, {} ignored that had left",
+        "upstreams: revision {revision} follows {before}: {} kept that the store lacks, \
+         {} ignored that had left",
         unconfirmed.missing, unconfirmed.restored
     );
 }
--- a/crates/gateway/tests/roster.rs
+++ b/crates/gateway/tests/roster.rs
@@ -389,7 +389,7 @@
 /// state their start time, an entry without one is from another writer.
 #[rstest]
 #[case::later_start(Restart { held_ms: Some(5), next_ms: Some(9), known: Some(Some(9)) })]
-#[case::earlier_start_arrives_late(Restart { held_ms: Some(9), next_ms: Some(5), known: Some(Some(9)) })]
+#[case::late_earlier_start(Restart { held_ms: Some(9), next_ms: Some(5), known: Some(Some(9)) })]
 #[case::same_start(Restart { held_ms: Some(9), next_ms: Some(9), known: Some(Some(9)) })]
 #[case::foreign(Restart { held_ms: Some(9), next_ms: None, known: None })]
 #[case::start_time_appears(Restart { held_ms: None, next_ms: Some(9), known: Some(Some(9)) })]
--- a/crates/gateway/tests/store_restores.rs
+++ b/crates/gateway/tests/store_restores.rs
@@ -24,15 +24,15 @@
     /// A list of ready upstreams, at an era and a number.
     Listed(u64, u64, &'static [&'static str]),
     /// An upstream has written that it is draining.
-    MarkedDraining(u64, u64, &'static str),
+    Draining(u64, u64, &'static str),
     /// An upstream has written its entry anew, as ready.
     Written(u64, u64, &'static str),
     /// The store has removed an entry.
-    EntryRemoved(u64, u64, &'static str),
+    Removed(u64, u64, &'static str),
     /// Time in milliseconds that passes.
     Elapsed(u64),
 }
-use StoreEvent::{Elapsed, EntryRemoved, Listed, MarkedDraining, Written};
+use StoreEvent::{Draining, Elapsed, Listed, Removed, Written};
 
 struct RestoreCase {
     events: &'static [StoreEvent],
@@ -60,7 +60,7 @@
             };
             roster.replace(now_ms, list);
         }
-        MarkedDraining(era, number, name) => {
+        Draining(era, number, name) => {
             let change = Change::Put(registration(name, RegisteredState::Draining));
             roster.apply(now_ms, changes(Revision::new(*era, *number), change));
         }
@@ -68,7 +68,7 @@
             let change = Change::Put(registration(name, RegisteredState::Ready));
             roster.apply(now_ms, changes(Revision::new(*era, *number), change));
         }
-        EntryRemoved(era, number, name) => {
+        Removed(era, number, name) => {
             let change = Change::Removed((*name).to_owned());
             roster.apply(now_ms, changes(Revision::new(*era, *number), change));
         }
@@ -101,59 +101,73 @@
     events: &[Listed(1, 50, &["a"]), Written(2, 60, "b")], ready: &["a"],
 })]
 #[case::changes_after_list(RestoreCase {
-    events: &[Listed(1, 50, &["a"]), Listed(2, 40, &["a"]), Written(2, 41, "b")], ready: &["a", "b"],
+    events: &[Listed(1, 50, &["a"]), Listed(2, 40, &["a"]), Written(2, 41, "b")],
+    ready: &["a", "b"],
 })]
 #[case::two_restores(RestoreCase {
-    events: &[Listed(1, 50, &["a"]), Listed(2, 40, &["a"]), Listed(3, 30, &["a", "b"])], ready: &["a", "b"],
+    events: &[Listed(1, 50, &["a"]), Listed(2, 40, &["a"]), Listed(3, 30, &["a", "b"])],
+    ready: &["a", "b"],
 })]
 #[case::draining_before_restore(RestoreCase {
-    events: &[Listed(1, 50, &["a", "b"]), MarkedDraining(1, 51, "b"), Listed(2, 40, &["a", "b"]), Written(2, 45, "b")],
+    events: &[
+        Listed(1, 50, &["a", "b"]), Draining(1, 51, "b"),
+        Listed(2, 40, &["a", "b"]), Written(2, 45, "b"),
+    ],
     ready: &["a"],
 })]
 #[case::missing_within_grace(RestoreCase {
-    events: &[Listed(1, 50, &["a", "b"]), Listed(2, 40, &["a"]), Elapsed(2_000)], ready: &["a", "b"],
+    events: &[Listed(1, 50, &["a", "b"]), Listed(2, 40, &["a"]), Elapsed(2_000)],
+    ready: &["a", "b"],
 })]
 #[case::missing_after_grace(RestoreCase {
     events: &[Listed(1, 50, &["a", "b"]), Listed(2, 40, &["a"]), Elapsed(2_300)], ready: &["a"],
 })]
 #[case::departed(RestoreCase {
-    events: &[Listed(1, 50, &["a", "b"]), EntryRemoved(1, 51, "b"), Listed(2, 40, &["a", "b"]), Elapsed(3_900)],
+    events: &[
+        Listed(1, 50, &["a", "b"]), Removed(1, 51, "b"), Listed(2, 40, &["a", "b"]), Elapsed(3_900),
+    ],
     ready: &["a"],
 })]
 #[case::departed_then_removed(RestoreCase {
     events: &[
-        Listed(1, 50, &["a", "b"]), EntryRemoved(1, 51, "b"), Listed(2, 40, &["a", "b"]), EntryRemoved(2, 41, "b"),
+        Listed(1, 50, &["a", "b"]), Removed(1, 51, "b"),
+        Listed(2, 40, &["a", "b"]), Removed(2, 41, "b"),
         Elapsed(9_000),
     ],
     ready: &["a"],
 })]
 #[case::departed_then_missing_in_list(RestoreCase {
     events: &[
-        Listed(1, 50, &["a", "b"]), EntryRemoved(1, 51, "b"), Listed(2, 40, &["a", "b"]), Listed(2, 44, &["a"]),
+        Listed(1, 50, &["a", "b"]), Removed(1, 51, "b"),
+        Listed(2, 40, &["a", "b"]), Listed(2, 44, &["a"]),
         Elapsed(9_000),
     ],
     ready: &["a"],
 })]
 #[case::departed_then_written(RestoreCase {
     events: &[
-        Listed(1, 50, &["a", "b"]), EntryRemoved(1, 51, "b"), Listed(2, 40, &["a", "b"]), Written(2, 41, "b"),
+        Listed(1, 50, &["a", "b"]), Removed(1, 51, "b"),
+        Listed(2, 40, &["a", "b"]), Written(2, 41, "b"),
     ],
     ready: &["a", "b"],
 })]
 #[case::departed_then_kept_beyond_ttl(RestoreCase {
-    events: &[Listed(1, 50, &["a", "b"]), EntryRemoved(1, 51, "b"), Listed(2, 40, &["a", "b"]), Elapsed(4_100)],
+    events: &[
+        Listed(1, 50, &["a", "b"]), Removed(1, 51, "b"), Listed(2, 40, &["a", "b"]), Elapsed(4_100),
+    ],
     ready: &["a", "b"],
 })]
 #[case::departed_then_listed_again(RestoreCase {
     events: &[
-        Listed(1, 50, &["a", "b"]), EntryRemoved(1, 51, "b"), Listed(2, 40, &["a", "b"]), Elapsed(3_000),
+        Listed(1, 50, &["a", "b"]), Removed(1, 51, "b"), Listed(2, 40, &["a", "b"]), Elapsed(3_000),
         Listed(2, 44, &["a", "b"]), Elapsed(1_200),
     ],
     ready: &["a", "b"],
 })]
 #[case::departed_before_two_restores(RestoreCase {
     events: &[
-        Listed(1, 50, &["a", "b"]), EntryRemoved(1, 51, "b"), Listed(2, 40, &["a", "b"]), Listed(3, 35, &["a", "b"]),
+        Listed(1, 50, &["a", "b"]), Removed(1, 51, "b"),
+        Listed(2, 40, &["a", "b"]), Listed(3, 35, &["a", "b"]),
     ],
     ready: &["a"],
 })]
@@ -176,7 +190,7 @@
     let mut peer = Roster::default();
     for event in [
         Listed(1, 50, &["a", "b"]),
-        EntryRemoved(1, 51, "b"),
+        Removed(1, 51, "b"),
         Listed(2, 40, &["a", "b"]),
     ] {
         apply_event(&mut peer, 0, &event);
