--- a/crates/entry/src/request.rs
+++ b/crates/entry/src/request.rs
@@ -20,7 +20,7 @@
 /// A caller's generation request.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) struct CallerRequest {
-    pub(crate) format: ApiFormat,
+    pub(crate) api: ApiFormat,
     pub(crate) service: String,
     pub(crate) prompt: String,
     pub(crate) max_tokens: Option<u32>,
@@ -86,12 +86,12 @@
 }
 
 /// Parses the body of a request.
-pub(crate) fn parse_request(format: ApiFormat, body: &[u8]) -> Result<CallerRequest, Problem> {
+pub(crate) fn parse_request(api: ApiFormat, body: &[u8]) -> Result<CallerRequest, Problem> {
     const MALFORMED: Problem = Problem::Malformed {
         what: "the body as a request for a completion",
     };
     let hash = xxh3_64(body);
-    match format {
+    match api {
         ApiFormat::Completion => {
             let body: CompletionBody = serde_json::from_slice(body).map_err(|_| MALFORMED)?;
             let prompt = match body.prompt {
@@ -103,7 +103,7 @@
                 }
             };
             Ok(CallerRequest {
-                format,
+                api,
                 service: body.model,
                 prompt,
                 max_tokens: body.max_tokens,
@@ -114,7 +114,7 @@
         ApiFormat::Chat => {
             let body: ChatBody = serde_json::from_slice(body).map_err(|_| MALFORMED)?;
             Ok(CallerRequest {
-                format,
+                api,
                 service: body.model,
                 prompt: transcript(body.messages),
                 max_tokens: body.max_completion_tokens.or(body.max_tokens),
--- a/crates/entry/src/response.rs
+++ b/crates/entry/src/response.rs
@@ -22,7 +22,7 @@
 /// How a response is written.
 #[derive(Debug, Clone)]
 pub(crate) struct ResponseOptions {
-    pub(crate) format: ApiFormat,
+    pub(crate) api: ApiFormat,
     pub(crate) service: String,
     pub(crate) stream: bool,
     /// Index of the first token to send.
@@ -168,7 +168,7 @@
     finish: Option<Finish>,
 ) -> Value {
     let finish_reason = finish.map(finish_text);
-    match options.format {
+    match options.api {
         ApiFormat::Completion => value!({
             "id": name,
             "object": "text_completion",
@@ -209,7 +209,7 @@
         "completion_tokens": tokens,
         "total_tokens": options.prompt_tokens + tokens,
     });
-    match options.format {
+    match options.api {
         ApiFormat::Completion => value!({
             "id": name,
             "object": "text_completion",
--- a/crates/entry/src/routes.rs
+++ b/crates/entry/src/routes.rs
@@ -102,7 +102,7 @@
 async fn complete(
     entry: &Arc<Entry>,
     request: Request<Incoming>,
-    format: ApiFormat,
+    api: ApiFormat,
 ) -> Result<Reply, Problem> {
     if request.method() != Method::POST {
         return Ok(empty(StatusCode::METHOD_NOT_ALLOWED));
@@ -111,9 +111,9 @@
     let organisation = organisation(entry, &parts.headers)?;
     let configuration = entry.active_configuration()?;
     let bytes = body(entry, incoming).await?;
-    let caller_request = parse_request(format, &bytes)?;
+    let caller_request = parse_request(api, &bytes)?;
     let mut options = ResponseOptions {
-        format,
+        api,
         service: caller_request.service.clone(),
         stream: caller_request.stream,
         from: 0,
--- a/crates/http/src/client.rs
+++ b/crates/http/src/client.rs
@@ -1,4 +1,4 @@
-//! One request on one fresh connection.
+//! HTTP client that opens a new connection for each request.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -13,64 +13,64 @@
 use crate::connection::Connection;
 use crate::error::HttpError;
 
-const CONNECT_BOUND: Duration = Duration::from_millis(1_000);
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(1_000);
 
-/// An answer whose body is still to be read.
+/// A response whose body has not been read yet.
 #[derive(Debug)]
 pub struct Call {
-    /// The peer that answers.
+    /// The peer's address.
     pub address: SocketAddr,
-    /// The answer's head and unread body.
+    /// The response head and the unread body.
     pub response: Response<Incoming>,
-    /// Closed with the call, so that a call that is given up ends at the peer too.
+    /// Closed when the call is dropped, so that an abandoned call ends at the peer too.
     pub(crate) connection: Connection,
 }
 
 impl Call {
-    /// The answer's status.
+    /// The HTTP status of the response.
     pub fn status(&self) -> StatusCode {
         self.response.status()
     }
 
-    /// Reads the whole body within `bound`.
-    pub async fn bytes(self, bound: Duration) -> Result<Bytes, HttpError> {
+    /// Reads the complete body within `time_limit`.
+    pub async fn bytes(self, time_limit: Duration) -> Result<Bytes, HttpError> {
         let address = self.address;
-        let collected = timeout(bound, self.response.into_body().collect()).await;
+        let collected = timeout(time_limit, self.response.into_body().collect()).await;
         match collected {
             Ok(Ok(body)) => Ok(body.to_bytes()),
             _ => Err(HttpError::Incomplete { address }),
         }
     }
 
-    /// Reads the whole body within `bound` and decodes it as JSON.
+    /// Reads the complete body within `time_limit` and decodes it as JSON.
     pub async fn json<T: serde::de::DeserializeOwned>(
         self,
-        bound: Duration,
+        time_limit: Duration,
     ) -> Result<T, HttpError> {
         let address = self.address;
-        let body = self.bytes(bound).await?;
+        let body = self.bytes(time_limit).await?;
         serde_json::from_slice(&body).map_err(|_| HttpError::Malformed { address })
     }
 }
 
-/// Sends one request and waits at most `bound` for the answer's head.
+/// Sends one request and waits at most `time_limit` for the response head.
 ///
-/// Each call opens a connection of its own. A pooled connection can carry the late answer of an
-/// exchange that was given up to the next request, or be one that a middle box has forgotten and
-/// that stays silent; a fresh connection can be neither.
+/// Each call opens its own connection. On a pooled connection, the late response to an abandoned
+/// request could be taken for the response to the next one, and a connection whose state a
+/// middlebox has dropped would stay silent. A new connection has neither problem.
 pub async fn send(
     address: SocketAddr,
     mut request: Request<Full<Bytes>>,
-    bound: Duration,
+    time_limit: Duration,
 ) -> Result<Call, HttpError> {
-    let mut connection = Connection::open(address, CONNECT_BOUND.min(bound)).await?;
+    let mut connection = Connection::open(address, CONNECT_TIMEOUT.min(time_limit)).await?;
     request.headers_mut().insert(
         hyper::header::HOST,
         hyper::header::HeaderValue::from_str(&address.to_string())
             .map_err(|_| HttpError::Unreachable { address })?,
     );
-    match timeout(bound, connection.exchange(request)).await {
-        Ok(answer) => answer.map(|response| Call {
+    match timeout(time_limit, connection.exchange(request)).await {
+        Ok(result) => result.map(|response| Call {
             address,
             response,
             connection,
@@ -80,9 +80,9 @@
 }
 
 /// Sends a GET without a body.
-pub async fn get(address: SocketAddr, path: &str, bound: Duration) -> Result<Call, HttpError> {
+pub async fn get(address: SocketAddr, path: &str, time_limit: Duration) -> Result<Call, HttpError> {
     let request = build(address, Method::GET, path, Bytes::new())?;
-    send(address, request, bound).await
+    send(address, request, time_limit).await
 }
 
 /// Sends a POST with a JSON body.
@@ -90,11 +90,11 @@
     address: SocketAddr,
     path: &str,
     message: &T,
-    bound: Duration,
+    time_limit: Duration,
 ) -> Result<Call, HttpError> {
     let body = serde_json::to_vec(message).map_err(|_| HttpError::Unreachable { address })?;
     let request = build(address, Method::POST, path, Bytes::from(body))?;
-    send(address, request, bound).await
+    send(address, request, time_limit).await
 }
 
 fn build(
--- a/crates/http/src/connection.rs
+++ b/crates/http/src/connection.rs
@@ -1,4 +1,4 @@
-//! One connection to a peer, for one exchange after the other.
+//! A connection to a peer, which carries one exchange at a time.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -16,27 +16,29 @@
 
 use crate::error::HttpError;
 
-/// The peer's host is asked for a sign of life after so long without a byte, and so often.
+/// Idle time before the first TCP keepalive probe, and time between probes.
 const KEEPALIVE_PERIOD: Duration = Duration::from_millis(1_000);
-/// Unanswered signs of life after which the connection counts as dead.
+/// Unanswered keepalive probes after which the connection counts as dead.
 const KEEPALIVE_RETRIES: u32 = 2;
-/// Bytes that stay unacknowledged for so long end the connection: as long as the signs of life.
-const UNACKNOWLEDGED_BOUND: Duration = Duration::from_millis(3_000);
+/// The connection is closed when sent bytes stay unacknowledged this long; the same time as the
+/// keepalive probes take to fail.
+const UNACKNOWLEDGED_TIMEOUT: Duration = Duration::from_millis(3_000);
 
-/// A process that ends closes its sockets one after the other, its listener perhaps last. Asked at
-/// once whether it is there it looks alive, so whoever it broke off waits this long before.
+/// Wait before probing whether a peer that closed a connection still runs. An exiting process
+/// closes its sockets one after the other, its listener possibly last, so an immediate probe could
+/// still succeed.
 pub const LISTENER_CLOSE_WAIT: Duration = Duration::from_millis(40);
-/// Time for a connection that tells whether a process is there: some ways there and back between data
-/// centres. One that has ended refuses it at once; one whose machine is gone too says nothing.
-const CHECK_BOUND: Duration = Duration::from_millis(250);
+/// Time limit of that probe: several round trips between data centres. An exited process refuses
+/// the connection at once; a machine that is down doesn't answer.
+const PROBE_TIMEOUT: Duration = Duration::from_millis(250);
 
-/// Whether a process that has just broken a connection off takes others still.
+/// Whether a peer that has just closed a connection still accepts new ones.
 pub async fn is_listening(address: SocketAddr) -> bool {
     sleep(LISTENER_CLOSE_WAIT).await;
-    Connection::open(address, CHECK_BOUND).await.is_ok()
+    Connection::open(address, PROBE_TIMEOUT).await.is_ok()
 }
 
-/// An open connection. Dropping it closes it, whatever runs on it.
+/// An open connection. Dropping it closes it, even during an exchange.
 #[derive(Debug)]
 pub struct Connection {
     address: SocketAddr,
@@ -45,16 +47,16 @@
 }
 
 impl Connection {
-    /// Connects within `bound`.
+    /// Connects within `time_limit`.
     ///
     /// # Errors
     /// [`HttpError::Unreachable`]
-    pub async fn open(address: SocketAddr, bound: Duration) -> Result<Self, HttpError> {
-        let connected = timeout(bound, TcpStream::connect(address)).await;
+    pub async fn open(address: SocketAddr, time_limit: Duration) -> Result<Self, HttpError> {
+        let connected = timeout(time_limit, TcpStream::connect(address)).await;
         let Ok(Ok(socket)) = connected else {
             return Err(HttpError::Unreachable { address });
         };
-        watch_peer(&socket);
+        enable_keepalive(&socket);
         let Ok((sender, driver)) = http1::handshake(TokioIo::new(socket)).await else {
             return Err(HttpError::Unreachable { address });
         };
@@ -65,10 +67,11 @@
         })
     }
 
-    /// Sends one request and waits for the head of its answer.
+    /// Sends one request and waits for the response head.
     ///
     /// # Errors
-    /// [`HttpError::NoResponse`]: the request may have reached the peer.
+    /// [`HttpError::Unreachable`]: the request was not sent. [`HttpError::NoResponse`]: it may have
+    /// reached the peer.
     pub async fn exchange(
         &mut self,
         request: Request<Full<Bytes>>,
@@ -76,28 +79,28 @@
         let address = self.address;
         let ready = self.sender.ready().await;
         ready.map_err(|_| HttpError::Unreachable { address })?;
-        let answer = self.sender.send_request(request).await;
-        answer.map_err(|_| HttpError::NoResponse { address })
+        let response = self.sender.send_request(request).await;
+        response.map_err(|_| HttpError::NoResponse { address })
     }
 
-    /// Whether nothing is known against another exchange: the last one is over and the peer has
-    /// neither closed the connection nor sent a byte that nobody asked for.
+    /// Whether the connection can carry another exchange, as far as is known: the last one is
+    /// complete, and the peer has neither closed the connection nor sent unsolicited bytes.
     pub fn is_idle(&self) -> bool {
         self.sender.is_ready()
     }
 }
 
-/// Lets the kernel notice a peer that fell silent without a reset: one without power, behind a
-/// partition, or forgotten by something between the two ends. Without this a stream from it would
-/// wait for its next byte until the caller's deadline.
-fn watch_peer(socket: &TcpStream) {
+/// Lets the kernel detect a peer that goes silent without a reset: after a power failure, behind a
+/// network partition, or when a middlebox has dropped the connection's state. Otherwise a stream
+/// from it would wait for the next byte until the caller's deadline.
+fn enable_keepalive(socket: &TcpStream) {
     let _ = socket.set_nodelay(true);
     let keepalive = TcpKeepalive::new()
         .with_time(KEEPALIVE_PERIOD)
         .with_interval(KEEPALIVE_PERIOD)
         .with_retries(KEEPALIVE_RETRIES);
     let socket = SockRef::from(socket);
-    // A system that lacks either option still has each call's own bound.
+    // On systems without one of these options, the timeout of each call still applies.
     let _ = socket.set_tcp_keepalive(&keepalive);
-    let _ = socket.set_tcp_user_timeout(Some(UNACKNOWLEDGED_BOUND));
+    let _ = socket.set_tcp_user_timeout(Some(UNACKNOWLEDGED_TIMEOUT));
 }
--- a/crates/http/src/error.rs
+++ b/crates/http/src/error.rs
@@ -1,38 +1,38 @@
-//! What can go wrong on one exchange, told apart by whether the request may have left this process.
+//! Errors of an HTTP exchange, which tell whether the request may have been sent.
 
 use std::net::SocketAddr;
 
 /// A failed exchange with another process.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum HttpError {
-    /// No connection was made: the request was certainly not sent.
+    /// No connection could be opened: the request was certainly not sent.
     #[error("could not connect to {address}")]
     Unreachable {
         /// The peer that could not be reached.
         address: SocketAddr,
     },
-    /// The request was sent, wholly or in part, and no answer came.
-    #[error("could not get an answer from {address}")]
+    /// The request was sent, at least in part, and no response arrived.
+    #[error("could not get a response from {address}")]
     NoResponse {
-        /// The peer that did not answer.
+        /// The peer that did not respond.
         address: SocketAddr,
     },
-    /// The body ended early or stayed silent past its bound.
-    #[error("could not read the answer of {address} to its end")]
+    /// The body ended early, or the peer went silent beyond the time limit.
+    #[error("could not read the complete response of {address}")]
     Incomplete {
-        /// The peer whose answer broke off.
+        /// The peer whose response is incomplete.
         address: SocketAddr,
     },
-    /// The answer was whole but not in the form that the protocol states.
-    #[error("could not understand the answer of {address}")]
+    /// The response was complete but doesn't conform to the protocol.
+    #[error("could not decode the response of {address}")]
     Malformed {
-        /// The peer that answered.
+        /// The peer that responded.
         address: SocketAddr,
     },
-    /// The peer answered with a status that the protocol does not foresee here.
-    #[error("could not use status {status} of {address}")]
+    /// The peer responded with a status that the protocol doesn't define here.
+    #[error("unexpected status {status} from {address}")]
     Status {
-        /// The peer that answered.
+        /// The peer that responded.
         address: SocketAddr,
         /// Its HTTP status.
         status: u16,
@@ -40,7 +40,7 @@
 }
 
 impl HttpError {
-    /// Whether it is certain that the peer never saw the request.
+    /// Whether the peer certainly never received the request.
     pub fn is_unsent(&self) -> bool {
         matches!(self, Self::Unreachable { .. })
     }
--- a/crates/http/src/lib.rs
+++ b/crates/http/src/lib.rs
@@ -1,4 +1,5 @@
-//! Small helpers over hyper: one call on one connection, a server loop, and lines of a streamed body.
+//! HTTP helpers on top of hyper: a client with one connection per call, a server loop, and a line
+//! reader for streamed bodies.
 
 mod client;
 mod connection;
--- a/crates/http/src/lines.rs
+++ b/crates/http/src/lines.rs
@@ -1,4 +1,4 @@
-//! Lines of a streamed body.
+//! Line reader for streamed response bodies.
 
 use std::time::Duration;
 
@@ -11,9 +11,9 @@
 use crate::connection::Connection;
 use crate::error::HttpError;
 
-const LINE_LIMIT_BYTES: usize = 1 << 20;
+const MAX_LINE_BYTES: usize = 1 << 20;
 
-/// Splits a streamed body into lines, each due within a bound of silence.
+/// Splits a streamed body into lines, and fails if the peer goes silent.
 #[derive(Debug)]
 pub struct Lines {
     address: std::net::SocketAddr,
@@ -23,7 +23,7 @@
 }
 
 impl Lines {
-    /// Takes over an answer's body.
+    /// Reads lines from the body of a response.
     pub fn new(call: Call) -> Self {
         Self {
             address: call.address,
@@ -38,12 +38,12 @@
         self.address
     }
 
-    /// The next line without its end, or `None` where the body ended between lines.
+    /// The next line without its line feed, or `None` if the body ended after a complete line.
     ///
     /// # Errors
-    /// [`HttpError::Incomplete`] after `silence` without a byte, a lost connection, or a body that
-    /// ended inside a line.
-    pub async fn next(&mut self, silence: Duration) -> Result<Option<BytesMut>, HttpError> {
+    /// [`HttpError::Incomplete`] after `silence_timeout` without a byte, a lost connection, or a
+    /// body that ended inside a line; [`HttpError::Malformed`] if a line is longer than 1 MiB.
+    pub async fn next(&mut self, silence_timeout: Duration) -> Result<Option<BytesMut>, HttpError> {
         let address = self.address;
         loop {
             if let Some(end) = self.buffer.iter().position(|byte| *byte == b'\n') {
@@ -51,10 +51,10 @@
                 line.truncate(end);
                 return Ok(Some(line));
             }
-            if self.buffer.len() > LINE_LIMIT_BYTES {
+            if self.buffer.len() > MAX_LINE_BYTES {
                 return Err(HttpError::Malformed { address });
             }
-            match timeout(silence, self.body.frame()).await {
+            match timeout(silence_timeout, self.body.frame()).await {
                 Ok(Some(Ok(frame))) => {
                     if let Some(data) = frame.data_ref() {
                         self.buffer.extend_from_slice(data);
--- a/crates/http/src/server.rs
+++ b/crates/http/src/server.rs
@@ -1,4 +1,4 @@
-//! A server loop and the bodies of its replies.
+//! HTTP server loop, and constructors of replies and their bodies.
 
 use std::convert::Infallible;
 use std::sync::Arc;
@@ -19,38 +19,38 @@
 use tokio::sync::watch;
 use tokio_util::task::TaskTracker;
 
-/// A body that ends before it is whole. The connection is closed without the end of the body, so
-/// that the peer can't take what it has for all there is.
+/// A body that ends before it is complete. The connection is closed without the terminating chunk,
+/// so that the peer can't take the part it received for the complete body.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
-#[error("could not send the body to its end")]
+#[error("could not send the complete body")]
 pub struct BodyInterrupted;
 
 /// The body of a reply.
 pub type Body = UnsyncBoxBody<Bytes, BodyInterrupted>;
-/// A whole reply.
+/// A response with its body.
 pub type Reply = Response<Body>;
 
-/// hyper's own bound on the wait for a request's head, which covers the idle time before it.
-const HYPER_IDLE_BOUND: Duration = Duration::from_secs(30);
-/// The least buffer that hyper takes.
-const LEAST_BUFFER_BYTES: usize = 8_192;
-/// How long a connection that has just been taken may keep its first request to itself.
+/// hyper's default time limit for reading a request head, which includes the idle time before it.
+const HYPER_IDLE_TIMEOUT: Duration = Duration::from_secs(30);
+/// The smallest buffer size that hyper accepts.
+const MIN_BUFFER_BYTES: usize = 8_192;
+/// How long a newly accepted connection may take to send its first request during a shutdown.
 const FIRST_REQUEST_GRACE: Duration = Duration::from_millis(200);
 
-/// What a server allows on a connection; asked anew for each, since the limits may change.
+/// Limits of a connection. They are read for each new connection, since they may change.
 pub trait ConnectionLimits: Send + Sync {
-    /// The longest head of a request; a longer one is refused by hyper with status 431.
+    /// Longest request head; hyper refuses a longer one with status 431.
     fn header_limit_bytes(&self) -> usize;
-    /// How long a connection may stay without a request.
+    /// How long a connection may stay open without a request.
     fn idle_timeout(&self) -> Duration;
 }
 
-/// Rules that never change.
+/// Limits that don't change.
 #[derive(Debug, Clone, Copy)]
 pub struct FixedLimits {
-    /// The longest head of a request.
+    /// Longest request head.
     pub header_limit_bytes: usize,
-    /// How long a connection may stay without a request.
+    /// How long a connection may stay open without a request.
     pub idle_timeout: Duration,
 }
 
@@ -64,9 +64,9 @@
     }
 }
 
-/// Serves connections until `stop` turns true, then finishes the exchanges that run.
+/// Serves connections until `stop` becomes true, then finishes the exchanges in flight.
 ///
-/// `header_limit_bytes` bounds a request's head; a longer one is refused by hyper with status 431.
+/// `header_limit_bytes` limits a request's head; hyper refuses a longer one with status 431.
 pub async fn serve<H, F>(
     listener: TcpListener,
     header_limit_bytes: usize,
@@ -76,17 +76,17 @@
     H: Fn(Request<Incoming>) -> F + Send + Sync + 'static,
     F: Future<Output = Reply> + Send + 'static,
 {
-    let rules = FixedLimits {
+    let limits = FixedLimits {
         header_limit_bytes,
-        idle_timeout: HYPER_IDLE_BOUND,
+        idle_timeout: HYPER_IDLE_TIMEOUT,
     };
-    serve_with_limits(listener, Arc::new(rules), stop, handler).await;
+    serve_with_limits(listener, Arc::new(limits), stop, handler).await;
 }
 
-/// Serves connections by `rules` until `stop` turns true, then finishes the exchanges that run.
+/// Like [`serve`], with limits that may change.
 pub async fn serve_with_limits<H, F>(
     listener: TcpListener,
-    rules: Arc<dyn ConnectionLimits>,
+    limits: Arc<dyn ConnectionLimits>,
     mut stop: watch::Receiver<bool>,
     handler: H,
 ) where
@@ -96,10 +96,10 @@
     let handler = Arc::new(handler);
     let connections = TaskTracker::new();
     let stopped = stop.clone();
-    let take = |socket: TcpStream| {
+    let spawn_connection = |socket: TcpStream| {
         let _ = socket.set_nodelay(true);
         let (handler, stopped) = (handler.clone(), stopped.clone());
-        connections.spawn(serve_one(socket, rules.clone(), stopped, handler));
+        connections.spawn(serve_connection(socket, limits.clone(), stopped, handler));
     };
     loop {
         let accepted = tokio::select! {
@@ -107,19 +107,22 @@
             _ = stop.wait_for(|stopped| *stopped) => break,
         };
         if let Ok((socket, _)) = accepted {
-            take(socket);
+            spawn_connection(socket);
         }
     }
-    waiting(listener).into_iter().for_each(take);
+    close_and_drain_backlog(listener)
+        .into_iter()
+        .for_each(spawn_connection);
     connections.close();
     connections.wait().await;
 }
 
-/// Closes a listener and returns the connections that wait to be taken.
+/// Closes a listener and returns the connections in its backlog.
 ///
-/// Closing it over them would reset callers who have sent their requests already. The system is
-/// asked itself, since the runtime hears of a new connection some time after it was made.
-fn waiting(listener: TcpListener) -> Vec<TcpStream> {
+/// Closing it with connections in the backlog would reset callers that have already sent their
+/// requests. The backlog is read by system calls, since the runtime is notified of a new connection
+/// only some time after it was established.
+fn close_and_drain_backlog(listener: TcpListener) -> Vec<TcpStream> {
     let Ok(listener) = listener.into_std() else {
         return Vec::new();
     };
@@ -131,9 +134,9 @@
     sockets.collect()
 }
 
-async fn serve_one<H, F>(
+async fn serve_connection<H, F>(
     socket: TcpStream,
-    rules: Arc<dyn ConnectionLimits>,
+    limits: Arc<dyn ConnectionLimits>,
     mut stop: watch::Receiver<bool>,
     handler: Arc<H>,
 ) where
@@ -146,13 +149,13 @@
     });
     let connection = http1::Builder::new()
         .timer(TokioTimer::new())
-        .header_read_timeout(rules.idle_timeout())
-        .max_buf_size(rules.header_limit_bytes().max(LEAST_BUFFER_BYTES))
+        .header_read_timeout(limits.idle_timeout())
+        .max_buf_size(limits.header_limit_bytes().max(MIN_BUFFER_BYTES))
         .serve_connection(TokioIo::new(socket), service);
     tokio::pin!(connection);
-    // hyper closes a connection without a request at once when it is told to stop. One that was
-    // taken a moment ago may have its request on the way: without this wait a caller would hear
-    // nothing from a host that stopped as planned.
+    // On a graceful shutdown, hyper closes a connection without a request at once. The first
+    // request of a connection that was just accepted may still be on its way: without this wait,
+    // its caller would get no response from a planned shutdown.
     let stopped = async {
         tokio::time::sleep(FIRST_REQUEST_GRACE).await;
         let _ = stop.wait_for(|stopped| *stopped).await;
@@ -165,7 +168,7 @@
     let _ = connection.await;
 }
 
-/// A reply with a whole body.
+/// A reply with a complete body.
 pub fn full(status: StatusCode, content_type: &'static str, body: impl Into<Bytes>) -> Reply {
     reply(status, content_type, full_body(body))
 }
@@ -191,7 +194,8 @@
     reply(status, content_type, stream_body(chunks.map(Ok)))
 }
 
-/// A body that is sent as the stream yields it; visibly incomplete after an error.
+/// A body that is sent as the stream yields it; an error closes the connection, which shows the
+/// peer that the body is incomplete.
 pub fn stream_body<S>(chunks: S) -> Body
 where
     S: Stream<Item = Result<Bytes, BodyInterrupted>> + Send + 'static,
@@ -200,12 +204,12 @@
     BodyExt::boxed_unsync(StreamBody::new(frames))
 }
 
-/// A whole body.
+/// A complete body.
 pub fn full_body(bytes: impl Into<Bytes>) -> Body {
-    Full::new(bytes.into()).map_err(never).boxed_unsync()
+    Full::new(bytes.into()).map_err(infallible).boxed_unsync()
 }
 
-fn never(error: Infallible) -> BodyInterrupted {
+fn infallible(error: Infallible) -> BodyInterrupted {
     match error {}
 }
 
