--- a/crates/settings/src/declarations.rs
+++ b/crates/settings/src/declarations.rs
@@ -1,4 +1,4 @@
-//! What operators declare.
+//! The declarations of operators: organisations, services, models and presets.
 
 use serde::{Deserialize, Serialize};
 use sha2::{Digest, Sha256};
@@ -6,84 +6,85 @@
 /// A member of the consortium.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Organisation {
-    /// Its name.
+    /// The unique name.
     pub name: String,
-    /// SHA-256, in hex, of each key it may use.
+    /// SHA-256, in hex, of each of its API keys.
     pub key_sha256: Vec<String>,
-    /// Its share against the others.
+    /// Weight of its share of capacity, relative to the other organisations.
     pub weight: f32,
-    /// Requests a second over all hosts.
+    /// Limit of requests per second over all hosts.
     pub requests_per_s: f32,
-    /// Requests at once over all hosts.
+    /// Limit of concurrent requests over all hosts.
     pub concurrent_requests: u32,
 }
 
-/// What stands behind a service.
+/// The kind of a service.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ServiceKind {
-    /// Generations of a model.
+    /// Generations by the engines of a model.
     Generation {
-        /// The model.
+        /// The model's name.
         model: String,
-        /// The longest answer.
+        /// Longest response, in tokens.
         output_limit_tokens: u32,
-        /// The longest prompt.
+        /// Longest prompt, in tokens.
         prompt_limit_tokens: u32,
     },
-    /// A plain service.
+    /// A plain HTTP service.
     Plain {
-        /// Methods whose calls may be sent again after a lost answer.
+        /// HTTP methods whose calls may be repeated when the outcome is unknown.
         repeatable_methods: Vec<String>,
     },
 }
 
-/// Something that organisations call.
+/// A service that organisations call.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Service {
-    /// Its name; callers give it as `model`.
+    /// The unique name; callers send it as `model`.
     pub name: String,
-    /// What stands behind it.
+    /// The kind, with its limits.
     pub kind: ServiceKind,
 }
 
-/// A model and what its engines are like.
+/// A model and the properties of its engines.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Model {
-    /// Its name.
+    /// The unique name.
     pub name: String,
     /// The version to load.
     pub version: String,
-    /// Memory of one engine, until the engine reports its own.
+    /// KV cache size of an engine, in tokens, until the engine reports its own.
     pub memory_tokens: u32,
-    /// Time an engine spends on a prompt's token.
+    /// Prefill time per prompt token.
     pub prompt_ms_per_token: f32,
-    /// Whether its engines refuse an old fencing number.
+    /// Whether its engines refuse orders with a stale fencing number.
     pub checks_fencing: bool,
 }
 
-/// A way of running that operators choose.
+/// An operating mode that operators can activate.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Preset {
-    /// Its name.
+    /// The unique name.
     pub name: String,
-    /// How long a request may wait to start.
+    /// How long a request may wait to start before it is refused.
     pub refuse_after_ms: u64,
-    /// Worth of stall time.
+    /// Cost weight of stall time in engine selection.
     pub stall_weight: f32,
-    /// Worth of preemptions.
+    /// Cost weight of preemptions in engine selection.
     pub preemptions_weight: f32,
-    /// Worth of the tail between tokens.
+    /// Cost weight of the tail latency between tokens in engine selection.
     pub between_tokens_weight: f32,
-    /// The share of memory up to which work above an organisation's share may start.
+    /// Fraction of an engine's memory up to which requests above their organisation's share may
+    /// start.
     pub lend_share: f32,
-    /// Services that take no new requests.
+    /// Services that accept no new requests.
     pub closed_services: Vec<String>,
-    /// Data centres whose upstreams take no new work.
+    /// Data centres whose upstreams get no new requests.
     pub closed_data_centres: Vec<String>,
 }
 
-/// Everything that operators declare, but for the preset in force.
+/// All declarations. The choice of the active preset isn't part of them.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct Declarations {
     /// All organisations.
@@ -102,26 +103,26 @@
         let hash = key_hash(key);
         self.organisations
             .iter()
-            .find(|one| one.key_sha256.contains(&hash))
+            .find(|organisation| organisation.key_sha256.contains(&hash))
     }
 
     /// A service by name.
     pub fn service(&self, name: &str) -> Option<&Service> {
-        self.services.iter().find(|one| one.name == name)
+        self.services.iter().find(|service| service.name == name)
     }
 
     /// A model by name.
     pub fn model(&self, name: &str) -> Option<&Model> {
-        self.models.iter().find(|one| one.name == name)
+        self.models.iter().find(|model| model.name == name)
     }
 
     /// A preset by name.
     pub fn preset(&self, name: &str) -> Option<&Preset> {
-        self.presets.iter().find(|one| one.name == name)
+        self.presets.iter().find(|preset| preset.name == name)
     }
 }
 
-/// The declared form of a key.
+/// SHA-256 of an API key, in hex, as it is declared.
 pub fn key_hash(key: &str) -> String {
     let digest = Sha256::digest(key.as_bytes());
     digest.iter().map(|byte| format!("{byte:02x}")).collect()
--- a/crates/settings/src/diagnostic.rs
+++ b/crates/settings/src/diagnostic.rs
@@ -1,4 +1,4 @@
-//! What can be wrong in a file, and where.
+//! Diagnostics of settings files: what is wrong and where.
 
 use std::fmt;
 use std::path::PathBuf;
@@ -17,27 +17,27 @@
         /// What the parser found.
         reason: String,
     },
-    /// A field that must stand is missing.
+    /// A required field is missing.
     #[error("could not find `{field}`")]
     Missing {
         /// The field.
         field: &'static str,
     },
-    /// A field that nothing reads.
+    /// A field that isn't defined.
     #[error("could not use the unknown field `{field}`")]
     Unknown {
         /// The field.
         field: String,
     },
-    /// A value of another type.
+    /// A value has the wrong type.
     #[error("could not read `{field}` as {wanted}")]
     Type {
         /// The field.
         field: String,
-        /// What it should be.
+        /// The expected type.
         wanted: &'static str,
     },
-    /// A number out of its range.
+    /// A value is out of range.
     #[error("could not accept {value} for `{field}`")]
     Range {
         /// The field.
@@ -45,23 +45,23 @@
         /// The value found.
         value: String,
     },
-    /// A name that stands twice.
+    /// A name is declared twice.
     #[error("could not declare {what} `{name}` twice")]
     Duplicate {
-        /// What is declared.
+        /// The kind of item declared.
         what: &'static str,
         /// Its name.
         name: String,
     },
-    /// A name that nothing declares.
+    /// A reference to an undeclared name.
     #[error("could not find {what} `{name}`")]
     Undeclared {
-        /// What is looked for.
+        /// The kind of item referenced.
         what: &'static str,
         /// Its name.
         name: String,
     },
-    /// A name with characters that a path or label can't carry.
+    /// A name with characters that aren't allowed in paths or labels, or too long.
     #[error("could not use `{name}` as a name")]
     Name {
         /// The name.
@@ -69,18 +69,18 @@
     },
 }
 
-/// One diagnostic with its place.
+/// A diagnostic with its position in a file.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct SettingsDiagnostic {
     /// The file.
     pub file: PathBuf,
-    /// From 1; 0 where the whole file is meant.
+    /// Line from 1; 0 if it concerns the file itself.
     pub line: u64,
-    /// From 1; 0 where the whole file is meant.
+    /// Column from 1; 0 if it concerns the file itself.
     pub column: u64,
     /// What is wrong.
     pub kind: DiagnosticKind,
-    /// What to do.
+    /// How to correct it.
     pub hint: String,
 }
 
@@ -103,7 +103,7 @@
     }
 }
 
-/// All diagnostics of a reading.
+/// All diagnostics of one pass.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error, Diagnostic)]
 #[error("could not accept the settings: {} mistakes", .0.len())]
 pub struct SettingsDiagnostics(#[related] pub Vec<SettingsDiagnostic>);
--- a/crates/settings/src/difference.rs
+++ b/crates/settings/src/difference.rs
@@ -1,4 +1,4 @@
-//! What differs between two sets of declarations, for people to read.
+//! Human-readable differences between two sets of declarations.
 
 use std::fmt;
 
@@ -10,23 +10,23 @@
 /// One difference.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Difference {
-    /// Declared anew.
+    /// An item was added.
     Added {
-        /// What kind of thing.
+        /// The kind of item.
         what: &'static str,
         /// Its name.
         name: String,
     },
-    /// Declared no longer.
+    /// An item was removed.
     Removed {
-        /// What kind of thing.
+        /// The kind of item.
         what: &'static str,
         /// Its name.
         name: String,
     },
-    /// A field with another value.
+    /// A field has a different value.
     Changed {
-        /// What kind of thing.
+        /// The kind of item.
         what: &'static str,
         /// Its name.
         name: String,
@@ -55,7 +55,7 @@
     }
 }
 
-/// All differences, in the order of kinds and then of names as declared.
+/// All differences, ordered by kind and then by the order of declaration.
 pub fn difference(before: &Declarations, after: &Declarations) -> Vec<Difference> {
     let mut differences = Vec::new();
     compare("model", &before.models, &after.models, &mut differences);
@@ -91,7 +91,7 @@
         let name = name.clone();
         match find(&before, &name) {
             None => differences.push(Difference::Added { what, name }),
-            Some(old) => fields(what, &name, &old, new, differences),
+            Some(old) => compare_fields(what, &name, &old, new, differences),
         }
     }
     for (name, _) in before {
@@ -110,7 +110,7 @@
         .collect()
 }
 
-fn fields(
+fn compare_fields(
     what: &'static str,
     name: &str,
     before: &Value,
@@ -121,13 +121,13 @@
         return;
     };
     for (field, value) in new {
-        let held = old.get(field).unwrap_or(&Value::Null);
-        if held != value {
+        let old_value = old.get(field).unwrap_or(&Value::Null);
+        if old_value != value {
             differences.push(Difference::Changed {
                 what,
                 name: name.to_owned(),
                 field: field.clone(),
-                before: held.to_string(),
+                before: old_value.to_string(),
                 after: value.to_string(),
             });
         }
--- a/crates/settings/src/directory.rs
+++ b/crates/settings/src/directory.rs
@@ -1,11 +1,11 @@
-//! Reads a directory of declarations and checks it as a whole.
+//! Reads a directory of declarations and validates it across its files.
 
 use std::collections::HashSet;
 use std::path::Path;
 
 use crate::declarations::{Declarations, Model, Organisation, Preset, Service, ServiceKind};
 use crate::diagnostic::{DiagnosticKind, SettingsDiagnostics};
-use crate::reader::{Fields, Place, Reader};
+use crate::reader::{Fields, Position, Reader};
 
 /// Reads `organisations.yaml`, `services.yaml`, `models.yaml` and `presets.yaml` of a directory.
 ///
@@ -18,7 +18,7 @@
     let models = items(&mut reader, "models", "model", read_model);
     diagnostics.append(&mut reader.diagnostics);
     declarations.models = models;
-    let model_names: HashSet<_> = declarations.models.iter().map(|one| &one.name).collect();
+    let model_names: HashSet<_> = declarations.models.iter().map(|item| &item.name).collect();
 
     let mut reader = Reader::new(&directory.join("services.yaml"));
     declarations.services = items(&mut reader, "services", "service", |reader, fields| {
@@ -35,7 +35,11 @@
     );
     diagnostics.append(&mut reader.diagnostics);
 
-    let services: HashSet<_> = declarations.services.iter().map(|one| &one.name).collect();
+    let services: HashSet<_> = declarations
+        .services
+        .iter()
+        .map(|item| &item.name)
+        .collect();
     let mut reader = Reader::new(&directory.join("presets.yaml"));
     declarations.presets = items(&mut reader, "presets", "preset", |reader, fields| {
         read_preset(reader, fields, &services)
@@ -48,12 +52,12 @@
     }
 }
 
-/// Reads a list of named things, each name once.
+/// Reads a list of named items and reports duplicate names.
 fn items<T>(
     reader: &mut Reader,
     list: &'static str,
     what: &'static str,
-    mut read: impl FnMut(&mut Reader, &mut Fields) -> Option<(String, Place, T)>,
+    mut read: impl FnMut(&mut Reader, &mut Fields) -> Option<(String, Position, T)>,
 ) -> Vec<T> {
     let Some(mut file) = reader.open() else {
         return Vec::new();
@@ -62,27 +66,27 @@
     let mut items = Vec::new();
     for mut fields in reader.maps(&mut file, list) {
         let item = read(reader, &mut fields);
-        reader.close(fields);
-        let Some((name, place, item)) = item else {
+        reader.reject_unknown(fields);
+        let Some((name, position, item)) = item else {
             continue;
         };
         if !seen.insert(name.clone()) {
             let kind = DiagnosticKind::Duplicate { what, name };
-            reader.diagnostic(place, kind, "rename or remove one of the two");
+            reader.report(position, kind, "rename or remove one of the two");
         }
         items.push(item);
     }
-    reader.close(file);
+    reader.reject_unknown(file);
     items
 }
 
-fn read_model(reader: &mut Reader, fields: &mut Fields) -> Option<(String, Place, Model)> {
+fn read_model(reader: &mut Reader, fields: &mut Fields) -> Option<(String, Position, Model)> {
     let name = reader.name(fields);
-    let version = reader.text(fields, "version");
-    let memory_tokens = reader.count(fields, "memory_tokens", 256..=100_000_000, None);
+    let version = reader.string(fields, "version");
+    let memory_tokens = reader.integer(fields, "memory_tokens", 256..=100_000_000, None);
     let prompt = reader.number(fields, "prompt_ms_per_token", 0.0..=100.0, Some(0.1));
-    let fencing = reader.texts(fields, "engine_checks");
-    let (name, place) = name?;
+    let fencing = reader.strings(fields, "engine_checks");
+    let (name, position) = name?;
     let model = Model {
         name: name.clone(),
         version: version?.0,
@@ -90,43 +94,43 @@
         prompt_ms_per_token: prompt? as f32,
         checks_fencing: fencing.iter().any(|(check, _)| check == "fencing"),
     };
-    Some((name, place, model))
+    Some((name, position, model))
 }
 
 fn read_service(
     reader: &mut Reader,
     fields: &mut Fields,
     models: &HashSet<&String>,
-) -> Option<(String, Place, Service)> {
+) -> Option<(String, Position, Service)> {
     let name = reader.name(fields);
-    let kind = if reader.has(fields, "model") {
-        read_generation(reader, fields, models)
+    let kind = if reader.contains_field(fields, "model") {
+        read_generation_kind(reader, fields, models)
     } else {
-        read_plain(reader, fields)
+        read_plain_kind(reader, fields)
     };
-    let (name, place) = name?;
+    let (name, position) = name?;
     let service = Service {
         name: name.clone(),
         kind: kind?,
     };
-    Some((name, place, service))
+    Some((name, position, service))
 }
 
-fn read_generation(
+fn read_generation_kind(
     reader: &mut Reader,
     fields: &mut Fields,
     models: &HashSet<&String>,
 ) -> Option<ServiceKind> {
-    let model = reader.text(fields, "model");
-    let output = reader.count(fields, "output_limit_tokens", 1..=65_000, None);
-    let prompt = reader.count(fields, "prompt_limit_tokens", 1..=1_000_000, None);
-    let (model, place) = model?;
+    let model = reader.string(fields, "model");
+    let output = reader.integer(fields, "output_limit_tokens", 1..=65_000, None);
+    let prompt = reader.integer(fields, "prompt_limit_tokens", 1..=1_000_000, None);
+    let (model, position) = model?;
     if !models.contains(&model) {
         let kind = DiagnosticKind::Undeclared {
             what: "model",
             name: model.clone(),
         };
-        reader.diagnostic(place, kind, "declare it in models.yaml");
+        reader.report(position, kind, "declare it in models.yaml");
     }
     Some(ServiceKind::Generation {
         model,
@@ -135,16 +139,16 @@
     })
 }
 
-fn read_plain(reader: &mut Reader, fields: &mut Fields) -> Option<ServiceKind> {
+fn read_plain_kind(reader: &mut Reader, fields: &mut Fields) -> Option<ServiceKind> {
     const METHODS: [&str; 5] = ["GET", "HEAD", "POST", "PUT", "DELETE"];
     let mut repeatable_methods = Vec::new();
-    for (method, place) in reader.texts(fields, "repeatable_methods") {
+    for (method, position) in reader.strings(fields, "repeatable_methods") {
         if !METHODS.contains(&method.as_str()) {
             let kind = DiagnosticKind::Undeclared {
                 what: "method",
                 name: method,
             };
-            reader.diagnostic(place, kind, "use GET, HEAD, POST, PUT or DELETE");
+            reader.report(position, kind, "use GET, HEAD, POST, PUT or DELETE");
             continue;
         }
         repeatable_methods.push(method);
@@ -155,29 +159,29 @@
 fn read_organisation(
     reader: &mut Reader,
     fields: &mut Fields,
-) -> Option<(String, Place, Organisation)> {
+) -> Option<(String, Position, Organisation)> {
     let name = reader.name(fields);
-    let keys = reader.texts(fields, "key_sha256");
+    let keys = reader.strings(fields, "key_sha256");
     if keys.is_empty() {
         let kind = DiagnosticKind::Missing {
             field: "key_sha256",
         };
-        reader.diagnostic(fields.place(), kind, "add the hash of at least one key");
+        reader.report(fields.position(), kind, "add the hash of at least one key");
     }
-    for (hash, place) in &keys {
-        let is_hash = hash.len() == 64 && hash.chars().all(|one| one.is_ascii_hexdigit());
+    for (hash, position) in &keys {
+        let is_hash = hash.len() == 64 && hash.chars().all(|digit| digit.is_ascii_hexdigit());
         if !is_hash {
             let kind = DiagnosticKind::Type {
                 field: "key_sha256".into(),
                 wanted: "64 hex digits",
             };
-            reader.diagnostic(*place, kind, "write the key's SHA-256, never the key");
+            reader.report(*position, kind, "write the key's SHA-256, never the key");
         }
     }
     let weight = reader.number(fields, "weight", 0.01..=10_000.0, Some(1.0));
     let rate = reader.number(fields, "requests_per_s", 0.01..=100_000.0, None);
-    let concurrent = reader.count(fields, "concurrent_requests", 1..=1_000_000, None);
-    let (name, place) = name?;
+    let concurrent = reader.integer(fields, "concurrent_requests", 1..=1_000_000, None);
+    let (name, position) = name?;
     let organisation = Organisation {
         name: name.clone(),
         key_sha256: keys.into_iter().map(|(hash, _)| hash).collect(),
@@ -185,47 +189,47 @@
         requests_per_s: rate? as f32,
         concurrent_requests: concurrent? as u32,
     };
-    Some((name, place, organisation))
+    Some((name, position, organisation))
 }
 
 fn read_preset(
     reader: &mut Reader,
     fields: &mut Fields,
     services: &HashSet<&String>,
-) -> Option<(String, Place, Preset)> {
+) -> Option<(String, Position, Preset)> {
     let name = reader.name(fields);
-    let refuse = reader.count(fields, "refuse_after_ms", 100..=600_000, Some(10_000));
-    let lend = reader.number(fields, "lend_share", 0.1..=1.0, Some(0.95));
+    let refuse_after = reader.integer(fields, "refuse_after_ms", 100..=600_000, Some(10_000));
+    let lend_share = reader.number(fields, "lend_share", 0.1..=1.0, Some(0.95));
     let mut weights = [Some(1.0), Some(1.0), Some(1.0)];
     if let Some(mut map) = reader.map(fields, "weights") {
         let names = ["stall", "preemptions", "between_tokens"];
         for (slot, name) in weights.iter_mut().zip(names) {
             *slot = reader.number(&mut map, name, 0.0..=1_000.0, Some(1.0));
         }
-        reader.close(map);
+        reader.reject_unknown(map);
     }
-    let closed = reader.texts(fields, "closed_services");
-    for (service, place) in &closed {
+    let closed_services = reader.strings(fields, "closed_services");
+    for (service, position) in &closed_services {
         if !services.contains(service) {
             let kind = DiagnosticKind::Undeclared {
                 what: "service",
                 name: service.clone(),
             };
-            reader.diagnostic(*place, kind, "declare it in services.yaml");
+            reader.report(*position, kind, "declare it in services.yaml");
         }
     }
-    let centres = reader.texts(fields, "closed_data_centres");
-    let (name, place) = name?;
+    let closed_centres = reader.strings(fields, "closed_data_centres");
+    let (name, position) = name?;
     let [stall, preemptions, between_tokens] = weights;
     let preset = Preset {
         name: name.clone(),
-        refuse_after_ms: refuse?,
+        refuse_after_ms: refuse_after?,
         stall_weight: stall? as f32,
         preemptions_weight: preemptions? as f32,
         between_tokens_weight: between_tokens? as f32,
-        lend_share: lend? as f32,
-        closed_services: closed.into_iter().map(|(name, _)| name).collect(),
-        closed_data_centres: centres.into_iter().map(|(name, _)| name).collect(),
+        lend_share: lend_share? as f32,
+        closed_services: closed_services.into_iter().map(|(name, _)| name).collect(),
+        closed_data_centres: closed_centres.into_iter().map(|(name, _)| name).collect(),
     };
-    Some((name, place, preset))
+    Some((name, position, preset))
 }
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -1,6 +1,6 @@
-//! A host's own settings, and the operators' declarations.
+//! A host's settings, and the operators' declarations.
 //!
-//! Both are YAML. Every mistake is found in one pass and carries its file, line, column and a hint.
+//! Both are YAML. One pass reports all mistakes, each with its file, line, column and a hint.
 
 mod declarations;
 mod diagnostic;
--- a/crates/settings/src/reader.rs
+++ b/crates/settings/src/reader.rs
@@ -1,4 +1,4 @@
-//! Reads typed fields out of a tree and gathers every diagnostic on the way.
+//! Reads typed fields from a YAML tree and collects diagnostics.
 
 use std::path::{Path, PathBuf};
 
@@ -7,21 +7,21 @@
 use crate::diagnostic::{DiagnosticKind, SettingsDiagnostic};
 use crate::tree::Node;
 
-/// The diagnostics of one file.
+/// Reader of one file, with the diagnostics found so far.
 #[derive(Debug)]
 pub(crate) struct Reader {
     file: PathBuf,
     pub(crate) diagnostics: Vec<SettingsDiagnostic>,
 }
 
-/// A place in a file.
+/// A position in a file.
 #[derive(Debug, Clone, Copy)]
-pub(crate) struct Place {
+pub(crate) struct Position {
     line: u64,
     column: u64,
 }
 
-impl From<Location> for Place {
+impl From<Location> for Position {
     fn from(location: Location) -> Self {
         Self {
             line: location.line(),
@@ -30,16 +30,16 @@
     }
 }
 
-/// A map whose fields are taken one by one; what is left is unknown.
+/// A map whose fields are removed as they are read; the remaining ones are unknown.
 #[derive(Debug)]
 pub(crate) struct Fields {
-    place: Place,
+    position: Position,
     fields: Vec<(Spanned<String>, Spanned<Node>)>,
 }
 
 impl Fields {
-    pub(crate) fn place(&self) -> Place {
-        self.place
+    pub(crate) fn position(&self) -> Position {
+        self.position
     }
 
     fn take(&mut self, name: &str) -> Option<Spanned<Node>> {
@@ -59,9 +59,9 @@
     /// Reads the file's outermost map.
     pub(crate) fn open(&mut self) -> Option<Fields> {
         let Ok(text) = std::fs::read_to_string(&self.file) else {
-            let place = Place { line: 0, column: 0 };
+            let position = Position { line: 0, column: 0 };
             let hint = "create it, or check its permissions";
-            self.diagnostic(place, DiagnosticKind::Unreadable, hint);
+            self.report(position, DiagnosticKind::Unreadable, hint);
             return None;
         };
         self.parse(&text)
@@ -71,47 +71,47 @@
         match serde_saphyr::from_str::<Spanned<Node>>(text) {
             Ok(node) => self.fields(node, "the file"),
             Err(error) => {
-                let place = error
+                let position = error
                     .location()
-                    .map_or(Place { line: 1, column: 1 }, Place::from);
+                    .map_or(Position { line: 1, column: 1 }, Position::from);
                 let reason = error.without_snippet().to_string();
                 let reason = reason.lines().next().unwrap_or_default().to_owned();
                 let hint = "check quotes, colons and indentation";
-                self.diagnostic(place, DiagnosticKind::Syntax { reason }, hint);
+                self.report(position, DiagnosticKind::Syntax { reason }, hint);
                 None
             }
         }
     }
 
-    pub(crate) fn diagnostic(
+    pub(crate) fn report(
         &mut self,
-        place: Place,
+        position: Position,
         kind: DiagnosticKind,
         hint: impl Into<String>,
     ) {
         self.diagnostics.push(SettingsDiagnostic {
             file: self.file.clone(),
-            line: place.line,
-            column: place.column,
+            line: position.line,
+            column: position.column,
             kind,
             hint: hint.into(),
         });
     }
 
-    fn wrong_type(&mut self, place: Place, field: &str, wanted: &'static str) {
+    fn report_wrong_type(&mut self, position: Position, field: &str, wanted: &'static str) {
         let kind = DiagnosticKind::Type {
             field: field.into(),
             wanted,
         };
-        self.diagnostic(place, kind, format!("write {wanted} here"));
+        self.report(position, kind, format!("write {wanted} here"));
     }
 
     fn fields(&mut self, node: Spanned<Node>, name: &str) -> Option<Fields> {
-        let place = Place::from(node.referenced);
+        let position = Position::from(node.referenced);
         match node.value {
-            Node::Map(fields) => Some(Fields { place, fields }),
+            Node::Map(fields) => Some(Fields { position, fields }),
             _ => {
-                self.wrong_type(place, name, "a map of fields");
+                self.report_wrong_type(position, name, "a map of fields");
                 None
             }
         }
@@ -121,44 +121,44 @@
         let node = fields.take(name);
         if node.is_none() {
             let kind = DiagnosticKind::Missing { field: name };
-            self.diagnostic(fields.place, kind, format!("add `{name}:`"));
+            self.report(fields.position, kind, format!("add `{name}:`"));
         }
         node
     }
 
-    pub(crate) fn text(
+    pub(crate) fn string(
         &mut self,
         fields: &mut Fields,
         name: &'static str,
-    ) -> Option<(String, Place)> {
+    ) -> Option<(String, Position)> {
         let node = self.required(fields, name)?;
-        let place = Place::from(node.referenced);
+        let position = Position::from(node.referenced);
         match node.value {
-            Node::Text(text) if !text.is_empty() => Some((text, place)),
+            Node::Text(text) if !text.is_empty() => Some((text, position)),
             _ => {
-                self.wrong_type(place, name, "a text");
+                self.report_wrong_type(position, name, "a text");
                 None
             }
         }
     }
 
-    /// A text that serves as a name in paths, keys and labels.
-    pub(crate) fn name(&mut self, fields: &mut Fields) -> Option<(String, Place)> {
-        let (name, place) = self.text(fields, "name")?;
-        let fine = |letter: char| letter.is_ascii_alphanumeric() || "-_.".contains(letter);
-        if name.len() <= 64 && name.chars().all(fine) {
-            return Some((name, place));
+    /// Reads a string that is used as a name in paths, keys and labels.
+    pub(crate) fn name(&mut self, fields: &mut Fields) -> Option<(String, Position)> {
+        let (name, position) = self.string(fields, "name")?;
+        let is_allowed = |letter: char| letter.is_ascii_alphanumeric() || "-_.".contains(letter);
+        if name.len() <= 64 && name.chars().all(is_allowed) {
+            return Some((name, position));
         }
         let hint = "use at most 64 letters, digits, `-`, `_` and `.`";
-        self.diagnostic(place, DiagnosticKind::Name { name }, hint);
+        self.report(position, DiagnosticKind::Name { name }, hint);
         None
     }
 
-    pub(crate) fn has(&self, fields: &Fields, name: &str) -> bool {
+    pub(crate) fn contains_field(&self, fields: &Fields, name: &str) -> bool {
         fields.fields.iter().any(|(key, _)| key.value == name)
     }
 
-    /// A number within a range; `default` where it isn't written.
+    /// Reads a number within a range; `default` if the field is absent.
     pub(crate) fn number(
         &mut self,
         fields: &mut Fields,
@@ -166,13 +166,13 @@
         range: std::ops::RangeInclusive<f64>,
         default: Option<f64>,
     ) -> Option<f64> {
-        if default.is_some() && !self.has(fields, name) {
+        if default.is_some() && !self.contains_field(fields, name) {
             return default;
         }
         let node = self.required(fields, name)?;
-        let place = Place::from(node.referenced);
+        let position = Position::from(node.referenced);
         let Node::Number(value) = node.value else {
-            self.wrong_type(place, name, "a number");
+            self.report_wrong_type(position, name, "a number");
             return None;
         };
         if range.contains(&value) {
@@ -182,13 +182,13 @@
             field: name.into(),
             value: value.to_string(),
         };
-        let (least, most) = (range.start(), range.end());
-        self.diagnostic(place, kind, format!("use {least} to {most}"));
+        let (min, max) = (range.start(), range.end());
+        self.report(position, kind, format!("use {min} to {max}"));
         None
     }
 
-    /// A whole number within a range; `default` where it isn't written.
-    pub(crate) fn count(
+    /// Reads an integer within a range; `default` if the field is absent.
+    pub(crate) fn integer(
         &mut self,
         fields: &mut Fields,
         name: &'static str,
@@ -201,71 +201,71 @@
         Some(value.round() as u64)
     }
 
-    /// An address of the form `ip:port`.
+    /// Reads an address of the form `ip:port`.
     pub(crate) fn address(
         &mut self,
         fields: &mut Fields,
         name: &'static str,
     ) -> Option<std::net::SocketAddr> {
-        let (text, place) = self.text(fields, name)?;
+        let (text, position) = self.string(fields, name)?;
         let address = text.parse().ok();
         if address.is_none() {
-            self.wrong_type(place, name, "an IP number and port");
+            self.report_wrong_type(position, name, "an IP number and port");
         }
         address
     }
 
-    /// A list of texts; empty where it isn't written.
-    pub(crate) fn texts(
+    /// Reads a list of strings; empty if the field is absent.
+    pub(crate) fn strings(
         &mut self,
         fields: &mut Fields,
         name: &'static str,
-    ) -> Vec<(String, Place)> {
+    ) -> Vec<(String, Position)> {
         let Some(node) = fields.take(name) else {
             return Vec::new();
         };
-        let place = Place::from(node.referenced);
+        let position = Position::from(node.referenced);
         let Node::List(items) = node.value else {
-            self.wrong_type(place, name, "a list of texts");
+            self.report_wrong_type(position, name, "a list of texts");
             return Vec::new();
         };
         let mut texts = Vec::new();
         for item in items {
-            let place = Place::from(item.referenced);
+            let position = Position::from(item.referenced);
             match item.value {
-                Node::Text(text) => texts.push((text, place)),
-                _ => self.wrong_type(place, name, "a text"),
+                Node::Text(text) => texts.push((text, position)),
+                _ => self.report_wrong_type(position, name, "a text"),
             }
         }
         texts
     }
 
-    /// A list of maps.
+    /// Reads a list of maps.
     pub(crate) fn maps(&mut self, fields: &mut Fields, name: &'static str) -> Vec<Fields> {
         let Some(node) = self.required(fields, name) else {
             return Vec::new();
         };
-        let place = Place::from(node.referenced);
+        let position = Position::from(node.referenced);
         let Node::List(items) = node.value else {
-            self.wrong_type(place, name, "a list");
+            self.report_wrong_type(position, name, "a list");
             return Vec::new();
         };
         let maps = items.into_iter();
         maps.filter_map(|item| self.fields(item, name)).collect()
     }
 
-    /// A nested map; `None` where it isn't written.
+    /// Reads a nested map; `None` if the field is absent.
     pub(crate) fn map(&mut self, fields: &mut Fields, name: &'static str) -> Option<Fields> {
         let node = fields.take(name)?;
         self.fields(node, name)
     }
 
-    /// Every field must have been taken.
-    pub(crate) fn close(&mut self, fields: Fields) {
+    /// Reports each field that has not been read.
+    pub(crate) fn reject_unknown(&mut self, fields: Fields) {
         for (key, _) in fields.fields {
-            let place = Place::from(key.referenced);
+            let position = Position::from(key.referenced);
             let kind = DiagnosticKind::Unknown { field: key.value };
-            self.diagnostic(place, kind, "remove it, or check its spelling");
+            self.report(position, kind, "remove it, or check its spelling");
         }
     }
 }
--- a/crates/settings/src/tree.rs
+++ b/crates/settings/src/tree.rs
@@ -1,4 +1,4 @@
-//! YAML as a tree that remembers where each value stands.
+//! YAML tree with the position of each value.
 
 use std::fmt;
 
--- a/crates/settings/tests/check.rs
+++ b/crates/settings/tests/check.rs
@@ -1,4 +1,4 @@
-//! Every diagnostic is found in one pass, with its place.
+//! Reading settings reports all mistakes in one pass, each with its position.
 
 use std::path::{Path, PathBuf};
 
@@ -9,125 +9,125 @@
     Path::new(env!("CARGO_MANIFEST_DIR")).join(name)
 }
 
-struct Place {
+struct ExpectedDiagnostic {
     file: &'static str,
     line: u64,
     column: u64,
-    says: &'static str,
+    message: &'static str,
 }
 
-const PLACES: [Place; 12] = [
-    Place {
+const EXPECTED: [ExpectedDiagnostic; 12] = [
+    ExpectedDiagnostic {
         file: "models.yaml",
         line: 3,
         column: 14,
-        says: "could not read `version` as a text",
+        message: "could not read `version` as a text",
     },
-    Place {
+    ExpectedDiagnostic {
         file: "models.yaml",
         line: 4,
         column: 20,
-        says: "could not accept 12 for `memory_tokens`",
+        message: "could not accept 12 for `memory_tokens`",
     },
-    Place {
+    ExpectedDiagnostic {
         file: "services.yaml",
         line: 4,
         column: 26,
-        says: "could not accept 70000 for `output_limit_tokens`",
+        message: "could not accept 70000 for `output_limit_tokens`",
     },
-    Place {
+    ExpectedDiagnostic {
         file: "services.yaml",
         line: 3,
         column: 12,
-        says: "could not find model `gutachten-lm`",
+        message: "could not find model `gutachten-lm`",
     },
-    Place {
+    ExpectedDiagnostic {
         file: "services.yaml",
         line: 7,
         column: 31,
-        says: "could not find method `FETCH`",
+        message: "could not find method `FETCH`",
     },
-    Place {
+    ExpectedDiagnostic {
         file: "organisations.yaml",
         line: 2,
         column: 11,
-        says: "could not use `aerocert ag` as a name",
+        message: "could not use `aerocert ag` as a name",
     },
-    Place {
+    ExpectedDiagnostic {
         file: "organisations.yaml",
         line: 3,
         column: 18,
-        says: "could not read `key_sha256` as 64 hex digits",
+        message: "could not read `key_sha256` as 64 hex digits",
     },
-    Place {
+    ExpectedDiagnostic {
         file: "organisations.yaml",
         line: 6,
         column: 5,
-        says: "could not use the unknown field `wieght`",
+        message: "could not use the unknown field `wieght`",
     },
-    Place {
+    ExpectedDiagnostic {
         file: "organisations.yaml",
         line: 7,
         column: 5,
-        says: "could not find `key_sha256`",
+        message: "could not find `key_sha256`",
     },
-    Place {
+    ExpectedDiagnostic {
         file: "organisations.yaml",
         line: 9,
         column: 21,
-        says: "could not read `requests_per_s` as a number",
+        message: "could not read `requests_per_s` as a number",
     },
-    Place {
+    ExpectedDiagnostic {
         file: "presets.yaml",
         line: 3,
         column: 22,
-        says: "could not accept -1 for `stall`",
+        message: "could not accept -1 for `stall`",
     },
-    Place {
+    ExpectedDiagnostic {
         file: "presets.yaml",
         line: 5,
         column: 23,
-        says: "could not find service `classifications`",
+        message: "could not find service `classifications`",
     },
 ];
 
 #[test]
-fn all_mistakes_are_found_at_once() {
+fn one_pass_reports_all_mistakes() {
     let Err(SettingsDiagnostics(found)) = check(&path("tests/wrong")) else {
-        panic!("the diagnostics pass");
+        panic!("invalid declarations were accepted");
     };
-    for (place, diagnostic) in PLACES.iter().zip(&found) {
-        assert!(diagnostic.file.ends_with(place.file), "{diagnostic}");
+    for (expected, diagnostic) in EXPECTED.iter().zip(&found) {
+        assert!(diagnostic.file.ends_with(expected.file), "{diagnostic}");
         assert_eq!(
             (diagnostic.line, diagnostic.column),
-            (place.line, place.column),
+            (expected.line, expected.column),
             "{diagnostic}"
         );
-        assert_eq!(diagnostic.kind.to_string(), place.says);
+        assert_eq!(diagnostic.kind.to_string(), expected.message);
         assert!(!diagnostic.hint.is_empty());
     }
-    assert_eq!(found.len(), PLACES.len());
+    assert_eq!(found.len(), EXPECTED.len());
 }
 
 #[rstest]
 #[case("../../examples/association")]
 #[case("../../examples/vilaverde")]
 fn the_examples_are_accepted(#[case] directory: &str) {
-    let declarations = check(&path(directory)).expect("it passes");
+    let declarations = check(&path(directory)).expect("valid settings");
     assert_eq!(declarations.organisations.len(), 10);
     assert_eq!(declarations.presets.len(), 3);
 }
 
 #[test]
 fn the_example_host_is_accepted() {
-    let settings = read_host(&path("../../examples/host.yaml")).expect("it passes");
+    let settings = read_host(&path("../../examples/host.yaml")).expect("valid settings");
     assert_eq!(settings.data_centre, "zrh-a");
 }
 
 #[test]
-fn text_that_is_no_yaml_has_a_place() {
+fn invalid_yaml_is_reported_with_its_line() {
     let Err(SettingsDiagnostics(found)) = read_host(&path("tests/broken.yaml")) else {
-        panic!("the broken file passes");
+        panic!("invalid YAML was accepted");
     };
     assert!(
         matches!(found[0].kind, DiagnosticKind::Syntax { .. }),
@@ -138,8 +138,8 @@
 }
 
 #[test]
-fn a_difference_names_each_field() {
-    let before = check(&path("../../examples/association")).expect("it passes");
+fn differences_name_each_changed_field() {
+    let before = check(&path("../../examples/association")).expect("valid settings");
     let mut after = before.clone();
     after.organisations.remove(9);
     after.organisations[0].weight = 7.0;
