--- /dev/null
+++ b/tests/completions.rs
@@ -0,0 +1,95 @@
+//! Complete responses from a running deployment.
+
+use fulmarpath::dev::caller::{CallerRequest, complete, expected, open, read};
+use fulmarpath::dev::{CALLER_KEY, Deployment, DeploymentSpec, OTHER_CALLER_KEY};
+use rstest::rstest;
+
+async fn deployment() -> Deployment {
+    Deployment::start(DeploymentSpec::default())
+        .await
+        .expect("it starts")
+}
+
+fn request(prompt: &str) -> CallerRequest {
+    CallerRequest {
+        key: CALLER_KEY,
+        prompt: prompt.to_owned(),
+        ..CallerRequest::default()
+    }
+}
+
+struct CompletionCase {
+    prompt: &'static str,
+    host: usize,
+}
+
+#[rstest]
+#[case::short(CompletionCase { prompt: "classify #1", host: 0 })]
+#[case::default_length(CompletionCase { prompt: "a report of the left wing", host: 1 })]
+#[case::long(CompletionCase { prompt: "a long report #400", host: 2 })]
+#[tokio::test(flavor = "multi_thread")]
+async fn every_token_arrives_once_in_order(#[case] case: CompletionCase) {
+    let deployment = deployment().await;
+    let response = complete(deployment.caller_address(case.host), &request(case.prompt)).await;
+    assert_eq!(response.status, 200);
+    assert!(response.is_complete);
+    assert_eq!(response.text(), expected(case.prompt));
+}
+
+#[tokio::test(flavor = "multi_thread")]
+async fn concurrent_callers_get_their_own_responses() {
+    let deployment = deployment().await;
+    let requests = (0..60).map(|number| {
+        let address = deployment.caller_address(number % 3);
+        async move {
+            let prompt = format!("discrepancy {number} #{}", 5 + number % 40);
+            let response = complete(address, &request(&prompt)).await;
+            (prompt, response)
+        }
+    });
+    for (prompt, response) in futures::future::join_all(requests).await {
+        assert!(response.is_complete, "{prompt}: {response:?}");
+        assert_eq!(response.text(), expected(&prompt));
+    }
+}
+
+/// A caller disconnects after some tokens and reconnects to another host with `Last-Event-ID`. It
+/// must get the remaining tokens. Another organisation with the same id must get nothing.
+#[tokio::test(flavor = "multi_thread")]
+async fn disconnected_caller_resumes_at_another_host() {
+    let deployment = deployment().await;
+    let prompt = "a report that is cut #200";
+    let first = read(
+        open(deployment.caller_address(0), &request(prompt)).await,
+        20,
+    )
+    .await;
+    let resumed_request = CallerRequest {
+        last_event_id: first.event_ids.last().cloned(),
+        ..request(prompt)
+    };
+    let rest = complete(deployment.caller_address(1), &resumed_request).await;
+    assert_eq!(first.text() + &rest.text(), expected(prompt));
+    assert!(rest.is_complete);
+    let other_caller = CallerRequest {
+        key: OTHER_CALLER_KEY,
+        ..resumed_request
+    };
+    let refused = complete(deployment.caller_address(1), &other_caller).await;
+    assert_eq!(refused.problem.as_deref(), Some("not-found"));
+}
+
+/// Without a trace collector, the caller's trace context is passed to the engine unchanged.
+#[tokio::test(flavor = "multi_thread")]
+async fn trace_context_reaches_the_engine() {
+    let deployment = deployment().await;
+    let trace = "00-0af7651916cd43dd8448eb211c80319c-b7ad6b7169203331-01";
+    let traced = CallerRequest {
+        traceparent: Some(trace.to_owned()),
+        ..request("traced #2")
+    };
+    complete(deployment.caller_address(0), &traced).await;
+    let records = deployment.engines.iter().map(|engine| engine.record());
+    let traces: Vec<String> = records.flat_map(|record| record.traceparents).collect();
+    assert_eq!(traces, [trace]);
+}
--- a/tests/explain.rs
+++ b/tests/explain.rs
@@ -1,4 +1,4 @@
-//! From a request's id and hosts' logs to its cause.
+//! `explain` finds the cause of an outcome from the request id and the logs of hosts.
 
 use fulmarpath::explain;
 use fulmarpath::gateway::{Dispatch, REQUEST_PREFIX, RequestRecord, STORE_RESTORED_PREFIX};
@@ -42,50 +42,50 @@
     line(at_ms, &format!("{REQUEST_PREFIX}{json}"))
 }
 
-struct Cause {
+struct CauseCase {
     outcome: &'static str,
     status: u16,
     instances: &'static [&'static str],
-    /// What the sentence must name.
-    names: &'static str,
+    /// Text that the cause must contain.
+    expected: &'static str,
 }
 
-/// Every way in which a request can end is named, with what decided it.
+/// Each outcome of a request is explained, with the cause that led to it.
 #[rstest]
-#[case::refused(Cause { outcome: "full", status: 503, instances: &[], names: "predicted to be full" })]
-#[case::all_refused(Cause { outcome: "all_refused", status: 503, instances: &["i-1", "i-2"], names: "each of 2" })]
-#[case::broken_stream(Cause { outcome: "stream_broken", status: 200, instances: &["i-1", "i-2"], names: "i-2 was lost after 12 events" })]
-#[case::unknown_outcome(Cause { outcome: "broken", status: 502, instances: &["i-1"], names: "it may have run" })]
-#[case::timeout(Cause { outcome: "timeout", status: 504, instances: &["i-1"], names: "did not answer" })]
-#[case::held_back(Cause { outcome: "held_back", status: 503, instances: &[], names: "the limit that it named" })]
-#[case::own_failure(Cause { outcome: "answered", status: 500, instances: &["i-1"], names: "i-1 itself failed" })]
-#[case::key(Cause { outcome: "unknown_key", status: 401, instances: &[], names: "version 7" })]
-#[case::too_large(Cause { outcome: "too_large", status: 503, instances: &[], names: "no engine" })]
-#[case::stopping(Cause { outcome: "stopping", status: 503, instances: &[], names: "stopping" })]
-#[case::of_another_version(Cause { outcome: "invented", status: 503, instances: &[], names: "`invented`" })]
-fn names_the_cause(#[case] case: Cause) {
+#[case::refused(CauseCase { outcome: "full", status: 503, instances: &[], expected: "predicted to be full" })]
+#[case::all_refused(CauseCase { outcome: "all_refused", status: 503, instances: &["i-1", "i-2"], expected: "each of 2" })]
+#[case::broken_stream(CauseCase { outcome: "stream_broken", status: 200, instances: &["i-1", "i-2"], expected: "i-2 was lost after 12 events" })]
+#[case::unknown_outcome(CauseCase { outcome: "broken", status: 502, instances: &["i-1"], expected: "it may have run" })]
+#[case::timeout(CauseCase { outcome: "timeout", status: 504, instances: &["i-1"], expected: "did not answer" })]
+#[case::throttled(CauseCase { outcome: "held_back", status: 503, instances: &[], expected: "the limit that it named" })]
+#[case::upstream_error(CauseCase { outcome: "answered", status: 500, instances: &["i-1"], expected: "i-1 itself failed" })]
+#[case::unknown_key(CauseCase { outcome: "unknown_key", status: 401, instances: &[], expected: "version 7" })]
+#[case::too_large(CauseCase { outcome: "too_large", status: 503, instances: &[], expected: "no engine" })]
+#[case::stopping(CauseCase { outcome: "stopping", status: 503, instances: &[], expected: "stopping" })]
+#[case::unknown_outcome_name(CauseCase { outcome: "invented", status: 503, instances: &[], expected: "`invented`" })]
+fn explains_the_outcome(#[case] case: CauseCase) {
     let record = record(case.outcome, case.status, case.instances);
     let logs = [("host-a".to_owned(), request_line(5, &record))];
     let explanation = explain("9c41", &logs).expect("it is found");
     assert_eq!(explanation.causes.len(), 1);
     assert!(
-        explanation.causes[0].contains(case.names),
+        explanation.causes[0].contains(case.expected),
         "{}",
         explanation.causes[0]
     );
 }
 
-/// Lines of several hosts are merged by their times: the relaying host names the request, the
-/// home of its cell only the generation's key. Cut lines are counted, and what a collector writes
-/// before a line is no matter.
+/// Lines of several hosts are merged by time. The relaying host logs the request id, the home of its
+/// cell only the key of the generation. Truncated lines are counted, and a prefix that a log
+/// collector puts before a line is ignored.
 #[test]
-fn merges_the_lines_of_several_hosts() {
-    let moved = line(
+fn merges_lines_of_several_hosts() {
+    let migrated = line(
         20,
         "moves: request 9c41 goes on at i-2 after event Some(4), 9 ms",
     );
-    let ended = request_line(40, &record("answered", 200, &["i-1", "i-2"]));
-    let home = line(
+    let request_end = request_line(40, &record("answered", 200, &["i-1", "i-2"]));
+    let cell_home = line(
         30,
         "cells: 00000000000000aa from 01 to 02: Moved after 200 ms",
     );
@@ -96,9 +96,9 @@
     let logs = [
         (
             "host-a".to_owned(),
-            format!("{ended}\n  1.5 host-a {moved}\n{{\"level\":\"in"),
+            format!("{request_end}\n  1.5 host-a {migrated}\n{{\"level\":\"in"),
         ),
-        ("host-b".to_owned(), format!("{other}\n{home}")),
+        ("host-b".to_owned(), format!("{other}\n{cell_home}")),
     ];
     let explanation = explain("9c41", &logs).expect("it is found");
     let order: Vec<u64> = explanation.lines.iter().map(|line| line.at_ms).collect();
@@ -109,10 +109,10 @@
     assert!(shown.contains("host-b cells: 00000000000000aa"), "{shown}");
 }
 
-/// A request was refused because others of its content had ended upstreams: their lines are shown,
-/// with the circuits on the content, and not those of other contents.
+/// A request is refused because other requests with the same content crashed upstreams. The lines of
+/// those crashes and of the circuit for the content are shown; lines of other contents are not.
 #[test]
-fn shows_what_a_content_did() {
+fn shows_crashes_of_the_same_content() {
     let crashed = line(
         10,
         "crashes: i-1 ended without notice under request 77, content 00000000000000cc, before",
@@ -127,67 +127,67 @@
     assert!(explanation.causes[0].contains("content 00000000000000cc"));
 }
 
-struct Word {
+struct RefusalCase {
     outcome: &'static str,
-    /// The line that tells why.
-    told: &'static str,
-    names: &'static str,
+    /// The log line that states the reason.
+    reason: &'static str,
+    expected: &'static str,
 }
 
-/// Guards against a refusal that only the operator's or an upstream's own word explains, and that
-/// `explain` leaves out.
+/// Guards against refusals whose reason is missing from the output: an evacuation ordered by the
+/// operator, or a rate limit that an upstream advertises, is logged without the request id.
 #[rstest]
-#[case::of_the_operator(Word {
+#[case::by_operator(RefusalCase {
     outcome: "evacuated",
-    told: "evacuations: upstreams in dc-b get no work at revision 7, by a watcher",
-    names: "an evacuated data centre",
+    reason: "evacuations: upstreams in dc-b get no work at revision 7, by a watcher",
+    expected: "an evacuated data centre",
 })]
-#[case::of_an_upstream(Word {
+#[case::by_upstream_limit(RefusalCase {
     outcome: "held_back",
-    told: "backpressure: i-1 takes 2.9 requests a second from all hosts",
-    names: "the limit that it named",
+    reason: "backpressure: i-1 takes 2.9 requests a second from all hosts",
+    expected: "the limit that it named",
 })]
-fn shows_by_whose_word_upstreams_got_nothing(#[case] case: Word) {
-    let told = line(20, case.told);
+fn shows_why_upstreams_got_no_work(#[case] case: RefusalCase) {
+    let reason = line(20, case.reason);
     let other = line(21, "upstreams: 7 known at revision 8");
     let refused = request_line(30, &record(case.outcome, 503, &[]));
-    let text = [told, other, refused].join("\n");
+    let text = [reason, other, refused].join("\n");
     let explanation = explain("9c41", &[("host-a".to_owned(), text)]).expect("it is found");
     let order: Vec<u64> = explanation.lines.iter().map(|line| line.at_ms).collect();
     assert_eq!(order, [20, 30]);
-    assert!(explanation.causes[0].contains(case.names));
+    assert!(explanation.causes[0].contains(case.expected));
 }
 
-struct Return {
+struct RestoreCase {
     at_ms: u64,
     is_shown: bool,
 }
 
-/// Guards against a request that hosts sent by what the store had lost, and that `explain` can't tell from
-/// any other.
+/// Guards against a missing hint at a store restore: a request that was routed by entries that the
+/// restore lost must be distinguishable from any other.
 #[rstest]
-#[case::just_before(Return { at_ms: 95_000, is_shown: true })]
-#[case::while_it_ran(Return { at_ms: 100_500, is_shown: true })]
-#[case::long_before(Return { at_ms: 20_000, is_shown: false })]
-fn shows_that_the_store_came_back_from_a_copy(#[case] case: Return) {
-    let told = format!("{STORE_RESTORED_PREFIX}era 2 follows 1, told by a watcher");
-    let told = line(case.at_ms, &told);
+#[case::shortly_before(RestoreCase { at_ms: 95_000, is_shown: true })]
+#[case::during_the_request(RestoreCase { at_ms: 100_500, is_shown: true })]
+#[case::long_before(RestoreCase { at_ms: 20_000, is_shown: false })]
+fn shows_a_store_restore_near_the_request(#[case] case: RestoreCase) {
+    let reason = format!("{STORE_RESTORED_PREFIX}era 2 follows 1, told by a watcher");
+    let reason = line(case.at_ms, &reason);
     let answered = request_line(101_000, &record("answered", 200, &["i-1"]));
-    let text = [told, answered].join("\n");
+    let text = [reason, answered].join("\n");
     let explanation = explain("9c41", &[("host-a".to_owned(), text)]).expect("it is found");
     let shown = explanation.to_string();
     assert_eq!(shown.contains("era 2 follows 1"), case.is_shown, "{shown}");
     assert!(shown.contains("by revision 45 of era 2"), "{shown}");
 }
 
-/// An id that nobody wrote of is said not to be found, with how much was looked at.
+/// For an id that no log contains, the error says how many lines were searched.
 #[test]
-fn an_unknown_id_is_not_found() {
+fn unknown_id_is_not_found() {
     let logs = [(
         "host-a".to_owned(),
         request_line(5, &record("full", 503, &[])),
     )];
-    let error = explain("ffff", &logs).expect_err("nobody wrote of it");
+    let error = explain("ffff", &logs).expect_err("no line contains it");
     assert_eq!(
         error.to_string(),
         "could not find request ffff in 1 lines (0 of them unreadable)"
--- a/tests/log_lines.rs
+++ b/tests/log_lines.rs
@@ -1,4 +1,4 @@
-//! The form of a gateway's log lines, which alerts and `fulmarpath explain` read.
+//! The format of gateway log lines, which alerts and `fulmarpath explain` parse.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -19,11 +19,11 @@
 use tokio::sync::oneshot;
 
 const KEY: &str = "key-of-one";
-const PATIENCE: Duration = Duration::from_secs(10);
-const ANYWHERE: SocketAddr =
+const TIMEOUT: Duration = Duration::from_secs(10);
+const ANY_PORT: SocketAddr =
     SocketAddr::new(std::net::IpAddr::V4(std::net::Ipv4Addr::LOCALHOST), 0);
 
-/// Sends all of this process's log to a file, without times and levels.
+/// Redirects the log of the process to a file, without timestamps and levels.
 fn log_to(file: &Path) {
     let formatter = PatternFormatter::new(pattern!("{payload}{eol}"));
     let sink = FileSink::builder().path(file).truncate(true);
@@ -37,49 +37,50 @@
     spdlog::set_default_logger(Arc::new(logger));
 }
 
-/// The line with what differs from run to run left out: names by hash, addresses, numbers.
-fn form(line: &str) -> String {
+/// Replaces what differs between runs (hashed names, addresses and numbers) by `#`.
+fn normalise(line: &str) -> String {
     let mut out = String::new();
-    let mut word = String::new();
+    let mut token = String::new();
     for letter in line.chars().chain(['\n']) {
         if letter.is_ascii_alphanumeric() || letter == '.' {
-            word.push(letter);
+            token.push(letter);
             continue;
         }
-        let has_digit = word.chars().any(|letter| letter.is_ascii_digit());
-        out.push_str(if has_digit { "#" } else { &word });
-        word.clear();
+        let has_digit = token.chars().any(|letter| letter.is_ascii_digit());
+        out.push_str(if has_digit { "#" } else { &token });
+        token.clear();
         out.push(letter);
     }
     out.trim_end().to_owned()
 }
 
-async fn until(file: &Path, wanted: &str) {
+async fn wait_for_line(file: &Path, wanted: &str) {
     let started = Instant::now();
     loop {
         let written = std::fs::read_to_string(file).unwrap_or_default();
         if written.contains(wanted) {
             return;
         }
-        assert!(started.elapsed() < PATIENCE, "{wanted}: not in {written}");
+        assert!(started.elapsed() < TIMEOUT, "{wanted}: not in {written}");
         tokio::time::sleep(Duration::from_millis(20)).await;
     }
 }
 
-/// A host starts, an engine leaves while it makes an answer, callers are refused, the store goes
-/// away and comes back, the host stops: the lines of all that keep their form.
+/// Guards against accidental changes of the log format. A host starts, an engine leaves while it
+/// generates, requests are refused, the store becomes unavailable and available again, and the host
+/// stops; the format of all these lines is compared with a snapshot.
 #[tokio::test]
 async fn lines_keep_their_form() {
-    let folder = std::env::temp_dir().join(format!("fulmarpath-lines-{}", std::process::id()));
-    std::fs::create_dir_all(&folder).expect("a folder");
-    let file = folder.join("host.log");
+    let directory = std::env::temp_dir().join(format!("fulmarpath-lines-{}", std::process::id()));
+    std::fs::create_dir_all(&directory).expect("a directory");
+    let file = directory.join("host.log");
     log_to(&file);
     let store = StandInStore::start().await;
     let listen = Listen {
-        callers: ANYWHERE,
-        readiness: ANYWHERE,
-        metrics: ANYWHERE,
-        peers: ANYWHERE,
+        callers: ANY_PORT,
+        readiness: ANY_PORT,
+        metrics: ANY_PORT,
+        peers: ANY_PORT,
     };
     let listeners = listen.bind().await.expect("free ports");
     let callers = listeners.callers.local_addr().expect("an address");
@@ -107,41 +108,53 @@
     let running = tokio::spawn(Arc::new(gateway).run(listeners, async {
         let _ = stopped.await;
     }));
-    let ask = |kind, id: &'static str, key| {
-        exchange(callers, sample_request(kind, id, key, HOST), PATIENCE)
+    let send = |kind, id: &'static str, key| {
+        exchange(callers, sample_request(kind, id, key, HOST), TIMEOUT)
     };
 
-    ask(RequestKind::Poll, "a1", KEY).await;
+    send(RequestKind::Poll, "a1", KEY).await;
     store.put("config", "main", configuration(1, KEY));
-    until(&file, "configuration: version 1").await;
-    ask(RequestKind::Poll, "a2", "no-key").await;
-    ask(RequestKind::Draft, "a3", KEY).await;
-    let rules = EngineBehaviour {
+    wait_for_line(&file, "configuration: version 1").await;
+    send(RequestKind::Poll, "a2", "no-key").await;
+    send(RequestKind::Draft, "a3", KEY).await;
+    let behaviour = EngineBehaviour {
         events: 100,
         ..EngineBehaviour::default()
     };
-    let leaving = StandInEngine::start("i-1", rules).await;
-    store.put("servers", "i-1", leaving.entry("engines", "dc-a", false));
-    until(&file, "upstreams: 1 known").await;
-    let streaming = tokio::spawn(ask(RequestKind::Draft, "a4", KEY));
+    let leaving_engine = StandInEngine::start("i-1", behaviour).await;
+    store.put(
+        "servers",
+        "i-1",
+        leaving_engine.entry("engines", "dc-a", false),
+    );
+    wait_for_line(&file, "upstreams: 1 known").await;
+    let streaming = tokio::spawn(send(RequestKind::Draft, "a4", KEY));
     tokio::time::sleep(Duration::from_millis(150)).await;
-    let next = StandInEngine::start("i-2", rules).await;
-    store.put("servers", "i-2", next.entry("engines", "dc-a", false));
-    until(&file, "upstreams: 2 known").await;
-    store.put("servers", "i-1", leaving.entry("engines", "dc-a", true));
+    let next_engine = StandInEngine::start("i-2", behaviour).await;
+    store.put(
+        "servers",
+        "i-2",
+        next_engine.entry("engines", "dc-a", false),
+    );
+    wait_for_line(&file, "upstreams: 2 known").await;
+    store.put(
+        "servers",
+        "i-1",
+        leaving_engine.entry("engines", "dc-a", true),
+    );
     assert!(streaming.await.expect("the caller reads").is_complete);
     store.set_mode(StoreMode::Busy);
-    until(&file, "store: the upstreams can't be read").await;
-    until(&file, "store: the configuration can't be read").await;
+    wait_for_line(&file, "store: the upstreams can't be read").await;
+    wait_for_line(&file, "store: the configuration can't be read").await;
     store.set_mode(StoreMode::Up);
-    until(&file, "store: the upstreams can be read again").await;
-    until(&file, "store: the configuration can be read again").await;
+    wait_for_line(&file, "store: the upstreams can be read again").await;
+    wait_for_line(&file, "store: the configuration can be read again").await;
     stop.send(()).expect("the host runs");
     running.await.expect("the host stops");
 
     let written = std::fs::read_to_string(&file).expect("the log");
-    let forms: BTreeSet<String> = written.lines().map(form).collect();
-    let forms: Vec<String> = forms.into_iter().collect();
-    insta::assert_snapshot!(forms.join("\n"));
-    std::fs::remove_dir_all(&folder).expect("the folder is removed");
+    let normalised: BTreeSet<String> = written.lines().map(normalise).collect();
+    let normalised: Vec<String> = normalised.into_iter().collect();
+    insta::assert_snapshot!(normalised.join("\n"));
+    std::fs::remove_dir_all(&directory).expect("the directory is removed");
 }
