--- a/crates/bench/src/cmd/soak.rs
+++ b/crates/bench/src/cmd/soak.rs
@@ -1,4 +1,4 @@
-//! `soak`: real hosts as processes under faults from outside.
+//! `soak`: host processes under injected faults.
 
 use std::path::PathBuf;
 use std::time::{Duration, Instant};
@@ -6,108 +6,111 @@
 use bpaf::Bpaf;
 use futures::stream::{self, StreamExt};
 
-use crate::soak::{Kinds, SoakSettings, Spoil, beside_this, play};
+use crate::soak::{Corruption, FaultSet, SoakSettings, default_binary, run_seed};
 
-/// Play seeds of faults against real hosts and check what callers and upstreams see
+/// Inject seeded faults into a deployment of host processes and check what callers and upstreams
+/// observe
 #[derive(Debug, Clone, Bpaf)]
 #[bpaf(command)]
 pub(crate) struct Soak {
     /// First seed
     #[bpaf(argument("N"), fallback(1))]
     seed: u64,
-    /// Seeds
+    /// Number of seeds
     #[bpaf(argument("N"), fallback(4))]
     seeds: u64,
-    /// No seed begins after so many minutes
+    /// Start no further seed after this many minutes
     #[bpaf(argument("M"), fallback(600))]
     minutes: u64,
-    /// Hosts
+    /// Number of hosts
     #[bpaf(argument("N"), fallback(5))]
     hosts: usize,
-    /// Callers at once
+    /// Number of concurrent callers
     #[bpaf(argument("N"), fallback(12))]
     callers: usize,
-    /// Faults a seed
+    /// Faults per seed
     #[bpaf(argument("N"), fallback(5))]
     faults: usize,
-    /// Draw from the faults that came after the first seeds as well: engines that start again under
-    /// their names, entries of other writers
+    /// Also draw engines that restart under their names and directory entries of other writers
     #[bpaf(long)]
     all_kinds: bool,
-    /// Draw from those and from data centres that are emptied and upstreams that come back cold
+    /// As --all-kinds, and also draw evacuations of data centres and upstreams that return cold
     #[bpaf(long)]
     latest_kinds: bool,
-    /// Draw from those and from upstreams that ask for less in their answers
+    /// As --latest-kinds, and also draw upstreams that signal limits, leaving or backoff in their
+    /// responses
     #[bpaf(long)]
     backpressure: bool,
-    /// Draw from those and from a store that comes back from a copy
+    /// As --backpressure, and also draw a store that is restored from a backup
     #[bpaf(long)]
     copies: bool,
-    /// One caller repeats a request that ends the plain upstream that begins to run it
+    /// Add a caller that repeats a request which crashes each plain upstream that starts it
     #[bpaf(long)]
     ending: bool,
-    /// Seeds at once
+    /// Number of seeds run concurrently
     #[bpaf(argument("N"), fallback(3))]
     at_once: usize,
-    /// Spoil `event`, `id`, `status` or `end` of an answer; the run must then find it
+    /// Corrupt `event`, `id`, `status` or `end` of a recorded response; the run must then report a
+    /// violation
     #[bpaf(argument("NAME"))]
-    spoil: Option<Spoil>,
-    /// The hosts' program; by default the one beside this
-    #[bpaf(argument("FILE"), fallback(beside_this()))]
+    spoil: Option<Corruption>,
+    /// Path of the host binary; by default the one next to this executable
+    #[bpaf(argument("FILE"), fallback(default_binary()))]
     binary: PathBuf,
 }
 
 impl Soak {
     pub(crate) fn run(&self) {
         let runtime = tokio::runtime::Runtime::new().expect("a runtime");
-        if !runtime.block_on(self.play()) {
+        if !runtime.block_on(self.run_seeds()) {
             std::process::exit(1);
         }
     }
 
-    fn kinds(&self) -> Kinds {
+    fn fault_set(&self) -> FaultSet {
         let flags = [
-            (self.copies, Kinds::WithCopies),
-            (self.backpressure, Kinds::WithBackpressure),
-            (self.latest_kinds, Kinds::WithEvacuations),
-            (self.all_kinds, Kinds::WithBirths),
+            (self.copies, FaultSet::WithRestores),
+            (self.backpressure, FaultSet::WithBackpressure),
+            (self.latest_kinds, FaultSet::WithEvacuations),
+            (self.all_kinds, FaultSet::WithRestarts),
         ];
         let mut set = flags.into_iter().filter(|(is_set, _)| *is_set);
-        set.next().map_or(Kinds::First, |(_, kinds)| kinds)
+        set.next()
+            .map_or(FaultSet::Initial, |(_, fault_set)| fault_set)
     }
 
-    async fn play(&self) -> bool {
+    async fn run_seeds(&self) -> bool {
         let started = Instant::now();
-        let bound = Duration::from_secs(self.minutes * 60);
-        let mut played = stream::iter(self.seed..self.seed + self.seeds)
-            .take_while(|_| std::future::ready(started.elapsed() < bound))
+        let time_limit = Duration::from_secs(self.minutes * 60);
+        let mut results = stream::iter(self.seed..self.seed + self.seeds)
+            .take_while(|_| std::future::ready(started.elapsed() < time_limit))
             .map(|seed| {
                 let settings = SoakSettings {
                     seed,
                     hosts: self.hosts,
                     callers: self.callers,
                     faults: self.faults,
-                    kinds: self.kinds(),
-                    has_ending: self.ending,
+                    fault_set: self.fault_set(),
+                    has_crashing_caller: self.ending,
                     binary: self.binary.clone(),
-                    spoil: self.spoil,
+                    corruption: self.spoil,
                 };
-                Box::pin(async move { (seed, tokio::spawn(play(settings)).await) })
+                Box::pin(async move { (seed, tokio::spawn(run_seed(settings)).await) })
             })
             .buffer_unordered(self.at_once);
-        let mut is_fine = true;
-        while let Some((seed, verdict)) = played.next().await {
+        let mut passed = true;
+        while let Some((seed, verdict)) = results.next().await {
             match verdict {
                 Ok(Ok(verdict)) => {
-                    is_fine &= verdict.violations() == 0;
+                    passed &= verdict.violations() == 0;
                     println!("{}", serde_json::to_string(&verdict).unwrap_or_default());
                 }
                 failed => {
-                    is_fine = false;
+                    passed = false;
                     println!("seed {seed} did not play: {failed:?}");
                 }
             }
         }
-        is_fine
+        passed
     }
 }
--- a/crates/bench/src/soak/fault.rs
+++ b/crates/bench/src/soak/fault.rs
@@ -1,4 +1,4 @@
-//! The soak's faults, each brought about from outside the hosts.
+//! The faults of the soak, each injected from outside the hosts.
 
 use std::time::{Duration, Instant};
 
@@ -8,37 +8,37 @@
 use tokio::time::sleep;
 
 use super::SoakError;
+use super::deployment::{COLD_MS, DATA_CENTRES, Deployment};
 use super::proxy::LinkMode;
-use super::stage::{COLD_MS, DATA_CENTRES, Stage};
 
-/// As the hosts' settings have it.
+/// Time within which an evacuation is complete, as in the hosts' settings.
 const EVACUATION_BOUND: Duration = Duration::from_millis(4_000);
-/// An entry's change is heard everywhere within this time.
-const HEARD_BOUND: Duration = Duration::from_millis(600);
-/// An upstream that writes that it leaves gets nothing after this time, by the hosts' settings.
+/// Time within which a change of a directory entry reaches all hosts.
+const PROPAGATION_BOUND: Duration = Duration::from_millis(600);
+/// Time after which a leaving upstream receives no requests, as in the hosts' settings.
 const LEAVING_BOUND: Duration = Duration::from_millis(2_000);
-/// Requests that a cold plain upstream may get in a second, by the settings and its service.
-const COLD_MOST: usize = 17;
+/// Requests per second to a cold plain upstream that the settings and its service allow.
+const MAX_COLD_PER_SECOND: usize = 17;
 
-/// What an upstream in need names.
+/// The limit that an upstream advertises in its responses.
 const LIMIT_PER_S: f32 = 0.5;
-/// The span over which its requests are counted.
-const LIMIT_SPAN: Duration = Duration::from_secs(4);
-/// Requests that it may get in this span: one and a half times what it names, and five.
-const LIMIT_MOST: usize = 8;
-/// The rest that an upstream asks for.
-const REST_S: f32 = 4.0;
-/// The work of each request at upstreams that are busy.
-const BUSY_WORK: Duration = Duration::from_millis(300);
-/// Requests that one host may send to an upstream that it has been asked to let rest.
-const RESTING_MOST: usize = 2;
-/// Nearly every host has had an answer of each plain upstream within this time.
-const TOLD_BOUND: Duration = Duration::from_millis(1_500);
+/// The window over which requests to a limited upstream are counted.
+const LIMIT_WINDOW: Duration = Duration::from_secs(4);
+/// Requests allowed in this window: one and a half times the advertised limit, plus five.
+const MAX_IN_LIMIT_WINDOW: usize = 8;
+/// The backoff that an upstream requests.
+const BACKOFF_S: f32 = 4.0;
+/// Service time of each request at busy upstreams.
+const BUSY_SERVICE_TIME: Duration = Duration::from_millis(300);
+/// Requests that one host may send to an upstream during the backoff that it requested.
+const MAX_PER_HOST_IN_BACKOFF: usize = 2;
+/// Time within which nearly every host has had a response of each plain upstream.
+const NOTIFICATION_BOUND: Duration = Duration::from_millis(1_500);
 
-/// The part of a seed's faults, where it draws from all, that are a store's return from a copy.
-const COPIES_SHARE: f64 = 0.35;
+/// Share of store restores among the faults drawn from the full set.
+const RESTORE_SHARE: f64 = 0.35;
 
-/// One fault; how long it lasts is its own.
+/// One fault, with its own duration.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum Fault {
     HostKilled,
@@ -68,30 +68,30 @@
     StoreReturnsFromCopy,
 }
 
-/// Which faults seeds draw from. Kinds came one after the other, so that a seed that was kept plays what
-/// it played.
+/// The set of faults that a seed draws from. Each set extends the previous one, so that a seed
+/// keeps its sequence of faults when kinds are added.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum Kinds {
-    /// The first ones.
-    First,
-    /// Engines that start again and entries of other writers as well.
-    WithBirths,
-    /// Data centres that are emptied and upstreams that come back cold as well.
+pub(crate) enum FaultSet {
+    /// The basic faults.
+    Initial,
+    /// Adds engines that restart and directory entries of other writers.
+    WithRestarts,
+    /// Adds evacuations of data centres and upstreams that return cold.
     WithEvacuations,
-    /// Upstreams in need as well.
+    /// Adds upstreams that signal limits, leaving or backoff.
     WithBackpressure,
-    /// All: in a part of the draws, a store that comes back from a copy.
-    WithCopies,
+    /// All faults; `RESTORE_SHARE` of the draws are a store restored from a backup.
+    WithRestores,
 }
 
-impl Kinds {
+impl FaultSet {
     fn count(self) -> usize {
         match self {
-            Self::First => 17,
-            Self::WithBirths => 19,
+            Self::Initial => 17,
+            Self::WithRestarts => 19,
             Self::WithEvacuations => 21,
             Self::WithBackpressure => 24,
-            Self::WithCopies => Fault::ALL.len(),
+            Self::WithRestores => Fault::ALL.len(),
         }
     }
 }
@@ -125,16 +125,16 @@
         Self::StoreReturnsFromCopy,
     ];
 
-    /// Draws one.
-    pub(crate) fn draw(rng: &mut ChaCha8Rng, kinds: Kinds) -> Self {
-        if kinds == Kinds::WithCopies && rng.random_bool(COPIES_SHARE) {
+    pub(crate) fn draw(rng: &mut ChaCha8Rng, fault_set: FaultSet) -> Self {
+        if fault_set == FaultSet::WithRestores && rng.random_bool(RESTORE_SHARE) {
             return Self::StoreReturnsFromCopy;
         }
-        Self::ALL[rng.random_range(0..kinds.count())]
+        Self::ALL[rng.random_range(0..fault_set.count())]
     }
 
-    /// Whether a caller may hear nothing at all, or only a part, with no planned work to blame.
-    pub(crate) fn may_cut(self) -> bool {
+    /// Whether the fault may leave a caller with an incomplete response or none, outside of planned
+    /// work.
+    pub(crate) fn may_interrupt(self) -> bool {
         !matches!(
             self,
             Self::HostStopped
@@ -155,49 +155,53 @@
         )
     }
 
-    /// Brings it about, and ends it where it ends by itself.
-    pub(crate) async fn strike(
+    /// Injects the fault, and ends it if it is temporary.
+    pub(crate) async fn inject(
         self,
-        stage: &mut Stage,
+        deployment: &mut Deployment,
         rng: &mut ChaCha8Rng,
     ) -> Result<(), SoakError> {
-        let host = rng.random_range(0..stage.hosts.len());
-        let engine = rng.random_range(0..stage.engines.len());
-        let lasts = Duration::from_millis(rng.random_range(500..4_500));
+        let host = rng.random_range(0..deployment.hosts.len());
+        let engine = rng.random_range(0..deployment.engines.len());
+        let duration = Duration::from_millis(rng.random_range(500..4_500));
         match self {
-            Self::HostKilled => restart(stage, host, "KILL").await?,
-            Self::HostStopped => restart(stage, host, "TERM").await?,
+            Self::HostKilled => restart_host(deployment, host, "KILL").await?,
+            Self::HostStopped => restart_host(deployment, host, "TERM").await?,
             Self::HostPaused => {
-                stage.hosts[host].signal("STOP");
-                sleep(lasts).await;
-                stage.hosts[host].signal("CONT");
+                deployment.hosts[host].signal("STOP");
+                sleep(duration).await;
+                deployment.hosts[host].signal("CONT");
             }
             Self::AllHostsKilled => {
-                stage.hosts.iter().for_each(|host| host.signal("KILL"));
-                for host in &mut stage.hosts {
-                    host.ended().await;
+                deployment.hosts.iter().for_each(|host| host.signal("KILL"));
+                for host in &mut deployment.hosts {
+                    host.wait_for_exit().await;
                     host.start()?;
                 }
             }
-            Self::StoreBusy => store(stage, StoreMode::Busy, lasts).await,
-            Self::StoreSilent => store(stage, StoreMode::Silent, lasts).await,
-            Self::StoreLossy => store(stage, StoreMode::Lossy, lasts).await,
-            Self::StoreSlow => store(stage, StoreMode::Slow { delay_ms: 240 }, lasts).await,
-            Self::HistoryForgotten => stage.store.compact_history(),
-            Self::StoreLinkReset => stage.store_link.set(LinkMode::Reset),
-            Self::StoreLinkSilent => stage.store_link.set(LinkMode::Silent),
-            Self::EngineLeaves => leave(stage, engine).await?,
+            Self::StoreBusy => apply_store_mode(deployment, StoreMode::Busy, duration).await,
+            Self::StoreSilent => apply_store_mode(deployment, StoreMode::Silent, duration).await,
+            Self::StoreLossy => apply_store_mode(deployment, StoreMode::Lossy, duration).await,
+            Self::StoreSlow => {
+                apply_store_mode(deployment, StoreMode::Slow { delay_ms: 240 }, duration).await
+            }
+            Self::HistoryForgotten => deployment.store.compact_history(),
+            Self::StoreLinkReset => deployment.store_link.set(LinkMode::Reset),
+            Self::StoreLinkSilent => deployment.store_link.set(LinkMode::Blackhole),
+            Self::EngineLeaves => reclaim_engine(deployment, engine).await?,
             Self::EngineCrashes => {
-                stage.engines[engine].crash();
+                deployment.engines[engine].crash();
                 sleep(Duration::from_millis(1_500)).await;
-                replace(stage, engine).await?;
+                replace_engine(deployment, engine).await?;
+            }
+            Self::EngineLinkReset => deployment.engine_links[engine].set(LinkMode::Reset),
+            Self::EngineLinkSilent => {
+                deployment.engine_links[engine].set(LinkMode::BlackholeResponses)
             }
-            Self::EngineLinkReset => stage.engine_links[engine].set(LinkMode::Reset),
-            Self::EngineLinkSilent => stage.engine_links[engine].set(LinkMode::SilentBack),
             Self::EngineLinkSlow => {
-                stage.engine_links[engine].set(LinkMode::Slow { delay_ms: 30 });
-                sleep(lasts).await;
-                stage.engine_links[engine].set(LinkMode::Well);
+                deployment.engine_links[engine].set(LinkMode::Slow { delay_ms: 30 });
+                sleep(duration).await;
+                deployment.engine_links[engine].set(LinkMode::Normal);
             }
             Self::PlainMisbehaves => {
                 let behaviours = [
@@ -209,222 +213,243 @@
                     PlainBehaviour::WrongRequestId,
                     PlainBehaviour::RespondsTwice,
                 ];
-                let plain = rng.random_range(0..stage.plains.len());
+                let plain = rng.random_range(0..deployment.plains.len());
                 let behaviour = behaviours[rng.random_range(0..behaviours.len())];
-                stage.plains[plain].set_behaviour(behaviour);
-                sleep(lasts).await;
-                stage.plains[plain].set_behaviour(PlainBehaviour::Good);
+                deployment.plains[plain].set_behaviour(behaviour);
+                sleep(duration).await;
+                deployment.plains[plain].set_behaviour(PlainBehaviour::Good);
             }
-            Self::EngineReborn => stage.restart_engine(engine).await,
+            Self::EngineReborn => deployment.restart_engine(engine).await,
             Self::ForeignEntries => {
-                let over = stage.foreign_entries(rng);
-                sleep(lasts).await;
-                stage.register_plain(over);
+                let overwritten = deployment.write_foreign_entries(rng);
+                sleep(duration).await;
+                deployment.register_plain(overwritten);
             }
             Self::Evacuation => {
-                evacuate(stage, rng.random_range(0..DATA_CENTRES.len()), lasts).await
+                evacuate(
+                    deployment,
+                    rng.random_range(0..DATA_CENTRES.len()),
+                    duration,
+                )
+                .await
             }
             Self::ColdReturn => {
-                let plain = rng.random_range(0..stage.plains.len());
-                turn_cold(stage, plain).await;
+                let plain = rng.random_range(0..deployment.plains.len());
+                mark_cold(deployment, plain).await;
             }
             Self::PlainNamesLimit => {
-                let plain = rng.random_range(0..stage.plains.len());
-                let paused = rng.random_bool(0.5).then_some(host);
-                name_limit(stage, plain, paused).await;
+                let plain = rng.random_range(0..deployment.plains.len());
+                let paused_host = rng.random_bool(0.5).then_some(host);
+                advertise_limit(deployment, plain, paused_host).await;
             }
             Self::PlainSaysItLeaves => {
-                let plain = rng.random_range(0..stage.plains.len());
-                say_leaving(stage, plain, lasts).await;
+                let plain = rng.random_range(0..deployment.plains.len());
+                signal_leaving(deployment, plain, duration).await;
             }
             Self::PlainAsksForRest => {
-                let plain = rng.random_range(0..stage.plains.len());
-                ask_for_rest(stage, plain).await;
+                let plain = rng.random_range(0..deployment.plains.len());
+                request_backoff(deployment, plain).await;
             }
             Self::StoreReturnsFromCopy => {
-                let plain = rng.random_range(0..stage.plains.len());
-                let with = Return::draw(rng, host);
-                return_from_copy(stage, plain, with).await?;
+                let plain = rng.random_range(0..deployment.plains.len());
+                let restore = StoreRestore::draw(rng, host);
+                restore_store(deployment, plain, restore).await?;
             }
         }
         Ok(())
     }
 }
 
-/// How a store comes back from a copy.
+/// How a store is restored from a backup.
 #[derive(Debug, Clone, Copy)]
-struct Return {
-    /// Writes that are lost.
-    lost: usize,
-    /// An upstream writes that it leaves among them; else after the return.
-    leaves_before: bool,
-    /// Nobody gets an answer for so long before.
-    away: Duration,
-    /// From the return until upstreams and the operator have written again.
-    silence: Duration,
-    /// Writes of others after the return, which may count up to more than were lost.
-    others: usize,
-    /// It returns so often in a row.
-    times: usize,
-    /// A host that is killed at the first return and starts while the store has only the copy.
-    starts: Option<usize>,
+struct StoreRestore {
+    /// Writes after the backup, which the restore loses.
+    lost_writes: usize,
+    /// Whether an upstream's leaving entry is among the lost writes; otherwise it is written after
+    /// the restore.
+    leaves_before_restore: bool,
+    /// How long the store does not respond before the restore.
+    outage: Duration,
+    /// Time from the restore until upstreams and the operator rewrite their entries.
+    rewrite_delay: Duration,
+    /// Unrelated writes after the restore, which may be more than were lost.
+    unrelated_writes: usize,
+    /// Number of consecutive restores.
+    restores: usize,
+    /// A host that is killed at the first restore and starts while the store has only the backup.
+    restarted_host: Option<usize>,
 }
 
-impl Return {
+impl StoreRestore {
     fn draw(rng: &mut ChaCha8Rng, host: usize) -> Self {
         Self {
-            lost: rng.random_range(0..30),
-            leaves_before: rng.random_bool(0.5),
-            away: Duration::from_millis(rng.random_range(0..2_500)),
-            silence: Duration::from_millis(rng.random_range(0..1_500)),
-            others: rng.random_range(0..40),
-            times: rng.random_range(1..=2),
-            starts: rng.random_bool(0.3).then_some(host),
+            lost_writes: rng.random_range(0..30),
+            leaves_before_restore: rng.random_bool(0.5),
+            outage: Duration::from_millis(rng.random_range(0..2_500)),
+            rewrite_delay: Duration::from_millis(rng.random_range(0..1_500)),
+            unrelated_writes: rng.random_range(0..40),
+            restores: rng.random_range(1..=2),
+            restarted_host: rng.random_bool(0.3).then_some(host),
         }
     }
 }
 
-/// The store comes back from a copy, and a plain upstream leaves shortly before or after; what it gets once
-/// that has to be known is counted, and who goes by another era then. Another start of it takes its place.
-async fn return_from_copy(stage: &mut Stage, plain: usize, with: Return) -> Result<(), SoakError> {
-    let upstream = stage.plains[plain].clone();
-    stage.store.save_backup();
-    if with.leaves_before {
-        stage.leave_plain(plain);
+/// Restores the store from a backup while a plain upstream leaves shortly before or after. Counts
+/// the requests that it receives once all hosts must know, and the hosts in another era. A new
+/// instance then replaces it.
+async fn restore_store(
+    deployment: &mut Deployment,
+    plain: usize,
+    restore: StoreRestore,
+) -> Result<(), SoakError> {
+    let upstream = deployment.plains[plain].clone();
+    deployment.store.save_backup();
+    if restore.leaves_before_restore {
+        deployment.mark_plain_draining(plain);
     }
-    stage.write_others(with.lost);
+    deployment.write_unrelated(restore.lost_writes);
     sleep(LEAVING_BOUND).await;
-    let mut before = upstream.received().len();
-    if with.away > HEARD_BOUND {
-        stage.store.set_mode(StoreMode::Silent);
-        sleep(with.away).await;
+    let mut received_before = upstream.received().len();
+    if restore.outage > PROPAGATION_BOUND {
+        deployment.store.set_mode(StoreMode::Silent);
+        sleep(restore.outage).await;
     }
-    stage.store.restore_backup();
-    stage.store.set_mode(StoreMode::Up);
-    if let Some(host) = with.starts {
-        restart(stage, host, "KILL").await?;
+    deployment.store.restore_backup();
+    deployment.store.set_mode(StoreMode::Up);
+    if let Some(host) = restore.restarted_host {
+        restart_host(deployment, host, "KILL").await?;
     }
-    for _ in 1..with.times {
-        stage.write_others(with.others);
-        sleep(HEARD_BOUND).await;
-        stage.store.restore_backup();
+    for _ in 1..restore.restores {
+        deployment.write_unrelated(restore.unrelated_writes);
+        sleep(PROPAGATION_BOUND).await;
+        deployment.store.restore_backup();
     }
-    stage.write_others(with.others);
-    sleep(with.silence).await;
-    stage.write_again(plain);
-    stage.leave_plain(plain);
-    stage.write_others(with.others);
-    if !with.leaves_before {
+    deployment.write_unrelated(restore.unrelated_writes);
+    sleep(restore.rewrite_delay).await;
+    deployment.rewrite_entries(plain);
+    deployment.mark_plain_draining(plain);
+    deployment.write_unrelated(restore.unrelated_writes);
+    if !restore.leaves_before_restore {
         sleep(LEAVING_BOUND).await;
-        before = upstream.received().len();
+        received_before = upstream.received().len();
     }
     sleep(LEAVING_BOUND).await;
-    stage.sent_to_leaving += upstream.received().len() - before;
-    stage.another_era += stage.hosts_in_another_era().await;
-    let left = stage.restart_plain(plain).await;
-    stage.left_plains.push(left);
+    deployment.sent_to_leaving += upstream.received().len() - received_before;
+    deployment.another_era += deployment.hosts_in_another_era().await;
+    let retired = deployment.restart_plain(plain).await;
+    deployment.retired_plains.push(retired);
     Ok(())
 }
 
-async fn restart(stage: &mut Stage, place: usize, signal: &str) -> Result<(), SoakError> {
-    let host = &mut stage.hosts[place];
+async fn restart_host(
+    deployment: &mut Deployment,
+    index: usize,
+    signal: &str,
+) -> Result<(), SoakError> {
+    let host = &mut deployment.hosts[index];
     host.signal(signal);
-    host.ended().await;
+    host.wait_for_exit().await;
     host.start()
 }
 
-async fn store(stage: &Stage, mode: StoreMode, lasts: Duration) {
-    stage.store.set_mode(mode);
-    sleep(lasts).await;
-    stage.store.set_mode(StoreMode::Up);
+async fn apply_store_mode(deployment: &Deployment, mode: StoreMode, duration: Duration) {
+    deployment.store.set_mode(mode);
+    sleep(duration).await;
+    deployment.store.set_mode(StoreMode::Up);
 }
 
-/// A data centre is emptied and taken back; what its upstreams get after the bound is counted.
-async fn evacuate(stage: &mut Stage, data_centre: usize, lasts: Duration) {
+/// Evacuates a data centre and takes it back. Counts the requests that its upstreams receive after
+/// the bound.
+async fn evacuate(deployment: &mut Deployment, data_centre: usize, duration: Duration) {
     let name = DATA_CENTRES[data_centre];
-    stage.store.put("evacuations", name, serde_json::json!({}));
+    deployment
+        .store
+        .put("evacuations", name, serde_json::json!({}));
     sleep(EVACUATION_BOUND).await;
-    let before = stage.received_in(data_centre);
-    sleep(lasts).await;
-    stage.sent_to_evacuated += stage.received_in(data_centre) - before;
-    stage.store.remove("evacuations", name);
+    let received_before = deployment.received_in(data_centre);
+    sleep(duration).await;
+    deployment.sent_to_evacuated += deployment.received_in(data_centre) - received_before;
+    deployment.store.remove("evacuations", name);
     sleep(Duration::from_millis(COLD_MS)).await;
 }
 
-/// A plain upstream says that it is cold; what it gets in one second from a moment on is counted.
-async fn turn_cold(stage: &mut Stage, plain: usize) {
-    stage.register_cold(plain);
-    sleep(HEARD_BOUND).await;
+/// Registers a plain upstream as cold. Counts its peak rate per second once hosts must know.
+async fn mark_cold(deployment: &mut Deployment, plain: usize) {
+    deployment.register_cold(plain);
+    sleep(PROPAGATION_BOUND).await;
     let since = Instant::now();
-    sleep(Duration::from_millis(COLD_MS) - HEARD_BOUND).await;
-    let most = stage.plains[plain].max_requests_per_second(since);
-    stage.over_cold_rate += most.saturating_sub(COLD_MOST);
-    stage.register_plain(plain);
+    sleep(Duration::from_millis(COLD_MS) - PROPAGATION_BOUND).await;
+    let peak = deployment.plains[plain].max_requests_per_second(since);
+    deployment.over_cold_rate += peak.saturating_sub(MAX_COLD_PER_SECOND);
+    deployment.register_plain(plain);
 }
 
-/// A plain upstream names a limit; what it gets in some span after all hosts were told is counted. A host
-/// may stand still meanwhile, which may be the one that hands out its starts.
-async fn name_limit(stage: &mut Stage, plain: usize, paused: Option<usize>) {
-    let upstream = stage.plains[plain].clone();
+/// Makes a plain upstream advertise a limit. Counts its peak per window once all hosts must know. A
+/// host may be paused meanwhile, possibly the one that grants starts on this upstream.
+async fn advertise_limit(deployment: &mut Deployment, plain: usize, paused_host: Option<usize>) {
+    let upstream = deployment.plains[plain].clone();
     upstream.set_signals(ResponseSignals {
         limit_per_s: Some(LIMIT_PER_S),
         ..ResponseSignals::default()
     });
-    sleep(TOLD_BOUND).await;
+    sleep(NOTIFICATION_BOUND).await;
     let since = Instant::now();
-    if let Some(host) = paused {
-        stage.hosts[host].signal("STOP");
-        sleep(LIMIT_SPAN / 2).await;
-        stage.hosts[host].signal("CONT");
+    if let Some(host) = paused_host {
+        deployment.hosts[host].signal("STOP");
+        sleep(LIMIT_WINDOW / 2).await;
+        deployment.hosts[host].signal("CONT");
     }
-    sleep(LIMIT_SPAN + Duration::from_millis(500)).await;
-    let most = upstream.max_requests_within(LIMIT_SPAN, since);
-    stage.over_limit += most.saturating_sub(LIMIT_MOST);
+    sleep(LIMIT_WINDOW + Duration::from_millis(500)).await;
+    let peak = upstream.max_requests_within(LIMIT_WINDOW, since);
+    deployment.over_limit += peak.saturating_sub(MAX_IN_LIMIT_WINDOW);
     upstream.set_signals(ResponseSignals::default());
 }
 
-/// A plain upstream says that it leaves while the store is away; what it gets from hosts that were told is
-/// counted: each of the others may send it one request, whose answer tells. Another start of it takes its
-/// place.
-async fn say_leaving(stage: &mut Stage, plain: usize, lasts: Duration) {
-    let upstream = stage.plains[plain].clone();
-    let told_before = stage.told_of_leaving(plain);
-    stage.store.set_mode(StoreMode::Silent);
+/// Makes a plain upstream signal that it leaves while the store is unreachable. Counts the requests
+/// from hosts that know; each other host may send one request, whose response carries the signal. A
+/// new instance then replaces it.
+async fn signal_leaving(deployment: &mut Deployment, plain: usize, duration: Duration) {
+    let upstream = deployment.plains[plain].clone();
+    let notified_before = deployment.leaving_reports(plain);
+    deployment.store.set_mode(StoreMode::Silent);
     upstream.set_signals(ResponseSignals {
         is_leaving: true,
         ..ResponseSignals::default()
     });
-    sleep(TOLD_BOUND).await;
-    let before = upstream.received().len();
-    let told = stage.told_of_leaving(plain) - told_before;
-    sleep(lasts).await;
-    let sent = upstream.received().len() - before;
-    stage.sent_to_leaving += sent.saturating_sub(stage.hosts.len().saturating_sub(told));
-    stage.store.set_mode(StoreMode::Up);
-    let left = stage.restart_plain(plain).await;
-    stage.left_plains.push(left);
+    sleep(NOTIFICATION_BOUND).await;
+    let received_before = upstream.received().len();
+    let notified = deployment.leaving_reports(plain) - notified_before;
+    sleep(duration).await;
+    let sent = upstream.received().len() - received_before;
+    deployment.sent_to_leaving +=
+        sent.saturating_sub(deployment.hosts.len().saturating_sub(notified));
+    deployment.store.set_mode(StoreMode::Up);
+    let retired = deployment.restart_plain(plain).await;
+    deployment.retired_plains.push(retired);
 }
 
-/// A plain upstream turns all away and asks for rest, while the others are slow and look worse; what it gets
-/// in that time is counted.
-async fn ask_for_rest(stage: &mut Stage, plain: usize) {
-    let upstream = stage.plains[plain].clone();
+/// Makes a plain upstream refuse all requests and request a backoff, while the others are slow and
+/// look like worse choices. Counts the requests that it receives during the backoff.
+async fn request_backoff(deployment: &mut Deployment, plain: usize) {
+    let upstream = deployment.plains[plain].clone();
     upstream.set_signals(ResponseSignals {
-        backoff_s: Some(REST_S),
+        backoff_s: Some(BACKOFF_S),
         ..ResponseSignals::default()
     });
-    stage
+    deployment
         .plains
         .iter()
-        .for_each(|one| one.set_service_time(BUSY_WORK));
+        .for_each(|one| one.set_service_time(BUSY_SERVICE_TIME));
     let since = Instant::now();
     upstream.set_behaviour(PlainBehaviour::Sheds);
-    sleep(Duration::from_secs_f32(REST_S)).await;
-    let turned_away_at = upstream.refused_at();
-    let late = turned_away_at.iter().filter(|at| **at > since + TOLD_BOUND);
-    let most = stage.hosts.len() * RESTING_MOST;
-    stage.sent_to_resting += late.count().saturating_sub(most);
-    stage
+    sleep(Duration::from_secs_f32(BACKOFF_S)).await;
+    let refused_at = upstream.refused_at();
+    let after_notification = refused_at
+        .iter()
+        .filter(|at| **at > since + NOTIFICATION_BOUND);
+    let allowed = deployment.hosts.len() * MAX_PER_HOST_IN_BACKOFF;
+    deployment.sent_during_backoff += after_notification.count().saturating_sub(allowed);
+    deployment
         .plains
         .iter()
         .for_each(|one| one.set_service_time(Duration::ZERO));
@@ -432,19 +457,19 @@
     upstream.set_signals(ResponseSignals::default());
 }
 
-/// Notice, then the end 1.8 s later, and another engine in its place.
-async fn leave(stage: &mut Stage, place: usize) -> Result<(), SoakError> {
-    stage.give_notice(place);
+/// Reclaims an engine 1.8 s after its notice and adds another one.
+async fn reclaim_engine(deployment: &mut Deployment, index: usize) -> Result<(), SoakError> {
+    deployment.mark_draining(index);
     sleep(Duration::from_millis(1_800)).await;
-    stage.engines[place].crash();
-    replace(stage, place).await
+    deployment.engines[index].crash();
+    replace_engine(deployment, index).await
 }
 
-async fn replace(stage: &mut Stage, place: usize) -> Result<(), SoakError> {
-    let gone = stage.engines.remove(place);
-    stage.engine_links.remove(place);
-    stage.store.remove("servers", &gone.instance);
-    stage.gone.push(gone);
+async fn replace_engine(deployment: &mut Deployment, index: usize) -> Result<(), SoakError> {
+    let retired = deployment.engines.remove(index);
+    deployment.engine_links.remove(index);
+    deployment.store.remove("servers", &retired.instance);
+    deployment.retired_engines.push(retired);
     let next: u32 = rand::random();
-    stage.add_engine(&format!("i-n{next:08x}")).await
+    deployment.add_engine(&format!("i-n{next:08x}")).await
 }
--- a/crates/bench/src/soak/mod.rs
+++ b/crates/bench/src/soak/mod.rs
@@ -1,12 +1,12 @@
-//! A fault soak: real hosts as processes, faults from outside, promises checked by what callers
-//! and upstreams see.
+//! Fault soak: runs host processes, injects faults from outside, and checks the guarantees by what
+//! callers and upstreams observe.
 
-mod ending;
+mod corruption;
+mod crashing_caller;
+mod deployment;
 mod fault;
-mod judge;
 mod proxy;
-mod spoil;
-mod stage;
+mod verdict;
 
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -20,50 +20,50 @@
 use rand_chacha::ChaCha8Rng;
 use tokio::time::sleep;
 
+pub(crate) use self::corruption::Corruption;
+use self::deployment::{Deployment, FIRST_KEY, cold_start_configuration};
 use self::fault::Fault;
-pub(crate) use self::fault::Kinds;
-pub(crate) use self::judge::Verdict;
-use self::judge::{Outcome, begun};
-pub(crate) use self::spoil::Spoil;
-use self::stage::{FIRST_KEY, Stage, declared};
+pub(crate) use self::fault::FaultSet;
+pub(crate) use self::verdict::Verdict;
+use self::verdict::{Outcome, count_starts};
 
-/// A seed could not be played.
+/// Why a seed could not be run.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum SoakError {
-    /// A process, file or proxy failed.
-    #[error("could not start a part of the deployment")]
+    /// A process, file or proxy could not be started or created.
+    #[error("could not start the processes, files and proxies of the deployment")]
     Process {
-        /// Why.
+        /// The underlying I/O error.
         #[source]
         source: std::io::Error,
     },
-    /// The hosts serve nobody before any fault.
-    #[error("could not get an answer before the first fault")]
+    /// Some host does not serve requests before the first fault.
+    #[error("could not get a response from every host before the first fault")]
     NotServing,
 }
 
-/// What is played.
+/// Parameters of one seed.
 #[derive(Debug, Clone)]
 pub(crate) struct SoakSettings {
     pub(crate) seed: u64,
     pub(crate) hosts: usize,
     pub(crate) callers: usize,
     pub(crate) faults: usize,
-    /// The faults that it draws from.
-    pub(crate) kinds: Kinds,
-    /// Whether one caller repeats a request that ends its upstream.
-    pub(crate) has_ending: bool,
+    /// The faults that are drawn from.
+    pub(crate) fault_set: FaultSet,
+    /// Whether one caller repeats a request that crashes its upstream.
+    pub(crate) has_crashing_caller: bool,
     pub(crate) binary: PathBuf,
-    pub(crate) spoil: Option<Spoil>,
+    pub(crate) corruption: Option<Corruption>,
 }
 
-/// Time for the hosts to come up, and again after everything was killed.
-const UP_BOUND: Duration = Duration::from_secs(12);
-/// A new version may take so long after the last fault.
-const FORCE_BOUND: Duration = Duration::from_secs(7);
-const CALL_BOUND: Duration = Duration::from_secs(9);
-/// How long callers ask where nothing happens.
-const CALM: Duration = Duration::from_millis(2_500);
+/// Time for the hosts to start, and to serve again after all of them were killed.
+const STARTUP_TIMEOUT: Duration = Duration::from_secs(12);
+/// Time for a new configuration to become active on all hosts after the last fault.
+const ACTIVATION_TIMEOUT: Duration = Duration::from_secs(7);
+const CALL_TIMEOUT: Duration = Duration::from_secs(9);
+/// How long callers send requests when no fault is injected.
+const FAULT_FREE_DURATION: Duration = Duration::from_millis(2_500);
 const SECOND_KEY: &str = "key-2";
 
 struct Shared {
@@ -71,112 +71,123 @@
     is_over: AtomicBool,
     next: AtomicU32,
     outcomes: Mutex<Vec<Outcome>>,
-    may_be_cut: bool,
+    may_be_interrupted: bool,
 }
 
-/// Plays one seed.
-pub(crate) async fn play(settings: SoakSettings) -> Result<Verdict, SoakError> {
+/// Runs one seed.
+pub(crate) async fn run_seed(settings: SoakSettings) -> Result<Verdict, SoakError> {
     let mut rng = ChaCha8Rng::seed_from_u64(settings.seed);
     let faults: Vec<Fault> = (0..settings.faults)
-        .map(|_| Fault::draw(&mut rng, settings.kinds))
+        .map(|_| Fault::draw(&mut rng, settings.fault_set))
         .collect();
-    let mut stage = Stage::start(settings.seed, settings.hosts, settings.binary).await?;
+    let mut deployment = Deployment::start(settings.seed, settings.hosts, settings.binary).await?;
     let shared = Arc::new(Shared {
-        addresses: stage
+        addresses: deployment
             .hosts
             .iter()
-            .map(stage::HostProcess::callers)
+            .map(deployment::HostProcess::caller_address)
             .collect(),
         is_over: AtomicBool::new(false),
         next: AtomicU32::new(0),
         outcomes: Mutex::default(),
-        may_be_cut: faults.iter().any(|fault| fault.may_cut()),
+        may_be_interrupted: faults.iter().any(|fault| fault.may_interrupt()),
     });
-    if !served(&shared.addresses, FIRST_KEY, "before", UP_BOUND).await {
+    if !wait_until_served(&shared.addresses, FIRST_KEY, "before", STARTUP_TIMEOUT).await {
         return Err(SoakError::NotServing);
     }
     let callers: Vec<_> = (0..settings.callers)
-        .map(|caller| tokio::spawn(insist(shared.clone(), settings.seed, caller as u64)))
+        .map(|caller| tokio::spawn(run_caller(shared.clone(), settings.seed, caller as u64)))
         .collect();
-    let ending = settings.has_ending.then(|| {
-        stage.end_plains_on(ending::ENDS);
-        tokio::spawn(ending::repeat(shared.clone(), settings.seed))
+    let crashing_caller = settings.has_crashing_caller.then(|| {
+        deployment.crash_plains_on(crashing_caller::CRASHING_BODY);
+        tokio::spawn(crashing_caller::repeat(shared.clone(), settings.seed))
     });
     if faults.is_empty() {
-        sleep(CALM).await;
+        sleep(FAULT_FREE_DURATION).await;
     }
     for fault in &faults {
         sleep(Duration::from_millis(rng.random_range(200..900))).await;
-        fault.strike(&mut stage, &mut rng).await?;
-        stage.replace_ended_plains().await;
+        fault.inject(&mut deployment, &mut rng).await?;
+        deployment.replace_crashed_plains().await;
     }
     shared.is_over.store(true, Ordering::Relaxed);
-    for caller in callers.into_iter().chain(ending) {
+    for caller in callers.into_iter().chain(crashing_caller) {
         let _ = caller.await;
     }
-    stage.replace_ended_plains().await;
+    deployment.replace_crashed_plains().await;
     let mut verdict = Verdict {
         seed: settings.seed,
         faults: faults.iter().map(|fault| format!("{fault:?}")).collect(),
         ..Verdict::default()
     };
-    if !served(&shared.addresses, FIRST_KEY, "after", UP_BOUND).await {
+    if !wait_until_served(&shared.addresses, FIRST_KEY, "after", STARTUP_TIMEOUT).await {
         verdict.not_served_again += 1;
     }
-    stage.store.put("config", "main", declared(2, SECOND_KEY));
-    if !served(&shared.addresses, SECOND_KEY, "new", FORCE_BOUND).await {
+    deployment
+        .store
+        .put("config", "main", cold_start_configuration(2, SECOND_KEY));
+    if !wait_until_served(&shared.addresses, SECOND_KEY, "new", ACTIVATION_TIMEOUT).await {
         verdict.not_in_force += 1;
     }
     for address in &shared.addresses {
         let request = sample_request(RequestKind::Check, "old-key", FIRST_KEY, HOST);
-        let got = exchange(*address, request, CALL_BOUND).await;
-        verdict.old_key_served += u32::from(got.status != 401);
+        let response = exchange(*address, request, CALL_TIMEOUT).await;
+        verdict.old_key_served += u32::from(response.status != 401);
     }
-    let engines = stage.engines.iter().chain(&stage.gone);
+    let engines = deployment.engines.iter().chain(&deployment.retired_engines);
     let engines = engines.flat_map(|engine| engine.received());
-    let plains = stage.plains.iter().chain(&stage.ended_plains);
-    let plains = plains.chain(&stage.left_plains);
+    let plains = deployment.plains.iter().chain(&deployment.crashed_plains);
+    let plains = plains.chain(&deployment.retired_plains);
     let plains = plains.flat_map(|plain| plain.received());
-    verdict.sent_to_evacuated = stage.sent_to_evacuated as u32;
-    verdict.over_cold_rate = stage.over_cold_rate as u32;
-    verdict.over_limit = stage.over_limit as u32;
-    verdict.sent_to_leaving = stage.sent_to_leaving as u32;
-    verdict.another_era = stage.another_era as u32;
-    verdict.sent_to_resting = stage.sent_to_resting as u32;
-    verdict.ended_upstreams = stage.ended_plains.len() as u32;
-    let begun = begun(engines.chain(plains));
+    verdict.sent_to_evacuated = deployment.sent_to_evacuated as u32;
+    verdict.over_cold_rate = deployment.over_cold_rate as u32;
+    verdict.over_limit = deployment.over_limit as u32;
+    verdict.sent_to_leaving = deployment.sent_to_leaving as u32;
+    verdict.another_era = deployment.another_era as u32;
+    verdict.sent_during_backoff = deployment.sent_during_backoff as u32;
+    verdict.ended_upstreams = deployment.crashed_plains.len() as u32;
+    let starts = count_starts(engines.chain(plains));
     let mut outcomes = std::mem::take(&mut *shared.outcomes.lock());
-    if let Some(spoil) = settings.spoil {
-        spoil.apply(&mut outcomes);
+    if let Some(corruption) = settings.corruption {
+        corruption.apply(&mut outcomes);
     }
     for outcome in &outcomes {
-        verdict.judge(outcome, &begun);
+        verdict.check(outcome, &starts);
     }
-    let running = (0..stage.hosts.len()).filter(|place| !stage.hosts[*place].is_running());
-    for place in running {
-        spdlog::warn!("soak: {} has ended by itself", stage.host_name(place));
+    let exited = (0..deployment.hosts.len()).filter(|index| !deployment.hosts[*index].is_running());
+    for index in exited {
+        spdlog::warn!(
+            "soak: {} exited without being stopped",
+            deployment.host_name(index)
+        );
     }
     if verdict.violations() == 0 {
-        let _ = std::fs::remove_dir_all(&stage.folder);
+        let _ = std::fs::remove_dir_all(&deployment.folder);
     }
     Ok(verdict)
 }
 
-/// Whether every host serves each kind of request within a bound.
-async fn served(addresses: &[SocketAddr], key: &str, name: &str, bound: Duration) -> bool {
+/// Waits until every host has served each kind of request; false if that takes longer than the
+/// timeout.
+async fn wait_until_served(
+    addresses: &[SocketAddr],
+    key: &str,
+    name: &str,
+    timeout: Duration,
+) -> bool {
     let started = Instant::now();
-    for (place, address) in addresses.iter().enumerate() {
+    for (index, address) in addresses.iter().enumerate() {
         for kind in [RequestKind::Poll, RequestKind::Check, RequestKind::Draft] {
             let mut attempt = 0;
             loop {
                 attempt += 1;
-                let id = format!("{name}-{place}-{kind:?}-{attempt}");
-                let got =
-                    exchange(*address, sample_request(kind, &id, key, HOST), CALL_BOUND).await;
-                if got.status == 200 && got.is_complete {
+                let id = format!("{name}-{index}-{kind:?}-{attempt}");
+                let response =
+                    exchange(*address, sample_request(kind, &id, key, HOST), CALL_TIMEOUT).await;
+                if response.status == 200 && response.is_complete {
                     break;
                 }
-                if started.elapsed() > bound {
+                if started.elapsed() > timeout {
                     return false;
                 }
                 sleep(Duration::from_millis(100)).await;
@@ -186,8 +197,8 @@
     true
 }
 
-/// A caller: one request after the other, each at a host of its choice.
-async fn insist(shared: Arc<Shared>, seed: u64, caller: u64) {
+/// Sends one request after the other, each to a random host.
+async fn run_caller(shared: Arc<Shared>, seed: u64, caller: u64) {
     let mut rng = ChaCha8Rng::seed_from_u64(seed.wrapping_mul(1_000).wrapping_add(caller));
     while !shared.is_over.load(Ordering::Relaxed) {
         let number = shared.next.fetch_add(1, Ordering::Relaxed);
@@ -195,28 +206,28 @@
         let kind =
             [RequestKind::Poll, RequestKind::Check, RequestKind::Draft][rng.random_range(0..3)];
         let address = shared.addresses[rng.random_range(0..shared.addresses.len())];
-        let got = exchange(
+        let response = exchange(
             address,
             sample_request(kind, &id, FIRST_KEY, HOST),
-            CALL_BOUND,
+            CALL_TIMEOUT,
         )
         .await;
-        // A planned stop closes its port at its end: a caller who finds it closed asks another
-        // host, as the platform's balancer would have had it do.
-        let is_closed_door =
-            got.status == 0 && tokio::net::TcpStream::connect(address).await.is_err();
+        // A host closes its port at the end of a planned stop. Requests to a closed port are not
+        // counted as violations, since the platform's load balancer would choose another host.
+        let is_port_closed =
+            response.status == 0 && tokio::net::TcpStream::connect(address).await.is_err();
         shared.outcomes.lock().push(Outcome {
             id,
             kind,
-            got,
-            may_be_cut: shared.may_be_cut || is_closed_door,
+            response,
+            may_be_interrupted: shared.may_be_interrupted || is_port_closed,
         });
         sleep(Duration::from_millis(rng.random_range(5..60))).await;
     }
 }
 
-/// The hosts' program beside this one.
-pub(crate) fn beside_this() -> PathBuf {
+/// The host binary in the folder of this executable, or in its parent folder.
+pub(crate) fn default_binary() -> PathBuf {
     let own = std::env::current_exe().unwrap_or_default();
     let folder = own.parent().unwrap_or(Path::new("."));
     let here = folder.join("fulmarpath");
--- a/crates/bench/src/soak/proxy.rs
+++ b/crates/bench/src/soak/proxy.rs
@@ -1,4 +1,4 @@
-//! A proxy on loopback that misbehaves as links do.
+//! A TCP proxy on loopback that simulates link faults.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -10,25 +10,26 @@
 use tokio::sync::watch;
 use tokio::time::sleep;
 
-/// What a link does to the connections over it.
+/// How a link treats its connections.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum LinkMode {
-    /// Passes everything on.
-    Well,
-    /// Passes everything on so much later.
+    /// Forwards everything.
+    Normal,
+    /// Forwards everything with a delay.
     Slow {
-        /// The delay of each piece.
+        /// Delay of each chunk read.
         delay_ms: u64,
     },
-    /// Passes nothing back on connections that are open now; new ones are well.
-    SilentBack,
-    /// Passes nothing on at all on connections that are open now.
-    Silent,
-    /// Resets the connections that are open now.
+    /// Drops what the target sends on connections that are open when the mode is set; later
+    /// connections work.
+    BlackholeResponses,
+    /// Drops both directions of connections that are open when the mode is set.
+    Blackhole,
+    /// Resets connections that are open when the mode is set.
     Reset,
 }
 
-/// A proxy before one address.
+/// A proxy in front of one address.
 #[derive(Clone)]
 pub(crate) struct Proxy {
     pub(crate) address: SocketAddr,
@@ -40,17 +41,17 @@
     pub(crate) async fn start(target: SocketAddr) -> std::io::Result<Self> {
         let listener = TcpListener::bind(("127.0.0.1", 0)).await?;
         let address = listener.local_addr()?;
-        let (mode, modes) = watch::channel((0, LinkMode::Well));
+        let (mode, modes) = watch::channel((0, LinkMode::Normal));
         let opened = Arc::new(Mutex::new(0));
-        let counted = opened.clone();
+        let open_count = opened.clone();
         tokio::spawn(async move {
             while let Ok((socket, _)) = listener.accept().await {
-                let number = {
-                    let mut opened = counted.lock();
+                let connection = {
+                    let mut opened = open_count.lock();
                     *opened += 1;
                     *opened
                 };
-                tokio::spawn(pass(socket, target, number, modes.clone()));
+                tokio::spawn(relay(socket, target, connection, modes.clone()));
             }
         });
         Ok(Self {
@@ -60,17 +61,17 @@
         })
     }
 
-    /// Changes what happens; modes that speak of open connections spare those that come later.
+    /// Sets the mode. Modes that apply to open connections leave later ones unaffected.
     pub(crate) fn set(&self, mode: LinkMode) {
         let opened = *self.opened.lock();
         self.mode.send_replace((opened, mode));
     }
 }
 
-async fn pass(
+async fn relay(
     mut caller: TcpStream,
     target: SocketAddr,
-    number: u64,
+    connection: u64,
     modes: watch::Receiver<(u64, LinkMode)>,
 ) {
     let Ok(mut upstream) = TcpStream::connect(target).await else {
@@ -81,9 +82,9 @@
         let (caller_in, caller_out) = caller.split();
         let (upstream_in, upstream_out) = upstream.split();
         tokio::select! {
-            () = pump(caller_in, upstream_out, number, modes.clone(), false) => {}
-            () = pump(upstream_in, caller_out, number, modes, true) => {}
-            _ = reset.wait_for(|(opened, mode)| *mode == LinkMode::Reset && number <= *opened) => {}
+            () = copy_bytes(caller_in, upstream_out, connection, modes.clone(), false) => {}
+            () = copy_bytes(upstream_in, caller_out, connection, modes, true) => {}
+            _ = reset.wait_for(|(opened, mode)| *mode == LinkMode::Reset && connection <= *opened) => {}
         }
     }
     let is_reset = reset.borrow().1 == LinkMode::Reset;
@@ -93,12 +94,12 @@
     }
 }
 
-async fn pump(
+async fn copy_bytes(
     mut from: impl AsyncReadExt + Unpin,
     mut to: impl AsyncWriteExt + Unpin,
-    number: u64,
+    connection: u64,
     modes: watch::Receiver<(u64, LinkMode)>,
-    is_back: bool,
+    is_response: bool,
 ) {
     let mut buffer = [0; 16_384];
     loop {
@@ -106,11 +107,11 @@
             return;
         };
         let (opened, mode) = *modes.borrow();
-        let is_old = number <= opened;
+        let was_open = connection <= opened;
         match mode {
             LinkMode::Slow { delay_ms } => sleep(Duration::from_millis(delay_ms)).await,
-            LinkMode::Silent if is_old => continue,
-            LinkMode::SilentBack if is_old && is_back => continue,
+            LinkMode::Blackhole if was_open => continue,
+            LinkMode::BlackholeResponses if was_open && is_response => continue,
             _ => {}
         }
         if to.write_all(&buffer[..count]).await.is_err() {
