--- a/crates/bench/src/cmd/faults.rs
+++ b/crates/bench/src/cmd/faults.rs
@@ -1,4 +1,4 @@
-//! `faults`: whole sessions under random faults.
+//! `faults`: complete request lifecycles under random faults.
 
 use bpaf::Bpaf;
 use fulmarpath::cluster::Safeguard;
@@ -6,29 +6,29 @@
 
 use crate::faults::{Fault, RoundSettings, Verdict, run};
 
-/// Play whole sessions under random faults and judge them from outside
+/// Run callers against a deployment under random faults and check what callers and upstreams observe
 #[derive(Debug, Clone, Bpaf)]
 #[bpaf(command)]
 pub(crate) struct Faults {
     /// First seed
     #[bpaf(argument("N"), fallback(1))]
     seed: u64,
-    /// Rounds
+    /// Number of rounds
     #[bpaf(argument("N"), fallback(10))]
     rounds: u64,
-    /// Hosts
+    /// Number of hosts
     #[bpaf(argument("N"), fallback(5))]
     hosts: usize,
-    /// Requests a round
+    /// Requests per round
     #[bpaf(argument("N"), fallback(40))]
     requests: usize,
-    /// Rounds at once
+    /// Number of rounds run concurrently
     #[bpaf(argument("N"), fallback(4))]
     at_once: usize,
-    /// Take a safeguard away; the run must then find violations
+    /// Disable a safeguard; the run must then report violations
     #[bpaf(long("break"), argument("NAME"))]
     without: Option<Safeguard>,
-    /// This fault in each round rather than drawn ones
+    /// Inject this fault in each round instead of random ones
     #[bpaf(argument("NAME"))]
     fault: Option<Fault>,
 }
@@ -39,8 +39,8 @@
         let runtime = tokio::runtime::Runtime::new().expect("a runtime");
         let total = runtime.block_on(self.play());
         println!("{}", serde_json::to_string(&total).unwrap_or_default());
-        let found = total.violations() > 0;
-        if found != self.without.is_some() {
+        let has_violations = total.violations() > 0;
+        if has_violations != self.without.is_some() {
             std::process::exit(1);
         }
     }
@@ -53,7 +53,7 @@
                     seed,
                     hosts: self.hosts,
                     requests: self.requests,
-                    without: self.without,
+                    disabled_safeguard: self.without,
                     fault: self.fault,
                 };
                 (seed, tokio::spawn(run(settings)).await)
--- a/crates/bench/src/faults/fault.rs
+++ b/crates/bench/src/faults/fault.rs
@@ -1,4 +1,4 @@
-//! The faults of the brief, as orders to a trial deployment.
+//! The faults that are injected into a development deployment.
 
 use std::sync::atomic::Ordering;
 use std::time::Duration;
@@ -83,38 +83,40 @@
     }
 }
 
-/// No fault has this name.
+/// The name on the command line is not that of a fault.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 #[error("could not find a fault of this name")]
 pub(crate) struct UnknownFault;
 
-/// What a fault did that the judge must know.
+/// What an injection did that the verdict depends on.
 #[derive(Debug, Default)]
-pub(crate) struct Struck {
-    pub(crate) cut: usize,
-    pub(crate) accepted: Vec<u64>,
+pub(crate) struct InjectionResult {
+    /// Streams that a stopping host interrupted.
+    pub(crate) interrupted: usize,
+    /// Revisions of the configuration that were accepted.
+    pub(crate) accepted_revisions: Vec<u64>,
 }
 
-/// Outages of the platform last so long.
+/// Duration of an outage of the platform.
 const OUTAGE: Duration = Duration::from_millis(1_200);
-/// An outage longer than a change may take to be in force.
+/// Duration of an outage that is longer than the activation bound of a change.
 const LONG_OUTAGE: Duration = Duration::from_millis(4_000);
-const CROSSED_AFTER: Duration = Duration::from_millis(300);
-/// The first host is never killed or stopped; it makes the changes of the configuration.
-const OPERATORS_HOST: usize = 0;
+const ANNOUNCEMENT_DELAY: Duration = Duration::from_millis(300);
+/// The host that publishes configuration changes; it is never killed or stopped.
+const OPERATOR_HOST: usize = 0;
 
-/// Brings a fault about, on an engine or host that the draw chooses.
-pub(crate) async fn strike(
+/// Injects a fault, on a random engine or host where it has a target.
+pub(crate) async fn inject(
     deployment: &mut Deployment,
     fault: Fault,
     rng: &mut ChaCha8Rng,
-) -> Struck {
-    // One engine always stays whole, or there is nothing to survive on.
+) -> InjectionResult {
+    // The first engine is never chosen: with all engines failing, no request could be served.
     let engine = rng.random_range(1..deployment.engines.len());
     let host = rng.random_range(1..deployment.host_count());
     let engine = &deployment.engines[engine];
     let platform = deployment.object_api.faults.clone();
-    let mut struck = Struck::default();
+    let mut result = InjectionResult::default();
     match fault {
         Fault::EngineDies => engine.faults.unresponsive.store(true, Ordering::Relaxed),
         Fault::EngineLeaves => engine.leave(),
@@ -125,9 +127,9 @@
                 .for_each(|one| one.silence_open_streams());
         }
         Fault::StreamsBreak => {
-            let after = rng.random_range(4..40);
-            let breaks = &engine.faults.break_after_tokens;
-            breaks.store(after, Ordering::Relaxed);
+            let tokens = rng.random_range(4..40);
+            let break_after = &engine.faults.break_after_tokens;
+            break_after.store(tokens, Ordering::Relaxed);
         }
         Fault::ResumesTooEarly => {
             for one in &deployment.engines {
@@ -142,7 +144,7 @@
             }
         }
         Fault::HostKilled => deployment.kill(host),
-        Fault::HostStopped => struck.cut = deployment.stop(host).await,
+        Fault::HostStopped => result.interrupted = deployment.stop(host).await,
         Fault::PlatformDown => {
             platform.down.store(true, Ordering::Relaxed);
             tokio::time::sleep(OUTAGE).await;
@@ -158,11 +160,17 @@
             platform.drop_write_responses.store(lost, Ordering::Relaxed);
         }
         Fault::PlainAnswersLost => deployment.plain.drop_responses.store(3, Ordering::Relaxed),
-        Fault::OperatorsRace => struck.accepted = race(deployment, rng).await,
-        Fault::PresetSwitched => struck.accepted.extend(switch(deployment, rng).await),
+        Fault::OperatorsRace => {
+            result.accepted_revisions = publish_concurrently(deployment, rng).await
+        }
+        Fault::PresetSwitched => result
+            .accepted_revisions
+            .extend(switch_preset(deployment, rng).await),
         Fault::PlatformDownAfterChange => {
             platform.suppress_watches.store(true, Ordering::Relaxed);
-            struck.accepted.extend(switch(deployment, rng).await);
+            result
+                .accepted_revisions
+                .extend(switch_preset(deployment, rng).await);
             platform.down.store(true, Ordering::Relaxed);
             let down = platform.clone();
             tokio::spawn(async move {
@@ -171,26 +179,25 @@
                 down.down.store(false, Ordering::Relaxed);
             });
         }
-        Fault::OldAnnouncement => struck.accepted.extend(announce_old(deployment, rng).await),
+        Fault::OldAnnouncement => result
+            .accepted_revisions
+            .extend(announce_stale(deployment, rng).await),
     }
-    struck
+    result
 }
 
-async fn switch(deployment: &Deployment, rng: &mut ChaCha8Rng) -> Option<u64> {
+async fn switch_preset(deployment: &Deployment, rng: &mut ChaCha8Rng) -> Option<u64> {
     let preset = ["peak", "ordinary"][rng.random_range(0..2)].to_owned();
-    let node = &deployment.host(OPERATORS_HOST).node;
+    let node = &deployment.host(OPERATOR_HOST).node;
     node.publish(&Change::UsePreset { preset }).await.ok()
 }
 
-/// An announcement that was sent before a change arrives after it, at every host.
-async fn announce_old(deployment: &Deployment, rng: &mut ChaCha8Rng) -> Option<u64> {
-    let held = deployment
-        .host(OPERATORS_HOST)
-        .node
-        .active_configuration()?;
-    let old = serde_json::to_vec(&held.root).ok()?;
-    let revision = switch(deployment, rng).await?;
-    tokio::time::sleep(CROSSED_AFTER).await;
+/// Delivers an announcement from before a change to every host after the change.
+async fn announce_stale(deployment: &Deployment, rng: &mut ChaCha8Rng) -> Option<u64> {
+    let active = deployment.host(OPERATOR_HOST).node.active_configuration()?;
+    let old = serde_json::to_vec(&active.root).ok()?;
+    let revision = switch_preset(deployment, rng).await?;
+    tokio::time::sleep(ANNOUNCEMENT_DELAY).await;
     for host in deployment.running_hosts() {
         let address = host.peer_address;
         let connect = tarpc::serde_transport::tcp::connect(address, Bincode::default).await;
@@ -202,9 +209,11 @@
     Some(revision)
 }
 
-async fn race(deployment: &Deployment, rng: &mut ChaCha8Rng) -> Vec<u64> {
-    let node = deployment.host(OPERATORS_HOST).node.clone();
-    let onto = node.active_configuration().map(|held| held.root.revision);
+async fn publish_concurrently(deployment: &Deployment, rng: &mut ChaCha8Rng) -> Vec<u64> {
+    let node = deployment.host(OPERATOR_HOST).node.clone();
+    let onto = node
+        .active_configuration()
+        .map(|active| active.root.revision);
     let mut apply = |weight: f32| {
         let mut declarations = declarations();
         declarations.organisations[0].weight = weight + rng.random::<f32>();
--- a/crates/bench/src/faults/mod.rs
+++ b/crates/bench/src/faults/mod.rs
@@ -1,10 +1,10 @@
-//! Whole sessions under random faults, judged by what callers and upstreams themselves saw.
+//! Rounds of requests under random faults, checked against what callers and upstreams observed.
 
+mod callers;
 mod fault;
-mod judge;
 mod round;
-mod session;
+mod verdict;
 
 pub(crate) use fault::Fault;
-pub(crate) use judge::Verdict;
 pub(crate) use round::{RoundSettings, run};
+pub(crate) use verdict::Verdict;
--- a/crates/bench/src/faults/round.rs
+++ b/crates/bench/src/faults/round.rs
@@ -1,4 +1,4 @@
-//! One round: a deployment, callers, one or two faults, a verdict.
+//! One round: a deployment, its callers, one or two faults, and a verdict.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -11,46 +11,47 @@
 use rand_chacha::ChaCha8Rng;
 use tokio::sync::Mutex;
 
-use super::fault::{Fault, strike};
-use super::judge::Verdict;
-use super::session::{draw, play};
+use super::callers::{draw_plans, run_caller};
+use super::fault::{Fault, inject};
+use super::verdict::Verdict;
 
-/// What a round consists of.
+/// Parameters of a round.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct RoundSettings {
     pub(crate) seed: u64,
     pub(crate) hosts: usize,
     pub(crate) requests: usize,
-    pub(crate) without: Option<Safeguard>,
-    /// This fault rather than drawn ones.
+    pub(crate) disabled_safeguard: Option<Safeguard>,
+    /// Injected instead of random faults.
     pub(crate) fault: Option<Fault>,
 }
 
-const IN_FORCE_BOUND: Duration = Duration::from_millis(3_000);
-const SILENCE_BOUND_MS: u64 = 400;
-/// The round goes on so long after the last caller, so that what is late shows.
-const LEAVING_WATCH: Duration = Duration::from_millis(3_200);
+const ACTIVATION_BOUND: Duration = Duration::from_millis(3_000);
+const SILENCE_TIMEOUT_MS: u64 = 400;
+/// Delay of some callers in rounds where an engine leaves, so that requests sent to it too late are
+/// observed.
+const LEAVING_OBSERVATION: Duration = Duration::from_millis(3_200);
 
-/// Plays one round.
+/// Runs one round.
 pub(crate) async fn run(settings: RoundSettings) -> Result<Verdict, DevError> {
     let mut rng = ChaCha8Rng::seed_from_u64(settings.seed);
-    let size = DeploymentSpec {
+    let spec = DeploymentSpec {
         hosts: settings.hosts,
         engines: 3,
-        silence_bound_ms: SILENCE_BOUND_MS,
-        disabled_safeguard: settings.without,
+        silence_bound_ms: SILENCE_TIMEOUT_MS,
+        disabled_safeguard: settings.disabled_safeguard,
         ..DeploymentSpec::default()
     };
-    let deployment = Deployment::start(size).await?;
+    let deployment = Deployment::start(spec).await?;
     let drawn = draw_faults(&mut rng);
     let faults = settings.fault.map_or(drawn, |fault| vec![fault]);
-    let host_died = faults.contains(&Fault::HostKilled);
-    let mut parts = draw(&mut rng, settings.seed, settings.requests, settings.hosts);
+    let was_host_killed = faults.contains(&Fault::HostKilled);
+    let mut plans = draw_plans(&mut rng, settings.seed, settings.requests, settings.hosts);
     if faults.contains(&Fault::EngineLeaves) {
-        // Some callers come only when the engine must be known to leave.
-        let late = parts.len() / 3;
-        for part in parts.iter_mut().take(late) {
-            part.after += LEAVING_WATCH;
+        // Some callers start only when hosts must know that the engine leaves.
+        let late_callers = plans.len() / 3;
+        for plan in plans.iter_mut().take(late_callers) {
+            plan.delay += LEAVING_OBSERVATION;
         }
     }
     let addresses: Vec<_> = (0..settings.hosts)
@@ -60,10 +61,10 @@
         .running_hosts()
         .map(|host| host.node.clone())
         .collect();
-    let watched = Watch::start(nodes);
-    let callers: Vec<_> = parts
+    let monitor = RevisionMonitor::start(nodes);
+    let callers: Vec<_> = plans
         .into_iter()
-        .map(|part| tokio::spawn(play(part, addresses.clone())))
+        .map(|plan| tokio::spawn(run_caller(plan, addresses.clone())))
         .collect();
     let deployment = Arc::new(Mutex::new(deployment));
     let mut verdict = Verdict {
@@ -73,13 +74,13 @@
     for fault in &faults {
         let wait = Duration::from_millis(rng.random_range(100..900));
         tokio::time::sleep(wait).await;
-        let struck = strike(&mut *deployment.lock().await, *fault, &mut rng).await;
+        let result = inject(&mut *deployment.lock().await, *fault, &mut rng).await;
         *verdict.faults_injected.entry(fault.name()).or_default() += 1;
-        verdict.cut_by_stop += struck.cut as u64;
-        for revision in struck.accepted {
-            let took = in_force(&*deployment.lock().await, revision).await;
-            verdict.in_force_ms_max = verdict.in_force_ms_max.max(took.as_millis() as u64);
-            if took > IN_FORCE_BOUND {
+        verdict.cut_by_stop += result.interrupted as u64;
+        for revision in result.accepted_revisions {
+            let elapsed = time_to_activate(&*deployment.lock().await, revision).await;
+            verdict.in_force_ms_max = verdict.in_force_ms_max.max(elapsed.as_millis() as u64);
+            if elapsed > ACTIVATION_BOUND {
                 verdict.late_in_force += 1;
             }
         }
@@ -87,10 +88,10 @@
     let outcomes = join_all(callers).await;
     let deployment = deployment.lock().await;
     for outcome in outcomes.into_iter().flatten() {
-        verdict.judge(&deployment, &outcome, host_died);
+        verdict.check(&deployment, &outcome, was_host_killed);
     }
-    verdict.judge_leaving(&deployment);
-    verdict.reverted = u64::from(watched.stop().await);
+    verdict.check_leaving(&deployment);
+    verdict.reverted = u64::from(monitor.stop().await);
     Ok(verdict)
 }
 
@@ -104,51 +105,51 @@
     }
 }
 
-/// How long it takes until every live host has a revision in force.
-async fn in_force(deployment: &Deployment, revision: u64) -> Duration {
+/// Time until a revision is active on every running host; stops waiting at twice the bound.
+async fn time_to_activate(deployment: &Deployment, revision: u64) -> Duration {
     let started = Instant::now();
-    let lags = || {
+    let is_pending = || {
         deployment.running_hosts().any(|host| {
-            let held = host.node.active_configuration();
-            held.is_none_or(|held| held.root.revision < revision)
+            let active = host.node.active_configuration();
+            active.is_none_or(|active| active.root.revision < revision)
         })
     };
-    while lags() && started.elapsed() < IN_FORCE_BOUND * 2 {
+    while is_pending() && started.elapsed() < ACTIVATION_BOUND * 2 {
         tokio::time::sleep(Duration::from_millis(5)).await;
     }
     started.elapsed()
 }
 
-/// Watches that no host's revision ever falls.
-struct Watch {
+/// Monitors whether the active revision of any host decreases.
+struct RevisionMonitor {
     stop: Arc<AtomicBool>,
-    watching: tokio::task::JoinHandle<bool>,
+    task: tokio::task::JoinHandle<bool>,
 }
 
-impl Watch {
+impl RevisionMonitor {
     fn start(nodes: Vec<Arc<Node>>) -> Self {
         let stop = Arc::new(AtomicBool::new(false));
         let stopped = stop.clone();
-        let watching = tokio::spawn(async move {
-            let mut seen = vec![0; nodes.len()];
-            let mut fell = false;
+        let task = tokio::spawn(async move {
+            let mut latest = vec![0; nodes.len()];
+            let mut has_decreased = false;
             while !stopped.load(Ordering::Relaxed) {
-                for (node, seen) in nodes.iter().zip(&mut seen) {
-                    let held = node
+                for (node, latest) in nodes.iter().zip(&mut latest) {
+                    let active = node
                         .active_configuration()
-                        .map_or(0, |held| held.root.revision);
-                    fell |= held < *seen;
-                    *seen = held;
+                        .map_or(0, |active| active.root.revision);
+                    has_decreased |= active < *latest;
+                    *latest = active;
                 }
                 tokio::time::sleep(Duration::from_millis(2)).await;
             }
-            fell
+            has_decreased
         });
-        Self { stop, watching }
+        Self { stop, task }
     }
 
     async fn stop(self) -> bool {
         self.stop.store(true, Ordering::Relaxed);
-        self.watching.await.unwrap_or(true)
+        self.task.await.unwrap_or(true)
     }
 }
--- a/crates/bench/src/faults/judge.rs
+++ b/crates/bench/src/faults/verdict.rs
@@ -1,4 +1,4 @@
-//! Whether what callers got agrees with what upstreams saw.
+//! Checks the responses that callers received against what upstreams recorded.
 
 use std::collections::{BTreeMap, HashSet};
 
@@ -7,30 +7,42 @@
 use fulmarpath_standin::answer_token;
 use serde::Serialize;
 
-use super::session::{Kind, Outcome};
+use super::callers::{CallKind, Outcome};
 
-/// A leaving engine may be asked for so long.
+/// Time for which a leaving engine may receive requests.
 const LEAVING_BOUND_MS: u64 = 3_000;
 
-/// The counts of a run; all of the first group must be zero.
+/// The counts of a run. Those up to `late_in_force` are violations.
 #[derive(Debug, Clone, Default, Serialize)]
 pub(crate) struct Verdict {
+    /// Responses that ended without a permitted result, or lack tokens.
     pub(crate) lost: u64,
+    /// Responses with repeated tokens.
     pub(crate) doubled: u64,
+    /// Responses with tokens of another request.
     pub(crate) crossed: u64,
+    /// Responses with all tokens in another order, or more.
     pub(crate) out_of_order: u64,
+    /// Requests reported as not run that an upstream ran.
     pub(crate) false_not_run: u64,
+    /// Non-repeatable requests that upstreams ran more than once.
     pub(crate) ran_twice: u64,
+    /// Streams that a stopping host interrupted.
     pub(crate) cut_by_stop: u64,
+    /// Engines that received requests too long after they announced leaving.
     pub(crate) late_to_leaving: u64,
+    /// Rounds in which the active revision of a host decreased.
     pub(crate) reverted: u64,
+    /// Accepted changes that were not active on every host in time.
     pub(crate) late_in_force: u64,
     pub(crate) rounds: u64,
     pub(crate) requests: u64,
     pub(crate) answered: u64,
     pub(crate) refused_not_run: u64,
     pub(crate) outcome_unknown: u64,
-    pub(crate) unheard: u64,
+    /// Requests without a response in a round where a host was killed.
+    #[serde(rename = "unheard")]
+    pub(crate) no_response: u64,
     pub(crate) in_force_ms_max: u64,
     pub(crate) faults_injected: BTreeMap<&'static str, u64>,
 }
@@ -65,72 +77,76 @@
         self.answered += other.answered;
         self.refused_not_run += other.refused_not_run;
         self.outcome_unknown += other.outcome_unknown;
-        self.unheard += other.unheard;
+        self.no_response += other.no_response;
         self.in_force_ms_max = self.in_force_ms_max.max(other.in_force_ms_max);
         for (kind, count) in &other.faults_injected {
             *self.faults_injected.entry(kind).or_default() += count;
         }
     }
 
-    /// Judges one caller. `host_died` where a host was killed in the round: only then may a
-    /// caller hear nothing at all.
-    pub(crate) fn judge(&mut self, deployment: &Deployment, outcome: &Outcome, host_died: bool) {
-        for got in &outcome.answers {
+    /// Checks one caller. A caller may receive no response only if a host was killed in the round.
+    pub(crate) fn check(
+        &mut self,
+        deployment: &Deployment,
+        outcome: &Outcome,
+        was_host_killed: bool,
+    ) {
+        for response in &outcome.responses {
             self.requests += 1;
-            let problem = got.problem.as_deref().unwrap_or_default();
-            if is_answered(outcome, got) {
+            let problem = response.problem.as_deref().unwrap_or_default();
+            if is_answered(outcome, response) {
                 self.answered += 1;
-                self.judge_tokens(outcome, got);
+                self.check_tokens(outcome, response);
             } else if problem.starts_with("not-run") {
                 self.refused_not_run += 1;
-                if has_run(deployment, outcome) && outcome.part.kind != Kind::Keyed {
+                if has_run(deployment, outcome) && outcome.plan.kind != CallKind::Keyed {
                     self.false_not_run += 1;
                 }
-            } else if problem == "outcome-unknown" || problem == "not-found" && host_died {
+            } else if problem == "outcome-unknown" || problem == "not-found" && was_host_killed {
                 self.outcome_unknown += 1;
-            } else if host_died && got.status == 0 {
-                self.unheard += 1;
+            } else if was_host_killed && response.status == 0 {
+                self.no_response += 1;
             } else {
                 self.lost += 1;
-                println!("lost: {:?} {got:?}", outcome.part);
+                println!("lost: {:?} {response:?}", outcome.plan);
             }
         }
-        // A keyed submission that every asker was told was not run.
-        let all_refused = outcome.answers.iter().all(|got| {
-            let problem = got.problem.as_deref().unwrap_or_default();
+        // A keyed submission whose callers were all told that it was not run.
+        let all_refused = outcome.responses.iter().all(|response| {
+            let problem = response.problem.as_deref().unwrap_or_default();
             problem.starts_with("not-run")
         });
-        if outcome.part.kind == Kind::Keyed && all_refused && has_run(deployment, outcome) {
+        if outcome.plan.kind == CallKind::Keyed && all_refused && has_run(deployment, outcome) {
             self.false_not_run += 1;
         }
-        if runs(deployment, outcome) > most_runs(outcome) {
+        if runs(deployment, outcome) > max_runs(outcome) {
             self.ran_twice += 1;
         }
     }
 
-    fn judge_tokens(&mut self, outcome: &Outcome, got: &CallerResponse) {
-        if matches!(outcome.part.kind, Kind::Get | Kind::Post) {
+    fn check_tokens(&mut self, outcome: &Outcome, response: &CallerResponse) {
+        if matches!(outcome.plan.kind, CallKind::Get | CallKind::Post) {
             return;
         }
-        let wanted = expected(&outcome.part.prompt());
-        if got.text() == wanted {
+        let expected_text = expected(&outcome.plan.prompt());
+        if response.text() == expected_text {
             return;
         }
-        let wanted = wanted.split_inclusive(' ').count();
-        let distinct: HashSet<&String> = got.tokens.iter().collect();
-        let prompt = outcome.part.prompt();
-        if got.tokens.iter().any(|text| !is_own(&prompt, text)) {
+        let expected_count = expected_text.split_inclusive(' ').count();
+        let distinct: HashSet<&String> = response.tokens.iter().collect();
+        let prompt = outcome.plan.prompt();
+        if response.tokens.iter().any(|text| !is_own(&prompt, text)) {
             self.crossed += 1;
-        } else if distinct.len() < got.tokens.len() {
+        } else if distinct.len() < response.tokens.len() {
             self.doubled += 1;
-        } else if distinct.len() < wanted {
+        } else if distinct.len() < expected_count {
             self.lost += 1;
         } else {
             self.out_of_order += 1;
         }
     }
 
-    pub(crate) fn judge_leaving(&mut self, deployment: &Deployment) {
+    pub(crate) fn check_leaving(&mut self, deployment: &Deployment) {
         for engine in &deployment.engines {
             if engine.record().last_start_after_leaving_ms > LEAVING_BOUND_MS {
                 self.late_to_leaving += 1;
@@ -139,25 +155,25 @@
     }
 }
 
-/// Whether a token belongs to the answer to a prompt, at whatever place.
+/// Whether a token belongs to the answer to a prompt, at any index.
 fn is_own(prompt: &str, text: &str) -> bool {
     let index = text.trim_end().trim_start_matches(char::is_alphabetic);
     let index = index.parse().ok();
     index.is_some_and(|index| answer_token(prompt, index) == text)
 }
 
-fn is_answered(outcome: &Outcome, got: &CallerResponse) -> bool {
-    match outcome.part.kind {
-        Kind::Plain | Kind::Keyed => got.is_complete,
-        Kind::Get | Kind::Post => got.status == 200,
+fn is_answered(outcome: &Outcome, response: &CallerResponse) -> bool {
+    match outcome.plan.kind {
+        CallKind::Unkeyed | CallKind::Keyed => response.is_complete,
+        CallKind::Get | CallKind::Post => response.status == 200,
     }
 }
 
-/// How often an upstream ran the request: distinct generations, or calls.
+/// How often upstreams ran the request: distinct generations, or calls.
 fn runs(deployment: &Deployment, outcome: &Outcome) -> usize {
-    match outcome.part.kind {
-        Kind::Plain | Kind::Keyed => {
-            let prompt = outcome.part.prompt();
+    match outcome.plan.kind {
+        CallKind::Unkeyed | CallKind::Keyed => {
+            let prompt = outcome.plan.prompt();
             let mut generations = HashSet::new();
             for engine in &deployment.engines {
                 let mut record = engine.record();
@@ -165,7 +181,7 @@
             }
             generations.len()
         }
-        Kind::Get | Kind::Post => deployment.plain.runs_of(&outcome.part.path()) as usize,
+        CallKind::Get | CallKind::Post => deployment.plain.runs_of(&outcome.plan.path()) as usize,
     }
 }
 
@@ -173,10 +189,10 @@
     runs(deployment, outcome) > 0
 }
 
-/// Requests that may be repeated have no bound of their own.
-fn most_runs(outcome: &Outcome) -> usize {
-    match outcome.part.kind {
-        Kind::Get => usize::MAX,
-        Kind::Plain | Kind::Keyed | Kind::Post => 1,
+/// The most runs that the request allows; unlimited if it may be repeated.
+fn max_runs(outcome: &Outcome) -> usize {
+    match outcome.plan.kind {
+        CallKind::Get => usize::MAX,
+        CallKind::Unkeyed | CallKind::Keyed | CallKind::Post => 1,
     }
 }
