--- a/crates/entry/src/content.rs
+++ b/crates/entry/src/content.rs
@@ -6,7 +6,7 @@
 use xxhash_rust::xxh3::Xxh3;
 
 /// Content key of a request whose body has this hash. It is the same for each retry by the caller.
-pub(crate) fn content_of(
+pub(crate) fn content_key(
     organisation: OrganisationKey,
     service: ServiceKey,
     text_hash: u64,
--- a/crates/entry/src/metrics.rs
+++ b/crates/entry/src/metrics.rs
@@ -148,7 +148,7 @@
         );
     }
 
-    pub(crate) fn caller(&self, organisation: &str, service: &str) -> CallerLabels {
+    pub(crate) fn caller_labels(&self, organisation: &str, service: &str) -> CallerLabels {
         let mut known = self.organisations.lock();
         let organisation = if known.contains(organisation) || known.len() < MAX_ORGANISATION_LABELS
         {
--- a/crates/entry/src/plain.rs
+++ b/crates/entry/src/plain.rs
@@ -13,7 +13,7 @@
 use hyper::header::{CONTENT_TYPE, HeaderValue};
 use xxhash_rust::xxh3::Xxh3;
 
-use crate::content::content_of;
+use crate::content::content_key;
 use crate::outcome::{NotRun, NotRunReason, Unsent};
 use crate::problem::Problem;
 use crate::server::Entry;
@@ -34,7 +34,7 @@
     fn content(&self, organisation: OrganisationKey) -> ContentKey {
         let mut hasher = Xxh3::new();
         (&self.method, &self.path, &self.body).hash(&mut hasher);
-        content_of(organisation, self.key(), hasher.finish())
+        content_key(organisation, self.key(), hasher.finish())
     }
 
     fn key(&self) -> ServiceKey {
--- a/crates/entry/src/response.rs
+++ b/crates/entry/src/response.rs
@@ -60,7 +60,7 @@
     let first = generation.wait_for_tokens(options.from).await;
     if first.texts.is_empty()
         && let Some(end) = first.end
-        && let Some(problem) = problem(end)
+        && let Some(problem) = problem_for(end)
     {
         return problem.reply();
     }
@@ -75,7 +75,7 @@
     reply
 }
 
-fn problem(end: End) -> Option<Problem> {
+fn problem_for(end: End) -> Option<Problem> {
     match end {
         End::Complete(_) => None,
         End::NotRun(not_run) => Some(Problem::NotRun(not_run)),
@@ -92,7 +92,7 @@
         next += batch.texts.len() as u32;
         batch.texts.iter().for_each(|part| text.push_str(part));
         let Some(end) = batch.end else { continue };
-        if let Some(problem) = problem(end) {
+        if let Some(problem) = problem_for(end) {
             return problem.reply();
         }
         let End::Complete(finish) = end else { continue };
@@ -146,7 +146,7 @@
             out.push_str(&format!("data: {data}\n\ndata: [DONE]\n\n"));
         }
         Some(end) => {
-            let body = problem(end).map(|problem| problem.body());
+            let body = problem_for(end).map(|problem| problem.body());
             let body = String::from_utf8(body.unwrap_or_default()).unwrap_or_default();
             out.push_str(&format!("event: error\ndata: {body}\n\n"));
         }
--- a/crates/entry/src/routes.rs
+++ b/crates/entry/src/routes.rs
@@ -27,7 +27,7 @@
 pub(crate) async fn route(entry: Arc<Entry>, request: Request<Incoming>) -> Reply {
     let result = match request.uri().path() {
         "/healthz" => return full(StatusCode::OK, "text/plain", "ok\n"),
-        "/readyz" => return ready(&entry),
+        "/readyz" => return readiness(&entry),
         "/metrics" => {
             return full(
                 StatusCode::OK,
@@ -35,12 +35,12 @@
                 entry.metrics_page(),
             );
         }
-        path if path.starts_with("/operator/") => operate(&entry, request).await,
-        "/v1/completions" => complete(&entry, request, ApiFormat::Completion).await,
-        "/v1/chat/completions" => complete(&entry, request, ApiFormat::Chat).await,
-        "/v1/models" => models(&entry, &request),
-        path if path.starts_with("/v1/generations/") => generation(&entry, request).await,
-        path if path.starts_with("/services/") => call_plain(&entry, request).await,
+        path if path.starts_with("/operator/") => handle_operator_request(&entry, request).await,
+        "/v1/completions" => handle_completion(&entry, request, ApiFormat::Completion).await,
+        "/v1/chat/completions" => handle_completion(&entry, request, ApiFormat::Chat).await,
+        "/v1/models" => list_models(&entry, &request),
+        path if path.starts_with("/v1/generations/") => handle_generation(&entry, request).await,
+        path if path.starts_with("/services/") => handle_service_call(&entry, request).await,
         _ => Err(Problem::NotFound { what: "this path" }),
     };
     result.unwrap_or_else(|problem| {
@@ -49,7 +49,7 @@
     })
 }
 
-fn ready(entry: &Entry) -> Reply {
+fn readiness(entry: &Entry) -> Reply {
     if entry.node.takes_work() {
         return full(StatusCode::OK, "text/plain", "ready\n");
     }
@@ -68,14 +68,14 @@
         .strip_prefix("Bearer ")
 }
 
-fn organisation(entry: &Entry, headers: &HeaderMap) -> Result<Organisation, Problem> {
+fn authenticate(entry: &Entry, headers: &HeaderMap) -> Result<Organisation, Problem> {
     let configuration = entry.active_configuration()?;
     let key = bearer_token(headers).ok_or(Problem::Unauthenticated)?;
     let organisation = configuration.organisation_by_key(key);
     organisation.cloned().ok_or(Problem::Unauthenticated)
 }
 
-async fn body(entry: &Entry, body: Incoming) -> Result<Bytes, Problem> {
+async fn read_body(entry: &Entry, body: Incoming) -> Result<Bytes, Problem> {
     let limit = entry.settings.body_limit_bytes;
     let collected = Limited::new(body, limit).collect().await;
     match collected {
@@ -89,17 +89,20 @@
     }
 }
 
-async fn operate(entry: &Arc<Entry>, request: Request<Incoming>) -> Result<Reply, Problem> {
+async fn handle_operator_request(
+    entry: &Arc<Entry>,
+    request: Request<Incoming>,
+) -> Result<Reply, Problem> {
     let key = bearer_token(request.headers()).ok_or(Problem::Unauthenticated)?;
     if key_hash(key) != entry.settings.operator_key_sha256 {
         return Err(Problem::Unauthenticated);
     }
     let (parts, incoming) = request.into_parts();
-    let bytes = body(entry, incoming).await?;
+    let bytes = read_body(entry, incoming).await?;
     crate::operator::handle(entry, &parts.method, parts.uri.path(), bytes).await
 }
 
-async fn complete(
+async fn handle_completion(
     entry: &Arc<Entry>,
     request: Request<Incoming>,
     api: ApiFormat,
@@ -108,9 +111,9 @@
         return Ok(empty(StatusCode::METHOD_NOT_ALLOWED));
     }
     let (parts, incoming) = request.into_parts();
-    let organisation = organisation(entry, &parts.headers)?;
+    let organisation = authenticate(entry, &parts.headers)?;
     let configuration = entry.active_configuration()?;
-    let bytes = body(entry, incoming).await?;
+    let bytes = read_body(entry, incoming).await?;
     let caller_request = parse_request(api, &bytes)?;
     let mut options = ResponseOptions {
         api,
@@ -146,11 +149,14 @@
 }
 
 /// Cancels a generation by its name.
-async fn generation(entry: &Arc<Entry>, request: Request<Incoming>) -> Result<Reply, Problem> {
+async fn handle_generation(
+    entry: &Arc<Entry>,
+    request: Request<Incoming>,
+) -> Result<Reply, Problem> {
     const NOT_FOUND: Problem = Problem::NotFound {
         what: "a generation of this name",
     };
-    let organisation = organisation(entry, request.headers())?;
+    let organisation = authenticate(entry, request.headers())?;
     let key = OrganisationKey::of(&organisation.name);
     let path = request.uri().path();
     let name = path.trim_start_matches("/v1/generations/").to_owned();
@@ -169,9 +175,12 @@
     }
 }
 
-async fn call_plain(entry: &Arc<Entry>, request: Request<Incoming>) -> Result<Reply, Problem> {
+async fn handle_service_call(
+    entry: &Arc<Entry>,
+    request: Request<Incoming>,
+) -> Result<Reply, Problem> {
     let (parts, incoming) = request.into_parts();
-    let organisation = organisation(entry, &parts.headers)?;
+    let organisation = authenticate(entry, &parts.headers)?;
     let configuration = entry.active_configuration()?;
     let path = parts.uri.path().trim_start_matches("/services/");
     let (service, rest) = path.split_once('/').unwrap_or((path, ""));
@@ -181,14 +190,14 @@
         method: parts.method.clone(),
         path: format!("/{rest}{}", query.unwrap_or_default()),
         content_type: header(&parts.headers, CONTENT_TYPE.as_str()).map(str::to_owned),
-        body: body(entry, incoming).await?,
+        body: read_body(entry, incoming).await?,
     };
     let _stream = entry.open_stream()?;
     plain::call(entry, configuration, &organisation, request).await
 }
 
-fn models(entry: &Entry, request: &Request<Incoming>) -> Result<Reply, Problem> {
-    organisation(entry, request.headers())?;
+fn list_models(entry: &Entry, request: &Request<Incoming>) -> Result<Reply, Problem> {
+    authenticate(entry, request.headers())?;
     let configuration = entry.active_configuration()?;
     let services = configuration.declarations.services.iter();
     let data: Vec<_> = services
--- a/crates/entry/src/submit.rs
+++ b/crates/entry/src/submit.rs
@@ -11,7 +11,7 @@
 use xxhash_rust::xxh3::xxh3_128;
 
 use crate::attach::{RunStatus, mirror, query_run_status};
-use crate::content::content_of;
+use crate::content::content_key;
 use crate::driver::{Job, drive};
 use crate::generation::Generation;
 use crate::identity::{new_name, parse_name};
@@ -223,9 +223,9 @@
     let metrics = &entry.driver_context.metrics;
     let job = Job {
         generation: generation.clone(),
-        content: content_of(organisation, request.service, caller_request.hash),
+        content: content_key(organisation, request.service, caller_request.hash),
         request,
-        labels: metrics.caller(&validated.organisation.name, &caller_request.service),
+        labels: metrics.caller_labels(&validated.organisation.name, &caller_request.service),
         prompt: caller_request.prompt,
         received_at_ms: now_ms,
         trace: validated.trace,
--- a/crates/http/src/client.rs
+++ b/crates/http/src/client.rs
@@ -81,7 +81,7 @@
 
 /// Sends a GET without a body.
 pub async fn get(address: SocketAddr, path: &str, time_limit: Duration) -> Result<Call, HttpError> {
-    let request = build(address, Method::GET, path, Bytes::new())?;
+    let request = build_request(address, Method::GET, path, Bytes::new())?;
     send(address, request, time_limit).await
 }
 
@@ -93,11 +93,11 @@
     time_limit: Duration,
 ) -> Result<Call, HttpError> {
     let body = serde_json::to_vec(message).map_err(|_| HttpError::Unreachable { address })?;
-    let request = build(address, Method::POST, path, Bytes::from(body))?;
+    let request = build_request(address, Method::POST, path, Bytes::from(body))?;
     send(address, request, time_limit).await
 }
 
-fn build(
+fn build_request(
     address: SocketAddr,
     method: Method,
     path: &str,
--- a/crates/settings/src/diagnostic.rs
+++ b/crates/settings/src/diagnostic.rs
@@ -30,12 +30,12 @@
         field: String,
     },
     /// A value has the wrong type.
-    #[error("could not read `{field}` as {wanted}")]
+    #[error("could not read `{field}` as {expected}")]
     Type {
         /// The field.
         field: String,
         /// The expected type.
-        wanted: &'static str,
+        expected: &'static str,
     },
     /// A value is out of range.
     #[error("could not accept {value} for `{field}`")]
--- a/crates/settings/src/directory.rs
+++ b/crates/settings/src/directory.rs
@@ -173,7 +173,7 @@
         if !is_hash {
             let kind = DiagnosticKind::Type {
                 field: "key_sha256".into(),
-                wanted: "64 hex digits",
+                expected: "64 hex digits",
             };
             reader.report(*position, kind, "write the key's SHA-256, never the key");
         }
--- a/crates/settings/src/reader.rs
+++ b/crates/settings/src/reader.rs
@@ -98,12 +98,12 @@
         });
     }
 
-    fn report_wrong_type(&mut self, position: Position, field: &str, wanted: &'static str) {
+    fn report_wrong_type(&mut self, position: Position, field: &str, expected: &'static str) {
         let kind = DiagnosticKind::Type {
             field: field.into(),
-            wanted,
+            expected,
         };
-        self.report(position, kind, format!("write {wanted} here"));
+        self.report(position, kind, format!("write {expected} here"));
     }
 
     fn fields(&mut self, node: Spanned<Node>, name: &str) -> Option<Fields> {
@@ -229,15 +229,15 @@
             self.report_wrong_type(position, name, "a list of texts");
             return Vec::new();
         };
-        let mut texts = Vec::new();
+        let mut strings = Vec::new();
         for item in items {
             let position = Position::from(item.referenced);
             match item.value {
-                Node::Text(text) => texts.push((text, position)),
+                Node::Text(text) => strings.push((text, position)),
                 _ => self.report_wrong_type(position, name, "a text"),
             }
         }
-        texts
+        strings
     }
 
     /// Reads a list of maps.
