--- a/crates/bench/src/cmd/cell.rs
+++ b/crates/bench/src/cmd/cell.rs
@@ -1,50 +1,51 @@
-//! `cell`: a cell of engines that are reclaimed at short notice, against other ways of deciding.
+//! `cell`: simulates a cell of engines that are reclaimed at short notice, under several placement
+//! policies.
 
 use bpaf::Bpaf;
 
 use crate::reclaim::{Flood, Mix, Row, RowName, Settings, run};
 
-/// Compare ways of placing and carrying generations on engines that are reclaimed, in virtual time
+/// Compare policies of placement and migration on engines that are reclaimed, in virtual time
 #[derive(Debug, Clone, Bpaf)]
 #[bpaf(command)]
 pub(crate) struct Cell {
     /// First seed
     #[bpaf(argument("N"), fallback(1))]
     seed: u64,
-    /// Seeds to run
+    /// Number of seeds
     #[bpaf(argument("N"), fallback(1))]
     seeds: u64,
-    /// Memory asked for against that of the engines that are there, about
+    /// Approximate ratio of requested memory to the memory of the available engines
     #[bpaf(argument("F"), fallback(0.75))]
     load: f64,
-    /// One way only: oracle, stay, move, copy_all, copy_largest, unfair or kept
+    /// Run one policy only: oracle, stay, move, copy_all, copy_largest, unfair or kept
     #[bpaf(argument("NAME"))]
     policy: Option<RowName>,
-    /// Engines
+    /// Number of engines
     #[bpaf(argument("N"), fallback(48))]
     engines: usize,
-    /// Virtual seconds
+    /// Duration in virtual seconds
     #[bpaf(argument("S"), fallback(60.0))]
     duration_s: f64,
-    /// One engine crashes each so many seconds; 0 for never
+    /// Seconds between crashes of an engine; 0 for none
     #[bpaf(argument("S"), fallback(0.0))]
     crash_period_s: f64,
-    /// Organisations, the largest first; each has half the requests of one of half its place
+    /// Number of organisations, the largest first; one at twice the rank sends half the requests
     #[bpaf(argument("N"), fallback(1))]
     organisations: usize,
-    /// Place of an organisation that floods for half of the day
+    /// Index of an organisation that floods for half of the run
     #[bpaf(argument("N"))]
     flooder: Option<usize>,
-    /// Its requests then, in times of its usual
+    /// Request rate of the flood as a multiple of the usual rate
     #[bpaf(argument("F"), fallback(10.0))]
     flood_times: f64,
-    /// Long answers a second before each engine at load 1.0, as an operator's sheet has them
+    /// Long responses per second and engine at load 1.0
     #[bpaf(argument("F"), fallback(Mix::default().long_rate))]
     long_rate: f64,
-    /// The same of short answers
+    /// Short responses per second and engine at load 1.0
     #[bpaf(argument("F"), fallback(Mix::default().short_rate))]
     short_rate: f64,
-    /// json or text
+    /// Output format: json or text
     #[bpaf(argument("FORM"), fallback(String::from("text")))]
     format: String,
 }
@@ -77,8 +78,8 @@
 
     fn flood(&self) -> Option<Flood> {
         let organisation = self.flooder?;
-        let is_there = organisation < self.organisations;
-        is_there.then_some(Flood {
+        let exists = organisation < self.organisations;
+        exists.then_some(Flood {
             organisation,
             times: self.flood_times,
         })
--- a/crates/bench/src/cmd/decide.rs
+++ b/crates/bench/src/cmd/decide.rs
@@ -1,4 +1,4 @@
-//! `decide`: the time of one pick and of one admission.
+//! `decide`: time per engine choice, per admission and per placement.
 
 use std::hint::black_box;
 use std::time::Instant;
@@ -11,11 +11,11 @@
 };
 use serde::Serialize;
 
-/// Time a pick and an admission at today's and the two-year size
+/// Time an engine choice, an admission and a placement at the current and the two-year size
 #[derive(Debug, Clone, Bpaf)]
 #[bpaf(command)]
 pub(crate) struct Decide {
-    /// Decisions of each kind
+    /// Number of decisions of each kind
     #[bpaf(argument("N"), fallback(20_000))]
     count: u32,
 }
@@ -38,9 +38,9 @@
     place_us: f64,
 }
 
-/// Generations on each engine of a crowded cell.
-const GENERATIONS_EACH: u64 = 6;
-/// Requests that wait for room there.
+/// Generations on each engine of a fully loaded cell.
+const GENERATIONS_PER_ENGINE: u64 = 6;
+/// Requests in the queue of that cell.
 const WAITING: u64 = 20;
 
 struct Size {
@@ -50,7 +50,7 @@
     running: u64,
 }
 
-/// At the two-year size 600 replicas are shared by 7 models; one model may still have them all.
+/// At the two-year size 7 models share 600 replicas; one model may still use all of them.
 const SIZES: [Size; 3] = [
     Size {
         name: "today",
@@ -90,7 +90,7 @@
         for engines in [14, 48, 64, 128, 1_000] {
             let row = CellRow {
                 engines,
-                generations: engines * GENERATIONS_EACH,
+                generations: engines * GENERATIONS_PER_ENGINE,
                 waiting: WAITING,
                 place_us: self.time_place(engines),
             };
@@ -98,18 +98,18 @@
         }
     }
 
-    /// A placement in a crowded cell with requests that wait, and its end.
+    /// Times a placement in a fully loaded cell with queued requests, and the end of its run.
     fn time_place(&self, engines: u64) -> f64 {
         let mut cell = Cell::default();
         let registered: Vec<CellEngine> = (0..engines).map(cell_engine).collect();
         cell.set_engines(0, &registered);
-        let runs: Vec<RunStatement> = (0..engines * GENERATIONS_EACH)
+        let runs: Vec<RunStatement> = (0..engines * GENERATIONS_PER_ENGINE)
             .map(|run| statement(run, run % engines))
             .collect();
         cell.restate(0, HostKey(1), &runs);
         for run in 0..WAITING {
-            let too_large_now = placement(1_000_000 + run, 20_000);
-            cell.place(0, &too_large_now);
+            let queued = placement(1_000_000 + run, 20_000);
+            cell.place(0, &queued);
         }
         let count = self.count.div_ceil(10);
         let started = Instant::now();
@@ -142,7 +142,7 @@
         started.elapsed().as_secs_f64() * 1e6 / f64::from(self.count)
     }
 
-    /// An ask that is decided at a home with a full batch, then gives its permit back.
+    /// Times a permit request at a home with a full batch, and its withdrawal.
     fn time_admission(&self, size: &Size) -> f64 {
         let mut lengths = Lengths::new();
         for number in 0..size.organisations * 8 {
@@ -152,7 +152,7 @@
         }
         let settings = HomeSettings::new(Weights::default(), 1.0, 1_000_000, 0.0);
         let mut home = Home::new(settings);
-        let ask = |id: u64| EnginePermitRequest {
+        let permit_request = |id: u64| EnginePermitRequest {
             id: PermitRequestId(id),
             host: HostKey(id % 410),
             organisation: OrganisationKey(id % size.organisations),
@@ -168,14 +168,14 @@
         };
         let mut outcomes = Vec::new();
         for id in 0..size.running {
-            home.request_permit(1_000, ask(id), &lengths);
+            home.request_permit(1_000, permit_request(id), &lengths);
         }
         home.step(1_000, &lengths, &mut outcomes);
         let started = Instant::now();
         for id in 0..u64::from(self.count) {
             let id = id + 1_000_000;
             outcomes.clear();
-            home.request_permit(1_000, ask(id), &lengths);
+            home.request_permit(1_000, permit_request(id), &lengths);
             home.step(1_000, &lengths, &mut outcomes);
             black_box(&outcomes);
             home.withdraw(PermitRequestId(id));
--- a/crates/bench/src/cmd/faults.rs
+++ b/crates/bench/src/cmd/faults.rs
@@ -6,7 +6,8 @@
 
 use crate::faults::{Fault, RoundSettings, Verdict, run};
 
-/// Run callers against a deployment under random faults and check what callers and upstreams observe
+/// Run callers against a deployment under random faults and check what callers and upstreams
+/// observe
 #[derive(Debug, Clone, Bpaf)]
 #[bpaf(command)]
 pub(crate) struct Faults {
--- a/crates/bench/src/cmd/mod.rs
+++ b/crates/bench/src/cmd/mod.rs
@@ -1,4 +1,4 @@
-//! The measurements, one file each.
+//! The subcommands, one module each.
 
 mod cell;
 mod decide;
@@ -11,7 +11,7 @@
 
 use bpaf::Bpaf;
 
-/// Measurements of fulmarpath
+/// Benchmarks, simulations and fault tests of fulmarpath
 #[derive(Debug, Clone, Bpaf)]
 #[bpaf(options, generate(command))]
 pub(crate) enum Command {
@@ -26,7 +26,7 @@
 }
 
 impl Command {
-    /// Measures and prints.
+    /// Runs the subcommand, which prints its results.
     pub(crate) fn run(&self) {
         match self {
             Self::Cell(one) => one.run(),
--- a/crates/bench/src/cmd/policy.rs
+++ b/crates/bench/src/cmd/policy.rs
@@ -1,4 +1,5 @@
-//! `policy`: the product's decisions against baselines and against knowing all lengths.
+//! `policy`: simulates the admission policy against baselines and an oracle that knows all output
+//! lengths.
 
 use bpaf::Bpaf;
 use fulmarpath_policy::{FitRule, Weights};
@@ -16,83 +17,84 @@
     /// First seed
     #[bpaf(argument("N"), fallback(1))]
     seed: u64,
-    /// Seeds to run
+    /// Number of seeds
     #[bpaf(argument("N"), fallback(1))]
     seeds: u64,
-    /// Offered load; 1.0 is where knowing all lengths just ceases to finish all
+    /// Offered load; 1.0 is the rate from which the oracle cannot complete all requests
     #[bpaf(argument("F"), fallback(0.95))]
     load: f64,
-    /// association or vilaverde
+    /// Workload: association or vilaverde
     #[bpaf(argument("NAME"), fallback(WorkloadName::Association))]
     workload: WorkloadName,
-    /// ordinary, rival, engine-lost or shift
+    /// Scenario: ordinary, rival, engine-lost or shift
     #[bpaf(argument("NAME"), fallback(Scenario::Ordinary))]
     scenario: Scenario,
-    /// One policy only
+    /// Run one policy only
     #[bpaf(argument("NAME"))]
     policy: Option<PolicyName>,
-    /// Virtual seconds
+    /// Duration in virtual seconds
     #[bpaf(argument("S"), fallback(120.0))]
     duration_s: f64,
-    /// Weight of stall time against the other two measures
+    /// Weight of stall time relative to preemptions and time between tokens
     #[bpaf(argument("F"))]
     stall_weight: Option<f32>,
-    /// Generations at once under fixed_cap
+    /// Concurrent generations per engine under fixed_cap
     #[bpaf(argument("N"))]
     cap: Option<u32>,
-    /// Trial: standard deviations kept free
+    /// Trial: standard deviations of predicted memory kept in reserve
     #[bpaf(long("caution"), argument("F"))]
     z: Option<f32>,
-    /// Trial: share of memory under one draw for each generation
+    /// Trial: share of memory that one sampled length per generation may fill
     #[bpaf(argument("F"))]
     sampled: Option<f32>,
-    /// Trial: oldest first
+    /// Trial: admit in order of arrival
     fifo: bool,
-    /// Trial: pace of prompts, 0 for none
+    /// Trial: pacing rate of prefill; 0 for none
     #[bpaf(argument("F"))]
     pace: Option<f32>,
-    /// Trial: no moves
+    /// Trial: no migrations
     no_moves: bool,
-    /// Trial: one ask only
+    /// Trial: send each permit request to one home only
     one_ask: bool,
-    /// Trial: how far an organisation may run ahead
+    /// Trial: tokens by which an organisation may exceed its fair share
     #[bpaf(argument("TOKENS"))]
     lead: Option<f64>,
-    /// Trial: share of memory for work above an organisation's share
+    /// Trial: share of memory lent to work above an organisation's share
     #[bpaf(argument("F"), fallback(1.0))]
     lend: f32,
-    /// Trial: age after which a footprint counts for half
+    /// Trial: age at which a footprint counts half
     #[bpaf(argument("MS"))]
     age_ms: Option<u64>,
-    /// Trial: refuse early where the predicted wait exceeds this multiple of the patience; 0 never
+    /// Trial: refuse early if the predicted wait exceeds this multiple of the maximum wait; 0 for
+    /// never
     #[bpaf(argument("F"))]
     early: Option<f32>,
-    /// Trial: time after which the second home is asked as well
+    /// Trial: time after which the permit request is hedged to the second home
     #[bpaf(argument("MS"), fallback(10))]
     hedge_ms: u64,
-    /// Trial: time between two reports of progress
+    /// Trial: interval between progress reports
     #[bpaf(argument("MS"), fallback(500))]
     progress_ms: u64,
-    /// Half of the hosts believe in another home for each engine
+    /// Split view: half of the hosts use a different home for each engine
     split: bool,
-    /// json or text
+    /// Output format: json or text
     #[bpaf(argument("FORM"), fallback(String::from("text")))]
     format: String,
 }
 
 const HOSTS: usize = 8;
 
-/// What a workload's deployment looks like.
-struct Deployed {
+/// The deployment that serves a workload.
+struct DeploymentSize {
     engines: usize,
     memory_tokens: u32,
-    /// Requests a second at which the oracle just ceases to finish all.
+    /// Requests per second from which the oracle cannot complete all of them.
     rate: f64,
     cap: u32,
     stall_weight: f32,
 }
 
-const ASSOCIATION: Deployed = Deployed {
+const ASSOCIATION: DeploymentSize = DeploymentSize {
     engines: 15,
     memory_tokens: 30_000,
     rate: 21.5,
@@ -100,7 +102,7 @@
     stall_weight: 2.0,
 };
 
-const VILAVERDE: Deployed = Deployed {
+const VILAVERDE: DeploymentSize = DeploymentSize {
     engines: 12,
     memory_tokens: 10_000,
     rate: 46.0,
@@ -119,37 +121,37 @@
                 let row = self.row(policy, self.scenario, seed);
                 self.print(&row);
                 if self.scenario == Scenario::Rival {
-                    let quiet = self.row(policy, Scenario::Ordinary, seed);
-                    print_change(policy, seed, &quiet, &row);
+                    let baseline = self.row(policy, Scenario::Ordinary, seed);
+                    print_change(policy, seed, &baseline, &row);
                 }
             }
         }
     }
 
     fn row(&self, policy: PolicyName, scenario: Scenario, seed: u64) -> Row {
-        let deployed = match self.workload {
+        let deployment = match self.workload {
             WorkloadName::Association => ASSOCIATION,
             WorkloadName::Vilaverde => VILAVERDE,
         };
         let settings = WorldSettings {
             policy,
-            tuning: self.tuning(&deployed),
+            tuning: self.tuning(&deployment),
             hosts: HOSTS,
-            engines: deployed.engines,
+            engines: deployment.engines,
             spec: EngineSpec {
-                memory_tokens: deployed.memory_tokens,
+                memory_tokens: deployment.memory_tokens,
                 ..EngineSpec::default()
             },
             duration_s: self.duration_s,
             scenario,
             split: self.split,
         };
-        let rate = deployed.rate * self.load;
+        let rate = deployment.rate * self.load;
         let arrivals = generate(self.workload, scenario, rate, self.duration_s, HOSTS, seed);
         run(&settings, &arrivals, self.load, seed)
     }
 
-    fn tuning(&self, deployed: &Deployed) -> Tuning {
+    fn tuning(&self, deployment: &DeploymentSize) -> Tuning {
         let fit = match (self.z, self.sampled) {
             (Some(z), _) => Some(FitRule::Normal { z, share: 1.0 }),
             (_, Some(share)) => Some(FitRule::Sampled { share }),
@@ -157,11 +159,11 @@
         };
         Tuning {
             weights: Weights {
-                stall: self.stall_weight.unwrap_or(deployed.stall_weight),
+                stall: self.stall_weight.unwrap_or(deployment.stall_weight),
                 preemptions: 1.0,
                 between_tokens: 1.0,
             },
-            cap: self.cap.unwrap_or(deployed.cap),
+            cap: self.cap.unwrap_or(deployment.cap),
             fit,
             fifo: self.fifo,
             pace: self.pace,
@@ -204,22 +206,22 @@
     }
 }
 
-/// What a rival's rise did to all other organisations together.
-fn print_change(policy: PolicyName, seed: u64, quiet: &Row, loud: &Row) {
+/// Prints how the surge of the rival organisation changed the means of all others.
+fn print_change(policy: PolicyName, seed: u64, baseline: &Row, surge: &Row) {
     let others = |row: &Row, measure: fn(&Measures) -> f64| {
         let others = row.organisations.iter().enumerate();
-        let kept = others.filter(|(index, _)| *index != RIVAL);
-        kept.map(|(_, one)| measure(one)).sum::<f64>() / (ORGANISATIONS - 1) as f64
+        let others = others.filter(|(index, _)| *index != RIVAL);
+        others.map(|(_, one)| measure(one)).sum::<f64>() / (ORGANISATIONS - 1) as f64
     };
     println!(
         "{:<12} seed {seed} others, quiet -> rival: stall ms {:.1} -> {:.1}, preemptions per \
          1,000 {:.2} -> {:.2}, between p99 ms {:.1} -> {:.1}",
         policy.name(),
-        others(quiet, |one| one.stall_ms_mean),
-        others(loud, |one| one.stall_ms_mean),
-        others(quiet, |one| one.preemptions_per_1000),
-        others(loud, |one| one.preemptions_per_1000),
-        others(quiet, |one| one.between_tokens_ms_p99),
-        others(loud, |one| one.between_tokens_ms_p99),
+        others(baseline, |one| one.stall_ms_mean),
+        others(surge, |one| one.stall_ms_mean),
+        others(baseline, |one| one.preemptions_per_1000),
+        others(surge, |one| one.preemptions_per_1000),
+        others(baseline, |one| one.between_tokens_ms_p99),
+        others(surge, |one| one.between_tokens_ms_p99),
     );
 }
--- a/crates/bench/src/cmd/relay.rs
+++ b/crates/bench/src/cmd/relay.rs
@@ -1,4 +1,4 @@
-//! `relay`: tokens through one host and straight from the engine, in the same run.
+//! `relay`: gaps between tokens through one host and directly from the engine, in the same run.
 
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
@@ -13,14 +13,14 @@
 use hdrhistogram::Histogram;
 use serde::Serialize;
 
-/// Measure what one host adds to a stream of tokens
+/// Measure the latency that one host adds to a token stream
 #[derive(Debug, Clone, Bpaf)]
 #[bpaf(command)]
 pub(crate) struct Relay {
-    /// Streams at once
+    /// Number of concurrent streams
     #[bpaf(argument("N"), fallback(100))]
     streams: usize,
-    /// Tokens of each stream
+    /// Tokens per stream
     #[bpaf(argument("N"), fallback(200))]
     tokens: u32,
 }
@@ -38,7 +38,7 @@
     relayed_to_direct_p99_ratio: f64,
 }
 
-const SILENCE: Duration = Duration::from_millis(10_000);
+const SILENCE_TIMEOUT: Duration = Duration::from_millis(10_000);
 
 impl Relay {
     pub(crate) fn run(&self) {
@@ -51,8 +51,8 @@
     }
 
     async fn measure(&self) -> Result<Row, DevError> {
-        // A step of a fixed 25 ms whatever the batch: gaps beyond it are the path's.
-        let size = DeploymentSpec {
+        // The step takes 25 ms at any batch size, so longer gaps are caused by the path.
+        let spec = DeploymentSpec {
             hosts: 1,
             engines: 1,
             engine: EngineSpec {
@@ -65,7 +65,7 @@
             },
             ..DeploymentSpec::default()
         };
-        let deployment = Deployment::start(size).await?;
+        let deployment = Deployment::start(spec).await?;
         let engine = deployment.engines[0].address;
         let host = deployment.caller_address(0);
         let direct = self.gaps(|number| self.direct(engine, number)).await;
@@ -75,7 +75,7 @@
         let (relayed_p50, relayed_p99) = (ms(&relayed, 0.5), ms(&relayed, 0.99));
         Ok(Row {
             streams: self.streams,
-            tokens_per_s_offered: self.streams as f64 * 1_000.0 / size.engine.step_ms,
+            tokens_per_s_offered: self.streams as f64 * 1_000.0 / spec.engine.step_ms,
             direct_gap_ms_p50: direct_p50,
             direct_gap_ms_p99: direct_p99,
             relayed_gap_ms_p50: relayed_p50,
@@ -118,25 +118,25 @@
             output_limit_tokens: self.tokens,
             priority: 0,
         };
-        post_json(engine, "/generate", &request, SILENCE).await
+        post_json(engine, "/generate", &request, SILENCE_TIMEOUT).await
     }
 
     async fn relayed(&self, host: SocketAddr, number: usize) -> Result<Call, HttpError> {
-        let ask = CallerRequest {
+        let request = CallerRequest {
             key: CALLER_KEY,
             prompt: format!("relayed {number} #{}", self.tokens),
             ..CallerRequest::default()
         };
-        open(host, &ask).await
+        open(host, &request).await
     }
 }
 
-/// Microseconds between tokens; lines without a token are passed over.
+/// Microseconds between tokens; lines without a token are skipped.
 async fn read_gaps(call: Call) -> Vec<u64> {
     let mut lines = Lines::new(call);
     let mut gaps = Vec::new();
     let mut last: Option<Instant> = None;
-    while let Ok(Some(line)) = lines.next(SILENCE).await {
+    while let Ok(Some(line)) = lines.next(SILENCE_TIMEOUT).await {
         let is_token = line.starts_with(b"data: {") || line.starts_with(b"{\"kind\":\"token\"");
         if !is_token {
             continue;
--- a/crates/bench/src/cmd/slopes.rs
+++ b/crates/bench/src/cmd/slopes.rs
@@ -1,17 +1,17 @@
-//! `slopes`: bytes, processor time and memory of what each role holds and sends, and what that
-//! makes at the two-year size.
+//! `slopes`: bytes, CPU time and memory per message and per object held, for each role, and the
+//! totals at the two-year size.
 
 use bpaf::Bpaf;
 
 use crate::slopes::{bytes, capacity, cpu, memory};
 
-/// Measure what each control message and each thing held costs
+/// Measure the cost of each control message and of each object held in memory
 #[derive(Debug, Clone, Bpaf)]
 #[bpaf(command)]
 pub(crate) struct Slopes {
-    /// Only the bytes of messages, which are the same at each run
+    /// Print only the bytes of messages, which are the same in each run
     bytes_only: bool,
-    /// Print docs/CAPACITY.md's table
+    /// Print the table of docs/CAPACITY.md
     table: bool,
 }
 
--- a/crates/bench/src/cmd/spread.rs
+++ b/crates/bench/src/cmd/spread.rs
@@ -1,4 +1,4 @@
-//! `spread`: how long an accepted change takes to be in force on every host.
+//! `spread`: time until an accepted configuration change is active on every host.
 
 use std::time::{Duration, Instant};
 
@@ -8,17 +8,17 @@
 use serde::Serialize;
 use std::sync::atomic::Ordering;
 
-/// Measure the spread of changes over many hosts in one process
+/// Measure the propagation of configuration changes to many hosts in one process
 #[derive(Debug, Clone, Bpaf)]
 #[bpaf(command)]
 pub(crate) struct Spread {
-    /// Hosts
+    /// Number of hosts
     #[bpaf(argument("N"), fallback(9))]
     hosts: usize,
-    /// Changes
+    /// Number of changes
     #[bpaf(argument("N"), fallback(10))]
     changes: usize,
-    /// The object API goes down just after each acceptance
+    /// Make the object API unreachable right after it accepts each change
     api_down: bool,
 }
 
@@ -34,7 +34,7 @@
     platform_writes_per_s: f64,
 }
 
-const BOUND: Duration = Duration::from_millis(10_000);
+const ACTIVATION_TIMEOUT: Duration = Duration::from_millis(10_000);
 
 impl Spread {
     pub(crate) fn run(&self) {
@@ -47,17 +47,17 @@
     }
 
     async fn measure(&self) -> Result<Row, DevError> {
-        let size = DeploymentSpec {
+        let spec = DeploymentSpec {
             hosts: self.hosts,
             engines: 3,
             ..DeploymentSpec::default()
         };
-        let deployment = Deployment::start(size).await?;
+        let deployment = Deployment::start(spec).await?;
         let platform = &deployment.object_api;
         let (reads, writes, started) = (platform.reads(), platform.writes(), Instant::now());
-        let mut took_ms = Vec::new();
+        let mut activation_ms = Vec::new();
         let mut reverted = 0;
-        let mut seen = vec![0; self.hosts];
+        let mut latest = vec![0; self.hosts];
         for change in 0..self.changes {
             let preset = ["peak", "ordinary"][change % 2].to_owned();
             let node = &deployment.host(change % self.hosts).node;
@@ -69,22 +69,22 @@
             platform.faults.down.store(self.api_down, Ordering::Relaxed);
             let accepted = Instant::now();
             loop {
-                let mut lags = false;
-                for (host, seen) in deployment.running_hosts().zip(&mut seen) {
-                    let held = host
+                let mut is_pending = false;
+                for (host, latest) in deployment.running_hosts().zip(&mut latest) {
+                    let active = host
                         .node
                         .active_configuration()
-                        .map_or(0, |held| held.root.revision);
-                    reverted += u64::from(held < *seen);
-                    *seen = held;
-                    lags |= held < revision;
+                        .map_or(0, |active| active.root.revision);
+                    reverted += u64::from(active < *latest);
+                    *latest = active;
+                    is_pending |= active < revision;
                 }
-                if !lags || accepted.elapsed() > BOUND {
+                if !is_pending || accepted.elapsed() > ACTIVATION_TIMEOUT {
                     break;
                 }
                 tokio::time::sleep(Duration::from_millis(2)).await;
             }
-            took_ms.push(accepted.elapsed().as_millis() as u64);
+            activation_ms.push(accepted.elapsed().as_millis() as u64);
             platform.faults.down.store(false, Ordering::Relaxed);
             platform
                 .faults
@@ -93,13 +93,13 @@
             tokio::time::sleep(Duration::from_millis(300)).await;
         }
         let elapsed_s = started.elapsed().as_secs_f64();
-        took_ms.sort_unstable();
+        activation_ms.sort_unstable();
         Ok(Row {
             hosts: self.hosts,
             api_down: self.api_down,
             changes: self.changes,
-            in_force_ms_p50: took_ms[took_ms.len() / 2],
-            in_force_ms_max: took_ms[took_ms.len() - 1],
+            in_force_ms_p50: activation_ms[activation_ms.len() / 2],
+            in_force_ms_max: activation_ms[activation_ms.len() - 1],
             reverted,
             platform_reads_per_s: (platform.reads() - reads) as f64 / elapsed_s,
             platform_writes_per_s: (platform.writes() - writes) as f64 / elapsed_s,
--- a/crates/bench/src/faults/callers.rs
+++ b/crates/bench/src/faults/callers.rs
@@ -98,8 +98,8 @@
     Outcome { plan, responses }
 }
 
-/// Retries a generation until it has a final response; resumes it at the next host when a connection
-/// breaks.
+/// Retries a generation until it has a final response; resumes it at the next host when a
+/// connection breaks.
 async fn generate(
     plan: &CallerPlan,
     addresses: &[SocketAddr],
@@ -136,8 +136,9 @@
             && tokens_so_far.is_empty();
         silent_ends +=
             usize::from(!response.is_unsent && !response.is_complete && problem.is_empty());
-        // A closed port is not a response: a load balancer would not choose a host that has stopped.
-        // An earlier response stands; a caller that never received one still counts as lost.
+        // A closed port is not a response: a load balancer would not choose a host that has
+        // stopped. An earlier response stands; a caller that never received one still counts as
+        // lost.
         if !response.is_unsent || last.is_none() {
             last = Some(response);
         }
--- a/crates/bench/src/lib.rs
+++ b/crates/bench/src/lib.rs
@@ -1,1 +1,1 @@
-//! Measurements of decisions, faults and slopes.
+//! Benchmarks, simulations and fault tests; the code is in the binary `fulmarpath-bench`.
--- a/crates/bench/src/main.rs
+++ b/crates/bench/src/main.rs
@@ -1,4 +1,4 @@
-//! `fulmarpath-bench`: measurements of decisions, faults and slopes.
+//! `fulmarpath-bench`: benchmarks, simulations and fault tests.
 
 mod cmd;
 mod faults;
--- a/crates/bench/tests/safeguards.rs
+++ b/crates/bench/tests/safeguards.rs
@@ -1,5 +1,5 @@
-//! A proof that can't fail proves nothing: with a safeguard taken away, the fault run must find
-//! violations of its kind; with all in place, none.
+//! Guards against checks that never fail: with a safeguard disabled, the fault run must report
+//! violations of its kind; with all safeguards enabled, none.
 
 use std::process::Command;
 
@@ -8,11 +8,11 @@
 struct Case {
     safeguard: &'static str,
     fault: &'static str,
-    /// The count that must rise.
+    /// The count that must be above zero.
     violation: &'static str,
 }
 
-fn faults(words: &[&str]) -> (bool, serde_json::Value) {
+fn run_faults(args: &[&str]) -> (bool, serde_json::Value) {
     let output = Command::new(env!("CARGO_BIN_EXE_fulmarpath-bench"))
         .args([
             "faults",
@@ -23,12 +23,12 @@
             "--requests",
             "30",
         ])
-        .args(words)
+        .args(args)
         .output()
-        .expect("the bench runs");
+        .expect("run fulmarpath-bench");
     let text = String::from_utf8_lossy(&output.stdout).into_owned();
-    let last = text.lines().last().unwrap_or_default();
-    let verdict = serde_json::from_str(last).unwrap_or_default();
+    let last_line = text.lines().last().unwrap_or_default();
+    let verdict = serde_json::from_str(last_line).unwrap_or_default();
     (output.status.success(), verdict)
 }
 
@@ -43,33 +43,33 @@
 #[case(Case { safeguard: "spread", fault: "platform_down_after_change", violation: "late_in_force" })]
 #[case(Case { safeguard: "leaving", fault: "engine_leaves", violation: "late_to_leaving" })]
 #[case(Case { safeguard: "drain", fault: "host_stopped", violation: "cut_by_stop" })]
-fn its_absence_is_found(#[case] case: Case) {
-    let (_, whole) = faults(&["--fault", case.fault]);
-    assert_eq!(whole[case.violation], 0, "{}: {whole}", case.fault);
-    let (found, broken) = faults(&["--fault", case.fault, "--break", case.safeguard]);
-    assert!(found, "{}: {broken}", case.safeguard);
+fn disabled_safeguard_is_detected(#[case] case: Case) {
+    let (_, intact) = run_faults(&["--fault", case.fault]);
+    assert_eq!(intact[case.violation], 0, "{}: {intact}", case.fault);
+    let (is_detected, broken) = run_faults(&["--fault", case.fault, "--break", case.safeguard]);
+    assert!(is_detected, "{}: {broken}", case.safeguard);
     let count = broken[case.violation].as_u64().unwrap_or(0);
     assert!(count > 0, "{}: {broken}", case.safeguard);
 }
 
 #[test]
-fn a_drawn_run_finds_nothing() {
-    let (fine, verdict) = faults(&["--seed", "40"]);
-    assert!(fine, "{verdict}");
+fn random_faults_cause_no_violations() {
+    let (passed, verdict) = run_faults(&["--seed", "40"]);
+    assert!(passed, "{verdict}");
     assert!(verdict["answered"].as_u64() > Some(50), "{verdict}");
 }
 
-/// A host has stopped and the platform is down, so keyed callers are refused everywhere until they
-/// give up. Each has been told "not run" by a host that answered, also where the last door it
-/// tried was the stopped host's.
+/// Guards against counting refused callers as lost. A host has stopped and the platform is down, so
+/// all hosts refuse keyed callers until they give up. Each caller has a "not run" response from a
+/// running host, even if its last attempt met the closed port of the stopped host.
 #[rstest]
-#[case::two_gave_up_at_a_closed_door("1796240317")]
-#[case::five_gave_up_at_a_closed_door("1796240382")]
-fn seeds_that_once_failed(#[case] seed: &str) {
+#[case::two_callers_end_at_closed_port("1796240317")]
+#[case::five_callers_end_at_closed_port("1796240382")]
+fn refused_callers_are_not_lost(#[case] seed: &str) {
     let output = Command::new(env!("CARGO_BIN_EXE_fulmarpath-bench"))
         .args(["faults", "--rounds", "1", "--seed", seed])
         .output()
-        .expect("the bench runs");
+        .expect("run fulmarpath-bench");
     let text = String::from_utf8_lossy(&output.stdout).into_owned();
     assert!(output.status.success(), "{text}");
 }
--- a/crates/bench/tests/soak.rs
+++ b/crates/bench/tests/soak.rs
@@ -1,44 +1,46 @@
-//! The soak, short: seeds that ever failed and one of each sort, and its checks when they must fail.
+//! Short soak runs: seeds that exposed faults, one seed of each fault set, and corrupted responses
+//! that the checks must detect.
 
 use std::path::PathBuf;
 use std::process::Command;
 
 use rstest::rstest;
 
-/// The hosts' program; the workspace's tests build it beside the bench.
+/// The host binary, which `cargo test --workspace` builds next to the bench.
 fn binary() -> PathBuf {
     let bench = PathBuf::from(env!("CARGO_BIN_EXE_fulmarpath-bench"));
     bench.with_file_name("fulmarpath")
 }
 
-fn soak(words: &[&str]) -> (bool, serde_json::Value, String) {
+fn soak(args: &[&str]) -> (bool, serde_json::Value, String) {
     let output = Command::new(env!("CARGO_BIN_EXE_fulmarpath-bench"))
         .args(["soak", "--hosts", "3", "--callers", "6", "--binary"])
         .arg(binary())
-        .args(words)
+        .args(args)
         .output()
-        .expect("the bench runs");
+        .expect("run fulmarpath-bench");
     let text = String::from_utf8_lossy(&output.stdout).into_owned();
-    let json = text.lines().rfind(|line| line.starts_with("{\"seed\""));
-    let verdict = json.and_then(|line| serde_json::from_str(line).ok());
+    let last_verdict = text.lines().rfind(|line| line.starts_with("{\"seed\""));
+    let verdict = last_verdict.and_then(|line| serde_json::from_str(line).ok());
     (output.status.success(), verdict.unwrap_or_default(), text)
 }
 
-/// Hosts are killed, stopped and paused, the store and links misbehave and engines leave; callers
-/// get their own answers, whole and once, and hear the truth where they get none.
+/// Guards against lost, duplicated or mixed-up responses and false refusals while hosts are killed,
+/// stopped and paused, the store and links fail, and engines leave.
 #[test]
-fn a_short_soak_finds_nothing() {
-    let (fine, verdict, text) = soak(&["--seed", "7006", "--seeds", "1", "--faults", "3"]);
-    assert!(fine, "{text}");
+fn basic_faults_cause_no_violations() {
+    let (passed, verdict, text) = soak(&["--seed", "7006", "--seeds", "1", "--faults", "3"]);
+    assert!(passed, "{text}");
     assert!(verdict["whole"].as_u64() > Some(20), "{text}");
 }
 
-/// Engines start again under their names and other writers leave entries, beside the other faults.
+/// Guards against violations when engines restart under their names or other writers leave unusable
+/// entries, combined with the basic faults.
 #[rstest]
-#[case::reborn("7102", "EngineReborn")]
-#[case::foreign("7105", "ForeignEntries")]
-fn a_short_soak_of_all_kinds_finds_nothing(#[case] seed: &str, #[case] fault: &str) {
-    let words = [
+#[case::engine_restart("7102", "EngineReborn")]
+#[case::foreign_entries("7105", "ForeignEntries")]
+fn restarts_and_foreign_entries_cause_no_violations(#[case] seed: &str, #[case] fault: &str) {
+    let args = [
         "--seed",
         seed,
         "--seeds",
@@ -47,16 +49,16 @@
         "4",
         "--all-kinds",
     ];
-    let (fine, verdict, text) = soak(&words);
-    assert!(fine, "{text}");
+    let (passed, verdict, text) = soak(&args);
+    assert!(passed, "{text}");
     assert!(verdict["faults"].to_string().contains(fault), "{text}");
 }
 
-/// A data centre is emptied and taken back, and an upstream comes back cold, beside other faults: nothing
-/// reaches the emptied one after the bound, and the cold one gets no more than it bears.
+/// Guards against requests to an evacuated data centre after the bound, and against more requests
+/// to an upstream that returns cold than its limit allows.
 #[test]
-fn a_short_soak_of_the_latest_kinds_finds_nothing() {
-    let words = [
+fn evacuations_and_cold_upstreams_cause_no_violations() {
+    let args = [
         "--seed",
         "1796500005",
         "--seeds",
@@ -65,8 +67,8 @@
         "4",
         "--latest-kinds",
     ];
-    let (fine, verdict, text) = soak(&words);
-    assert!(fine, "{text}");
+    let (passed, verdict, text) = soak(&args);
+    assert!(passed, "{text}");
     let faults = verdict["faults"].to_string();
     assert!(
         faults.contains("Evacuation") && faults.contains("ColdReturn"),
@@ -74,70 +76,80 @@
     );
 }
 
-struct Asking {
+struct BackpressureCase {
     seed: &'static str,
     faults: &'static str,
     fault: &'static str,
 }
 
-/// Guards against hosts that send an upstream more than it asks for in its answers.
+/// Guards against hosts that ignore the limit, leaving or backoff signals in an upstream's
+/// responses.
 #[rstest]
-#[case::a_limit(Asking { seed: "1796700104", faults: "2", fault: "PlainNamesLimit" })]
-#[case::leaving(Asking { seed: "1796700100", faults: "1", fault: "PlainSaysItLeaves" })]
-#[case::rest(Asking { seed: "1796700002", faults: "2", fault: "PlainAsksForRest" })]
-fn a_short_soak_of_upstreams_that_ask_for_less_finds_nothing(#[case] case: Asking) {
-    let Asking { seed, faults, .. } = case;
-    let words = ["--seed", seed, "--seeds", "1", "--faults", faults];
-    let words = [&words[..], &["--backpressure"]].concat();
-    let (fine, verdict, text) = soak(&words);
-    assert!(fine, "{text}");
+#[case::limit(BackpressureCase { seed: "1796700104", faults: "2", fault: "PlainNamesLimit" })]
+#[case::leaving(BackpressureCase { seed: "1796700100", faults: "1", fault: "PlainSaysItLeaves" })]
+#[case::backoff(BackpressureCase { seed: "1796700002", faults: "2", fault: "PlainAsksForRest" })]
+fn backpressure_signals_cause_no_violations(#[case] case: BackpressureCase) {
+    let BackpressureCase { seed, faults, .. } = case;
+    let args = ["--seed", seed, "--seeds", "1", "--faults", faults];
+    let args = [&args[..], &["--backpressure"]].concat();
+    let (passed, verdict, text) = soak(&args);
+    assert!(passed, "{text}");
     assert!(verdict["faults"].to_string().contains(case.fault), "{text}");
 }
 
-/// Guards against hosts that take a store's earlier state for its latest once it has come back from a copy:
-/// upstreams leave just before and just after, and hosts start in between.
+/// Guards against hosts that take the state of a store restored from a backup for the latest one:
+/// upstreams leave shortly before and after the restore, and hosts start in between.
 #[rstest]
 #[case::known_by_peers_alone("1796920024")]
-#[case::of_each_sort("1796910005")]
-fn a_short_soak_of_returns_from_a_copy_finds_nothing(#[case] seed: &str) {
-    let words = ["--seed", seed, "--seeds", "1", "--faults", "4", "--copies"];
-    let (fine, verdict, text) = soak(&words);
-    assert!(fine, "{text}");
+#[case::leaving_before_and_after("1796910005")]
+fn store_restores_cause_no_violations(#[case] seed: &str) {
+    let args = ["--seed", seed, "--seeds", "1", "--faults", "4", "--copies"];
+    let (passed, verdict, text) = soak(&args);
+    assert!(passed, "{text}");
     let faults = verdict["faults"].to_string();
     assert!(faults.contains("StoreReturnsFromCopy"), "{text}");
 }
 
-/// One caller repeats a request that ends the plain upstream that begins to run it, beside faults: it
-/// ends three and is refused from then on, and the other callers go on.
+/// Guards against a request that crashes one upstream after the other. One caller repeats it under
+/// faults: at least three upstreams crash, the request is refused from then on, and other callers
+/// are still served.
 #[test]
-fn a_short_soak_with_a_request_that_ends_upstreams() {
-    let words = [
+fn crashing_request_is_contained() {
+    let args = [
         "--seed", "9102", "--seeds", "1", "--faults", "3", "--ending",
     ];
-    let (fine, verdict, text) = soak(&words);
-    assert!(fine, "{text}");
+    let (passed, verdict, text) = soak(&args);
+    assert!(passed, "{text}");
     assert!(verdict["ended_upstreams"].as_u64() >= Some(3), "{text}");
     assert!(verdict["whole"].as_u64() > Some(20), "{text}");
 }
 
-struct Spoilt {
-    what: &'static str,
+struct CorruptionCase {
+    corruption: &'static str,
     seed: &'static str,
-    /// The count that must rise.
+    /// The count that must be one.
     violation: &'static str,
 }
 
-/// What a caller got is spoilt before it is judged: the check that is meant for it finds it.
+/// Guards against checks that never fail: a response is corrupted before it is checked, and the
+/// check for this kind of corruption must report it.
 #[rstest]
-#[case::event(Spoilt { what: "event", seed: "7011", violation: "doubled_or_missing" })]
-#[case::id(Spoilt { what: "id", seed: "7012", violation: "crossed" })]
-#[case::status(Spoilt { what: "status", seed: "7013", violation: "false_not_run" })]
-#[case::end(Spoilt { what: "end", seed: "7014", violation: "cut" })]
-fn each_check_can_fail(#[case] case: Spoilt) {
-    let words = [
-        "--seeds", "1", "--faults", "0", "--seed", case.seed, "--spoil", case.what,
+#[case::event(CorruptionCase { corruption: "event", seed: "7011", violation: "doubled_or_missing" })]
+#[case::id(CorruptionCase { corruption: "id", seed: "7012", violation: "crossed" })]
+#[case::status(CorruptionCase { corruption: "status", seed: "7013", violation: "false_not_run" })]
+#[case::end(CorruptionCase { corruption: "end", seed: "7014", violation: "cut" })]
+fn corrupted_responses_are_detected(#[case] case: CorruptionCase) {
+    let args = [
+        "--seeds",
+        "1",
+        "--faults",
+        "0",
+        "--seed",
+        case.seed,
+        "--spoil",
+        case.corruption,
     ];
-    let (fine, verdict, text) = soak(&words);
-    assert!(!fine, "{text}");
+    let (passed, verdict, text) = soak(&args);
+    assert!(!passed, "{text}");
     assert_eq!(verdict[case.violation], 1, "{text}");
 }
