--- a/crates/entry/src/attach.rs
+++ b/crates/entry/src/attach.rs
@@ -115,10 +115,7 @@
     model: &str,
     silence_timeout: Duration,
 ) -> End {
-    info!(
-        "attach: holder of {} unavailable; querying the engines",
-        copy.name()
-    );
+    info!("attach: querying the engines for {}", copy.name());
     for engine in node.engines_of(model) {
         let request = ResumeRequest {
             generation: copy.name().to_owned(),
