--- a/crates/standin/src/engine.rs
+++ b/crates/standin/src/engine.rs
@@ -1,4 +1,4 @@
-//! A stand-in engine over HTTP, with faults to order.
+//! A stand-in engine with an HTTP interface and fault injection.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -25,42 +25,43 @@
 
 const HEADER_LIMIT_BYTES: usize = 16_384;
 const HEARTBEAT: Duration = Duration::from_millis(250);
-/// How long a prompt that ends its engine runs before: less than a step.
-const ENDS_AFTER: Duration = Duration::from_millis(2);
+/// Delay between the start of a prompt that crashes its engine and the crash, less than one step.
+const CRASH_DELAY: Duration = Duration::from_millis(2);
 
-/// Faults that a test orders; all off at first.
+/// Faults that a test can inject; all are off initially.
 #[derive(Debug, Default)]
 pub struct EngineFaults {
-    /// Raised by [`StandinEngine::silence_open_streams`]: streams opened before go silent for good.
-    silence: AtomicU32,
-    /// Each stream also carries a token of another generation and one of another attempt.
+    /// Incremented by [`StandinEngine::silence_open_streams`]. Streams that were opened in an
+    /// earlier epoch send nothing more.
+    silence_epoch: AtomicU32,
+    /// Each stream also contains a token of another generation and one of another attempt.
     pub foreign_tokens: AtomicBool,
-    /// Nothing answers any more, as a dead process would.
+    /// Requests get no response and streams send nothing more, as with a dead process.
     pub unresponsive: AtomicBool,
-    /// The load report says leaving, and nothing new is taken.
+    /// The load report has the state leaving, and new generations are refused.
     leaving: AtomicBool,
-    /// A resumed stream starts so many tokens too early.
+    /// A resumed stream starts this number of tokens before the requested index.
     pub resume_rewind_tokens: AtomicU32,
-    /// Each stream breaks after so many tokens; 0 for never.
+    /// Each stream is disconnected after this number of tokens; 0 for never.
     pub break_after_tokens: AtomicU32,
-    /// A prompt with this text ends the engine as it begins to run it; empty for none.
+    /// A prompt that contains this text crashes the engine when it starts; empty for none.
     pub crash_on: Mutex<String>,
-    /// It has ended: connections are refused, and its streams break.
+    /// Cancelled by a crash: connections are refused, and open streams are disconnected.
     crashed: CancellationToken,
-    /// Old fencing numbers are taken as well.
+    /// Orders with an outdated fencing number are accepted too.
     pub ignores_fencing: AtomicBool,
 }
 
 /// A stand-in engine.
 #[derive(Debug, Clone)]
 pub struct StandinEngine {
-    /// Where it listens.
+    /// Address on which it listens.
     pub address: SocketAddr,
-    /// Faults to order.
+    /// Faults to inject.
     pub faults: Arc<EngineFaults>,
     state: Arc<Mutex<State>>,
     next_id: Arc<AtomicU64>,
-    work: Arc<tokio::sync::Notify>,
+    work_available: Arc<tokio::sync::Notify>,
 }
 
 impl StandinEngine {
@@ -72,86 +73,87 @@
             state: Arc::new(Mutex::new(State {
                 model: EngineModel::new(spec),
                 runs: HashMap::new(),
-                by_name: HashMap::new(),
+                id_by_generation: HashMap::new(),
                 record: EngineRecord::default(),
                 fencing: 0,
                 leaving_since: None,
             })),
             next_id: Arc::default(),
-            work: Arc::default(),
+            work_available: Arc::default(),
         };
         let server = engine.clone();
-        let server_ended = engine.faults.crashed.clone();
+        let server_crashed = engine.faults.crashed.clone();
         let (stop, stopped) = watch::channel(false);
         tokio::spawn(async move {
             let _stop = stop;
             let handler = move |request| server.clone().handle(request);
-            let ended = server_ended;
+            let crashed = server_crashed;
             tokio::select! {
                 () = serve(listener, HEADER_LIMIT_BYTES, stopped, handler) => {}
-                () = ended.cancelled() => {}
+                () = crashed.cancelled() => {}
             }
         });
         tokio::spawn(engine.clone().run());
         Ok(engine)
     }
 
-    /// What the engine saw so far.
+    /// What the engine has received and done so far.
     pub fn record(&self) -> EngineRecord {
         self.state.lock().record.clone()
     }
 
-    /// Every open stream goes silent for good; new ones work.
+    /// Makes every open stream send nothing more; new streams work.
     pub fn silence_open_streams(&self) {
-        self.faults.silence.fetch_add(1, Ordering::Relaxed);
+        self.faults.silence_epoch.fetch_add(1, Ordering::Relaxed);
     }
 
-    /// The engine leaves: it says so in its load report and takes nothing new.
+    /// Puts the engine into the state leaving: its load report says so, and new generations are
+    /// refused.
     pub fn leave(&self) {
         self.faults.leaving.store(true, Ordering::Relaxed);
         self.state.lock().leaving_since = Some(Instant::now());
     }
 
-    /// Whether a prompt has ended it.
+    /// Whether a prompt has crashed it.
     pub fn has_crashed(&self) -> bool {
         self.faults.crashed.is_cancelled()
     }
 
-    /// Ends in a moment, where the prompt is one that does that.
-    fn end_on(&self, prompt: &str) {
+    /// Crashes the engine after [`CRASH_DELAY`] if the prompt contains the configured text.
+    fn crash_if_matched(&self, prompt: &str) {
         let text = self.faults.crash_on.lock().clone();
         if text.is_empty() || !prompt.contains(&text) {
             return;
         }
-        let ended = self.faults.crashed.clone();
+        let crashed = self.faults.crashed.clone();
         tokio::spawn(async move {
-            tokio::time::sleep(ENDS_AFTER).await;
-            ended.cancel();
+            tokio::time::sleep(CRASH_DELAY).await;
+            crashed.cancel();
         });
     }
 
-    /// Starts that were refused because the engine leaves.
+    /// Number of starts refused because the engine is leaving.
     pub fn refused_starts(&self) -> u32 {
         self.state.lock().record.refused_starts
     }
 
-    /// Loses all generations, as a restart would; the record stays.
+    /// Drops all generations, as a restart would. The record is kept.
     pub fn drop_generations(&self) {
         let mut state = self.state.lock();
         let ids: Vec<u64> = state.runs.keys().copied().collect();
         for id in ids {
-            state.drop_run(id);
+            state.remove_run(id);
         }
-        state.by_name.clear();
+        state.id_by_generation.clear();
     }
 
-    /// Whether any generation still runs.
+    /// Whether any generation is running or waiting.
     pub fn is_busy(&self) -> bool {
         let state = self.state.lock();
         state.model.running() + state.model.waiting() > 0
     }
 
-    fn is_dead(&self) -> bool {
+    fn is_unresponsive(&self) -> bool {
         self.faults.unresponsive.load(Ordering::Relaxed)
     }
 
@@ -161,24 +163,24 @@
             events.clear();
             let step_ms = {
                 let mut state = self.state.lock();
-                if self.is_dead() {
+                if self.is_unresponsive() {
                     0.0
                 } else {
                     let step_ms = state.model.step(&mut events);
-                    state.take_in(&events);
+                    state.apply_events(&events);
                     step_ms
                 }
             };
             if step_ms > 0.0 {
                 tokio::time::sleep(Duration::from_secs_f64(step_ms / 1_000.0)).await;
             } else {
-                let _ = tokio::time::timeout(HEARTBEAT, self.work.notified()).await;
+                let _ = tokio::time::timeout(HEARTBEAT, self.work_available.notified()).await;
             }
         }
     }
 
     async fn handle(self, request: Request<Incoming>) -> Reply {
-        if self.is_dead() {
+        if self.is_unresponsive() {
             std::future::pending::<()>().await;
         }
         let path = request.uri().path().to_owned();
@@ -233,17 +235,20 @@
             return empty(StatusCode::SERVICE_UNAVAILABLE);
         }
         let id = self.next_id.fetch_add(1, Ordering::Relaxed);
-        self.end_on(&request.prompt);
+        self.crash_if_matched(&request.prompt);
         let first_index = request.already_out.len() as u32;
         let length = answer_length(&request.prompt, request.output_limit_tokens);
         let mut state = self.state.lock();
         let starts = &mut state.record.starts;
         *starts.entry(request.generation.clone()).or_default() += 1;
         state.record.traceparents.extend(request.traceparent);
-        let same = state.record.generations.entry(request.prompt.clone());
-        same.or_default().insert(request.generation.clone());
-        if let Some(old) = state.by_name.insert(request.generation.clone(), id) {
-            state.drop_run(old);
+        let generations = state.record.generations.entry(request.prompt.clone());
+        generations.or_default().insert(request.generation.clone());
+        if let Some(previous) = state
+            .id_by_generation
+            .insert(request.generation.clone(), id)
+        {
+            state.remove_run(previous);
         }
         state.runs.insert(
             id,
@@ -251,7 +256,7 @@
                 generation: request.generation,
                 first_index,
                 tokens: Vec::new(),
-                done: None,
+                completion: None,
                 attempt: request.attempt,
                 changed: watch::Sender::new(0),
                 prompt: request.prompt.clone(),
@@ -267,13 +272,13 @@
             priority: request.priority,
         });
         drop(state);
-        self.work.notify_one();
+        self.work_available.notify_one();
         self.stream(id, request.attempt, first_index)
     }
 
     fn resume(&self, request: ResumeRequest) -> Reply {
         let mut state = self.state.lock();
-        let Some(id) = state.by_name.get(&request.generation).copied() else {
+        let Some(id) = state.id_by_generation.get(&request.generation).copied() else {
             return empty(StatusCode::NOT_FOUND);
         };
         let Some(run) = state.runs.get_mut(&id) else {
@@ -283,8 +288,8 @@
             return empty(StatusCode::NOT_FOUND);
         }
         run.attempt = request.attempt;
-        let too_early = self.faults.resume_rewind_tokens.load(Ordering::Relaxed);
-        let from = request.next_index.saturating_sub(too_early);
+        let rewind = self.faults.resume_rewind_tokens.load(Ordering::Relaxed);
+        let from = request.next_index.saturating_sub(rewind);
         let from = from.max(run.first_index);
         drop(state);
         self.stream(id, request.attempt, from)
@@ -292,8 +297,8 @@
 
     fn order(&self, order: Order) -> Reply {
         let mut state = self.state.lock();
-        let ignores = self.faults.ignores_fencing.load(Ordering::Relaxed);
-        if order.fencing < state.fencing && !ignores {
+        let ignores_fencing = self.faults.ignores_fencing.load(Ordering::Relaxed);
+        if order.fencing < state.fencing && !ignores_fencing {
             return empty(StatusCode::CONFLICT);
         }
         state.fencing = state.fencing.max(order.fencing);
@@ -303,8 +308,8 @@
 
     fn cancel(&self, generation: &str) -> Reply {
         let mut state = self.state.lock();
-        if let Some(id) = state.by_name.remove(generation) {
-            state.drop_run(id);
+        if let Some(id) = state.id_by_generation.remove(generation) {
+            state.remove_run(id);
             state.record.cancelled.push(generation.to_owned());
         }
         empty(StatusCode::OK)
@@ -312,16 +317,16 @@
 
     fn stream(&self, id: u64, attempt: u32, from: u32) -> Reply {
         let (sender, receiver) = mpsc::channel::<Bytes>(16);
-        tokio::spawn(self.clone().pump(id, attempt, from, sender));
+        tokio::spawn(self.clone().send_items(id, attempt, from, sender));
         let chunks = futures::stream::unfold(receiver, |mut receiver| async {
             receiver.recv().await.map(|chunk| (chunk, receiver))
         });
         stream(StatusCode::OK, "application/x-ndjson", chunks)
     }
 
-    async fn pump(self, id: u64, attempt: u32, mut next: u32, sender: mpsc::Sender<Bytes>) {
-        let silence = self.faults.silence.load(Ordering::Relaxed);
-        let mut sent = 0;
+    async fn send_items(self, id: u64, attempt: u32, mut next: u32, sender: mpsc::Sender<Bytes>) {
+        let silence_epoch = self.faults.silence_epoch.load(Ordering::Relaxed);
+        let mut sent_tokens = 0;
         let Some(mut changed) = self.state.lock().subscribe(id) else {
             return;
         };
@@ -329,31 +334,31 @@
             if self.has_crashed() {
                 return;
             }
-            let is_silent = self.faults.silence.load(Ordering::Relaxed) != silence;
-            if is_silent || self.is_dead() {
-                // The connection stays open and says nothing until the other side gives up.
+            let is_silent = self.faults.silence_epoch.load(Ordering::Relaxed) != silence_epoch;
+            if is_silent || self.is_unresponsive() {
+                // Keeps the connection open and silent until the receiver closes it.
                 sender.closed().await;
                 return;
             }
             let items = self.state.lock().items(id, attempt, next);
             let Some(mut items) = items else { return };
             if self.faults.foreign_tokens.load(Ordering::Relaxed) {
-                items.splice(0..0, strangers(attempt, next));
+                items.splice(0..0, foreign_tokens_at(attempt, next));
             }
             for item in items {
-                let done = matches!(item, StreamItem::Done { .. });
-                let is_stranger = is_stranger(&item);
+                let is_done = matches!(item, StreamItem::Done { .. });
+                let is_foreign = is_foreign(&item);
                 let mut line = serde_json::to_vec(&item).unwrap_or_default();
                 line.push(b'\n');
-                if sender.send(line.into()).await.is_err() || done {
+                if sender.send(line.into()).await.is_err() || is_done {
                     return;
                 }
-                if !is_stranger {
+                if !is_foreign {
                     next += 1;
-                    sent += 1;
+                    sent_tokens += 1;
                 }
                 let break_after = self.faults.break_after_tokens.load(Ordering::Relaxed);
-                if break_after > 0 && sent >= break_after {
+                if break_after > 0 && sent_tokens >= break_after {
                     return;
                 }
             }
@@ -377,19 +382,22 @@
     serde_json::from_slice(&body).ok()
 }
 
-const STRANGER: &str = "another-generation";
+const FOREIGN_GENERATION: &str = "another-generation";
 
-/// Tokens that belong to somebody else, at the very index that is awaited.
-fn strangers(attempt: u32, index: u32) -> [StreamItem; 2] {
+/// Tokens of another generation, at the index that the receiver expects next.
+fn foreign_tokens_at(attempt: u32, index: u32) -> [StreamItem; 2] {
     let token = |generation: &str, attempt| StreamItem::Token {
         generation: generation.to_owned(),
         attempt,
         index,
         text: "stranger ".to_owned(),
     };
-    [token(STRANGER, attempt), token(STRANGER, attempt + 7)]
+    [
+        token(FOREIGN_GENERATION, attempt),
+        token(FOREIGN_GENERATION, attempt + 7),
+    ]
 }
 
-fn is_stranger(item: &StreamItem) -> bool {
-    matches!(item, StreamItem::Token { generation, .. } if generation == STRANGER)
+fn is_foreign(item: &StreamItem) -> bool {
+    matches!(item, StreamItem::Token { generation, .. } if generation == FOREIGN_GENERATION)
 }
--- a/crates/standin/src/host_list.rs
+++ b/crates/standin/src/host_list.rs
@@ -1,4 +1,4 @@
-//! A stand-in host list that a test edits.
+//! A stand-in host list whose entries a test can change.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -15,7 +15,7 @@
 /// A stand-in host list.
 #[derive(Debug, Clone)]
 pub struct StandinHostList {
-    /// Where it listens.
+    /// Address on which it listens.
     pub address: SocketAddr,
     listing: Arc<Mutex<HostListing>>,
 }
--- a/crates/standin/src/lib.rs
+++ b/crates/standin/src/lib.rs
@@ -1,7 +1,7 @@
-//! Small stand-ins for what lies outside: engines, plain services, the object API, the host list.
+//! Small stand-ins for external systems: engines, plain services, the object API, the host list.
 //!
-//! Each keeps its own records, so that a test can check callers' answers against what upstreams
-//! saw rather than against the product's own counters.
+//! Each keeps its own records. A test can thus compare the responses to callers with what the
+//! upstreams received, independently of the counters of the system under test.
 
 mod answer;
 mod engine;
--- a/crates/standin/src/model.rs
+++ b/crates/standin/src/model.rs
@@ -1,25 +1,25 @@
-//! A small engine in steps: continuous batching, limited memory, priorities, a prefix cache.
+//! A step-based engine model: continuous batching, limited memory, priorities, a prefix cache.
 //!
-//! It has no clock. Each step says how long it takes; docs/STANDIN-engine.md states the rules.
+//! It has no clock; each step returns its duration. docs/STANDIN-engine.md states the rules.
 
 use std::collections::VecDeque;
 
-/// What an engine is like.
+/// Capacity and timing of an engine.
 #[derive(Debug, Clone, Copy)]
 pub struct EngineSpec {
-    /// Memory for prompts and answers.
+    /// KV cache capacity for prompts and generated tokens.
     pub memory_tokens: u32,
-    /// Generations in one batch.
+    /// Maximum number of generations in a batch.
     pub batch_limit: usize,
-    /// Time of a step, whatever it does.
+    /// Base time of a step.
     pub step_ms: f64,
-    /// More for each generation in the batch.
+    /// Additional time per step for each generation in the batch.
     pub sequence_ms: f64,
-    /// More for each prompt token computed.
+    /// Additional time for each prompt token that is prefilled.
     pub prompt_ms_per_token: f64,
-    /// Prompt tokens computed in one step.
+    /// Maximum number of prompt tokens that are prefilled in one step.
     pub prompt_chunk_tokens: u32,
-    /// Cached prefixes.
+    /// Capacity of the prefix cache, in prefixes.
     pub cached_prefixes: usize,
 }
 
@@ -40,38 +40,38 @@
 /// One generation on the engine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Job {
-    /// Names it to whoever drives the engine.
+    /// Identifier that the events of this job carry.
     pub id: u64,
-    /// Hash of the prompt's shared beginning.
+    /// Hash of the shared prefix of the prompt.
     pub prefix: u64,
-    /// Tokens of that beginning.
+    /// Number of tokens in the shared prefix.
     pub prefix_tokens: u32,
-    /// Prompt tokens, the beginning with them.
+    /// Number of prompt tokens, including the shared prefix.
     pub prompt_tokens: u32,
-    /// Tokens that are out already.
+    /// Number of tokens generated so far.
     pub out_tokens: u32,
-    /// The whole answer's length.
+    /// Length of the complete answer.
     pub length_tokens: u32,
-    /// Higher starts first and is paused last.
+    /// Jobs of higher priority are admitted first and preempted last.
     pub priority: i32,
 }
 
-/// What a step did.
+/// An event of a step.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum EngineEvent {
-    /// A token is out.
+    /// A token was generated.
     Token {
         /// The job.
         id: u64,
-        /// Its place in the answer.
+        /// Index of the token in the answer.
         index: u32,
     },
-    /// The answer is whole.
+    /// The answer is complete.
     Done {
         /// The job.
         id: u64,
     },
-    /// Memory was full: the job was paused and will be computed anew.
+    /// The job was preempted because memory was full. Its KV cache will be recomputed.
     Preempted {
         /// The job.
         id: u64,
@@ -79,13 +79,13 @@
 }
 
 #[derive(Debug, Clone, Copy)]
-struct Running {
+struct RunningJob {
     job: Job,
-    prompt_left: u32,
+    remaining_prompt_tokens: u32,
 }
 
-impl Running {
-    fn held(&self) -> u32 {
+impl RunningJob {
+    fn used_tokens(&self) -> u32 {
         self.job.prompt_tokens + self.job.out_tokens
     }
 }
@@ -94,7 +94,7 @@
 #[derive(Debug)]
 pub struct EngineModel {
     spec: EngineSpec,
-    running: Vec<Running>,
+    running: Vec<RunningJob>,
     waiting: VecDeque<Job>,
     cache: VecDeque<u64>,
     used_tokens: u32,
@@ -114,20 +114,20 @@
         }
     }
 
-    /// What the engine is like.
+    /// Capacity and timing of the engine.
     pub fn spec(&self) -> EngineSpec {
         self.spec
     }
 
-    /// Takes a job; it waits inside the engine until memory is free.
+    /// Queues a job, which is admitted to the batch once memory is free.
     pub fn submit(&mut self, job: Job) {
         self.waiting.push_back(job);
     }
 
-    /// Drops a job; true where it was there.
+    /// Removes a job; returns whether it was running or waiting.
     pub fn cancel(&mut self, id: u64) -> bool {
-        if let Some(index) = self.running.iter().position(|one| one.job.id == id) {
-            self.used_tokens -= self.running.remove(index).held();
+        if let Some(index) = self.running.iter().position(|entry| entry.job.id == id) {
+            self.used_tokens -= self.running.remove(index).used_tokens();
             return true;
         }
         let before = self.waiting.len();
@@ -135,22 +135,22 @@
         self.waiting.len() < before
     }
 
-    /// Jobs in the batch.
+    /// Number of jobs in the batch.
     pub fn running(&self) -> u32 {
         self.running.len() as u32
     }
 
-    /// Jobs that wait inside the engine.
+    /// Number of queued jobs.
     pub fn waiting(&self) -> u32 {
         self.waiting.len() as u32
     }
 
-    /// Memory in use.
+    /// KV cache usage.
     pub fn used_tokens(&self) -> u32 {
         self.used_tokens
     }
 
-    /// Pauses since the start.
+    /// Number of preemptions since the start.
     pub fn preemptions(&self) -> u64 {
         self.preemptions
     }
@@ -160,14 +160,14 @@
         self.cache.contains(&prefix)
     }
 
-    /// Does one step and says how long it took; 0 where there is nothing to do.
+    /// Runs one step and returns its duration in milliseconds; 0 if there are no jobs.
     pub fn step(&mut self, events: &mut Vec<EngineEvent>) -> f64 {
         self.admit();
         if self.running.is_empty() {
             return 0.0;
         }
-        let computed = self.compute_prompts();
-        self.make_room(events);
+        let computed = self.prefill();
+        self.preempt(events);
         let batch = self.running.len();
         self.decode(events);
         self.spec.step_ms
@@ -177,77 +177,79 @@
 
     fn admit(&mut self) {
         while self.running.len() < self.spec.batch_limit {
-            let best = self
+            let next = self
                 .waiting
                 .iter()
                 .enumerate()
                 .max_by_key(|(index, job)| (job.priority, std::cmp::Reverse(*index)));
-            let Some((index, job)) = best.map(|(index, job)| (index, *job)) else {
+            let Some((index, job)) = next.map(|(index, job)| (index, *job)) else {
                 break;
             };
-            let held = job.prompt_tokens + job.out_tokens;
-            let after = self.used_tokens + held + self.running.len() as u32 + 1;
-            if after > self.spec.memory_tokens && !self.running.is_empty() {
+            let used_tokens = job.prompt_tokens + job.out_tokens;
+            let needed = self.used_tokens + used_tokens + self.running.len() as u32 + 1;
+            if needed > self.spec.memory_tokens && !self.running.is_empty() {
                 break;
             }
             self.waiting.remove(index);
-            self.used_tokens += held;
-            let cached = if self.touch(job.prefix) {
+            self.used_tokens += used_tokens;
+            let cached = if self.touch_prefix(job.prefix) {
                 job.prefix_tokens
             } else {
                 0
             };
-            self.running.push(Running {
+            self.running.push(RunningJob {
                 job,
-                prompt_left: (held - cached.min(held)).max(1),
+                remaining_prompt_tokens: (used_tokens - cached.min(used_tokens)).max(1),
             });
         }
     }
 
-    /// Notes the use of a prefix; true where it was cached.
-    fn touch(&mut self, prefix: u64) -> bool {
-        let known = self.cache.iter().position(|one| *one == prefix);
-        if let Some(index) = known {
+    /// Moves a prefix to the front of the LRU cache; returns whether it was cached.
+    fn touch_prefix(&mut self, prefix: u64) -> bool {
+        let position = self.cache.iter().position(|entry| *entry == prefix);
+        if let Some(index) = position {
             self.cache.remove(index);
         }
         self.cache.push_front(prefix);
         self.cache.truncate(self.spec.cached_prefixes);
-        known.is_some()
+        position.is_some()
     }
 
-    fn compute_prompts(&mut self) -> u32 {
+    fn prefill(&mut self) -> u32 {
         let mut budget = self.spec.prompt_chunk_tokens;
         for running in &mut self.running {
-            let part = running.prompt_left.min(budget);
-            running.prompt_left -= part;
-            budget -= part;
+            let chunk = running.remaining_prompt_tokens.min(budget);
+            running.remaining_prompt_tokens -= chunk;
+            budget -= chunk;
         }
         self.spec.prompt_chunk_tokens - budget
     }
 
-    /// Pauses the least important jobs until each other one has memory for its next token.
-    fn make_room(&mut self, events: &mut Vec<EngineEvent>) {
+    /// Preempts jobs of the lowest priority until the others have memory for their next tokens.
+    fn preempt(&mut self, events: &mut Vec<EngineEvent>) {
         while self.used_tokens + self.running.len() as u32 > self.spec.memory_tokens
             && self.running.len() > 1
         {
-            let last = self
+            let lowest = self
                 .running
                 .iter()
                 .enumerate()
-                .min_by_key(|(index, one)| (one.job.priority, std::cmp::Reverse(*index)))
+                .min_by_key(|(index, entry)| (entry.job.priority, std::cmp::Reverse(*index)))
                 .map_or(0, |(index, _)| index);
-            let paused = self.running.remove(last);
-            self.used_tokens -= paused.held();
+            let preempted = self.running.remove(lowest);
+            self.used_tokens -= preempted.used_tokens();
             self.preemptions += 1;
-            events.push(EngineEvent::Preempted { id: paused.job.id });
-            self.waiting.push_front(paused.job);
+            events.push(EngineEvent::Preempted {
+                id: preempted.job.id,
+            });
+            self.waiting.push_front(preempted.job);
         }
     }
 
     fn decode(&mut self, events: &mut Vec<EngineEvent>) {
         let used = &mut self.used_tokens;
         self.running.retain_mut(|running| {
-            if running.prompt_left > 0 {
+            if running.remaining_prompt_tokens > 0 {
                 return true;
             }
             let job = &mut running.job;
@@ -261,7 +263,7 @@
                 return true;
             }
             events.push(EngineEvent::Done { id: job.id });
-            *used -= running.held();
+            *used -= running.used_tokens();
             false
         });
     }
--- a/crates/standin/src/object_api.rs
+++ b/crates/standin/src/object_api.rs
@@ -1,4 +1,4 @@
-//! A stand-in object API, with outages and lost answers to order.
+//! A stand-in object API with injectable outages and lost responses.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -19,16 +19,16 @@
 const HEADER_LIMIT_BYTES: usize = 16_384;
 const VALUE_LIMIT_BYTES: usize = 1_000_000;
 
-/// Faults that a test orders; all off at first.
+/// Faults that a test can inject; all are off initially.
 #[derive(Debug, Default)]
 pub struct ObjectFaults {
-    /// Every call is refused with status 503.
+    /// Every request is refused with status 503.
     pub down: AtomicBool,
-    /// So many coming writes take effect and are never answered.
+    /// This number of subsequent writes takes effect but gets no response.
     pub drop_write_responses: AtomicU32,
-    /// Watches tell nothing new; reads still do.
+    /// Watches report no changes; reads still return the current version.
     pub suppress_watches: AtomicBool,
-    /// Time added to each call.
+    /// Additional latency of each request.
     pub delay_ms: AtomicU64,
 }
 
@@ -41,9 +41,9 @@
 /// A stand-in object API.
 #[derive(Debug, Clone)]
 pub struct StandinObjectApi {
-    /// Where it listens.
+    /// Address on which it listens.
     pub address: SocketAddr,
-    /// Faults to order.
+    /// Faults to inject.
     pub faults: Arc<ObjectFaults>,
     counts: Arc<Counts>,
     objects: Arc<Mutex<HashMap<String, (u64, Bytes)>>>,
@@ -70,17 +70,17 @@
         Ok(api)
     }
 
-    /// Reads and waiting watches so far.
+    /// Number of reads and watches so far.
     pub fn reads(&self) -> u64 {
         self.counts.reads.load(Ordering::Relaxed)
     }
 
-    /// Writes so far.
+    /// Number of writes so far, including deletions.
     pub fn writes(&self) -> u64 {
         self.counts.writes.load(Ordering::Relaxed)
     }
 
-    /// The keys that stand, in order.
+    /// The existing keys, sorted.
     pub fn keys(&self) -> Vec<String> {
         let mut keys: Vec<String> = self.objects.lock().keys().cloned().collect();
         keys.sort();
@@ -124,27 +124,32 @@
 
     fn read(&self, key: &str) -> Reply {
         match self.objects.lock().get(key) {
-            Some((version, value)) => found(*version, value.clone()),
+            Some((version, value)) => object_response(*version, value.clone()),
             None => empty(StatusCode::NOT_FOUND),
         }
     }
 
     async fn watch(&self, key: &str, query: &str) -> Reply {
-        let number = |name: &str| {
+        let parameter = |name: &str| {
             query
                 .split('&')
                 .find_map(|pair| pair.strip_prefix(name)?.strip_prefix('='))
                 .and_then(|value| value.parse::<u64>().ok())
                 .unwrap_or(0)
         };
-        let (after, wait_ms) = (number("after"), number("wait_ms"));
+        let (after, wait_ms) = (parameter("after"), parameter("wait_ms"));
         let mut changed = self.changed.subscribe();
         let wait = async {
             loop {
-                let is_blind = self.faults.suppress_watches.load(Ordering::Relaxed);
-                let current = self.objects.lock().get(key).cloned().filter(|_| !is_blind);
+                let is_suppressed = self.faults.suppress_watches.load(Ordering::Relaxed);
+                let current = self
+                    .objects
+                    .lock()
+                    .get(key)
+                    .cloned()
+                    .filter(|_| !is_suppressed);
                 if let Some((version, value)) = current.filter(|(version, _)| *version > after) {
-                    return found(version, value);
+                    return object_response(version, value);
                 }
                 if changed.changed().await.is_err() {
                     return empty(StatusCode::SERVICE_UNAVAILABLE);
@@ -179,18 +184,19 @@
             version
         };
         self.changed.send_modify(|count| *count += 1);
-        let lose = &self.faults.drop_write_responses;
-        let lost = lose.fetch_update(Ordering::Relaxed, Ordering::Relaxed, |left| {
-            left.checked_sub(1)
-        });
-        if lost.is_ok() {
+        let remaining_drops = &self.faults.drop_write_responses;
+        let dropped =
+            remaining_drops.fetch_update(Ordering::Relaxed, Ordering::Relaxed, |remaining| {
+                remaining.checked_sub(1)
+            });
+        if dropped.is_ok() {
             std::future::pending::<()>().await;
         }
-        found(version, Bytes::new())
+        object_response(version, Bytes::new())
     }
 }
 
-fn found(version: u64, value: Bytes) -> Reply {
+fn object_response(version: u64, value: Bytes) -> Reply {
     let mut reply = full(StatusCode::OK, "application/octet-stream", value);
     if let Ok(tag) = HeaderValue::from_str(&format!("\"{version}\"")) {
         reply.headers_mut().insert(ETAG, tag);
--- a/crates/standin/src/plain.rs
+++ b/crates/standin/src/plain.rs
@@ -1,4 +1,4 @@
-//! A stand-in plain service that counts what it ran.
+//! A stand-in plain service that counts the calls that it executes.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -17,16 +17,16 @@
 
 const HEADER_LIMIT_BYTES: usize = 16_384;
 
-/// A stand-in plain service: it answers with the request's path and body.
+/// A stand-in plain service that responds with the path and the body of the request.
 #[derive(Debug, Clone)]
 pub struct StandinPlain {
-    /// Where it listens.
+    /// Address on which it listens.
     pub address: SocketAddr,
-    /// So many coming calls are run and never answered.
+    /// This number of subsequent calls is executed but gets no response.
     pub drop_responses: Arc<AtomicU32>,
-    /// A body with this text ends the service as it begins to run it; empty for none.
+    /// A call whose body contains this text crashes the service; empty for none.
     pub crash_on: Arc<Mutex<String>>,
-    /// Connections are refused, and nothing is answered any more.
+    /// Cancelled by a crash: connections are refused, and requests get no response.
     crashed: CancellationToken,
     runs: Arc<AtomicU64>,
     by_path: Arc<Mutex<HashMap<String, u32>>>,
@@ -44,50 +44,50 @@
             by_path: Arc::default(),
         };
         let server = plain.clone();
-        let ended = plain.crashed.clone();
+        let crashed = plain.crashed.clone();
         let (stop, stopped) = watch::channel(false);
         tokio::spawn(async move {
             let _stop = stop;
             let handler = move |request: hyper::Request<hyper::body::Incoming>| {
                 let server = server.clone();
-                async move { server.answer(request).await }
+                async move { server.respond(request).await }
             };
             tokio::select! {
                 () = serve(listener, HEADER_LIMIT_BYTES, stopped, handler) => {}
-                () = ended.cancelled() => {}
+                () = crashed.cancelled() => {}
             }
         });
         Ok(plain)
     }
 
-    /// Whether a call has ended it.
+    /// Whether a call has crashed it.
     pub fn has_crashed(&self) -> bool {
         self.crashed.is_cancelled()
     }
 
-    /// Calls that were run.
+    /// Number of executed calls.
     pub fn runs(&self) -> u64 {
         self.runs.load(Ordering::Relaxed)
     }
 
-    /// Runs by path.
+    /// Number of executed calls of a path.
     pub fn runs_of(&self, path: &str) -> u32 {
         self.by_path.lock().get(path).copied().unwrap_or(0)
     }
 
-    async fn answer(
+    async fn respond(
         &self,
         request: hyper::Request<hyper::body::Incoming>,
     ) -> fulmarpath_http::Reply {
         self.runs.fetch_add(1, Ordering::Relaxed);
         let path = request.uri().path().to_owned();
         *self.by_path.lock().entry(path.clone()).or_default() += 1;
-        let lost = self
-            .drop_responses
-            .fetch_update(Ordering::Relaxed, Ordering::Relaxed, |left| {
-                left.checked_sub(1)
-            });
-        if lost.is_ok() {
+        let dropped =
+            self.drop_responses
+                .fetch_update(Ordering::Relaxed, Ordering::Relaxed, |remaining| {
+                    remaining.checked_sub(1)
+                });
+        if dropped.is_ok() {
             std::future::pending::<()>().await;
         }
         let body = request.into_body().collect().await;
@@ -96,9 +96,9 @@
         let crash_on = self.crash_on.lock().clone();
         if !crash_on.is_empty() && body.contains(&crash_on) {
             self.crashed.cancel();
-            // The answer breaks off, as that of a process that is gone.
-            let broken = once(ready(Err(BodyInterrupted)));
-            return hyper::Response::new(stream_body(broken));
+            // The response is cut off, as when the process dies.
+            let truncated = once(ready(Err(BodyInterrupted)));
+            return hyper::Response::new(stream_body(truncated));
         }
         let text = format!("{path} {body}");
         full(StatusCode::OK, "text/plain", text)
--- a/crates/standin/src/runs.rs
+++ b/crates/standin/src/runs.rs
@@ -1,4 +1,4 @@
-//! What a stand-in engine holds: its runs, and the record of what it saw.
+//! State of a stand-in engine: its runs and the record of what it received and did.
 
 use std::collections::{HashMap, HashSet};
 use std::time::Instant;
@@ -9,24 +9,24 @@
 use crate::answer::answer_token;
 use crate::model::{EngineEvent, EngineModel};
 
-/// What the engine saw.
+/// What the engine received and did.
 #[derive(Debug, Default, Clone)]
 pub struct EngineRecord {
-    /// Starts by generation.
+    /// Number of starts by generation.
     pub starts: HashMap<String, u32>,
-    /// The generations that were started for a prompt.
+    /// Generations that were started, by prompt.
     pub generations: HashMap<String, HashSet<String>>,
-    /// The traces that starts belonged to.
+    /// Trace contexts of the starts.
     pub traceparents: Vec<String>,
-    /// How long after the engine began to leave the last start was asked of it.
+    /// Time from when the engine began to leave to the last start request.
     pub last_start_after_leaving_ms: u64,
-    /// Tokens computed by generation.
+    /// Number of generated tokens by generation.
     pub computed_tokens: HashMap<String, u32>,
     /// Generations that were cancelled.
     pub cancelled: Vec<String>,
-    /// Starts that were refused because the engine leaves.
+    /// Number of starts refused because the engine is leaving.
     pub refused_starts: u32,
-    /// Orders that were carried out.
+    /// Orders that were executed.
     pub orders: Vec<Order>,
 }
 
@@ -36,7 +36,7 @@
     pub(crate) prompt: String,
     pub(crate) first_index: u32,
     pub(crate) tokens: Vec<String>,
-    pub(crate) done: Option<(u32, Finish)>,
+    pub(crate) completion: Option<(u32, Finish)>,
     pub(crate) attempt: u32,
     pub(crate) changed: watch::Sender<u64>,
 }
@@ -45,23 +45,23 @@
 pub(crate) struct State {
     pub(crate) model: EngineModel,
     pub(crate) runs: HashMap<u64, Run>,
-    pub(crate) by_name: HashMap<String, u64>,
+    pub(crate) id_by_generation: HashMap<String, u64>,
     pub(crate) record: EngineRecord,
     pub(crate) fencing: u64,
     pub(crate) leaving_since: Option<Instant>,
 }
 
 impl State {
-    pub(crate) fn take_in(&mut self, events: &[EngineEvent]) {
+    pub(crate) fn apply_events(&mut self, events: &[EngineEvent]) {
         for event in events {
             match *event {
-                EngineEvent::Token { id, index } => self.take_token(id, index),
+                EngineEvent::Token { id, index } => self.append_token(id, index),
                 EngineEvent::Done { id } => {
                     let Some(run) = self.runs.get_mut(&id) else {
                         continue;
                     };
                     let total = run.first_index + run.tokens.len() as u32;
-                    run.done = Some((total, Finish::Stop));
+                    run.completion = Some((total, Finish::Stop));
                     run.changed.send_modify(|count| *count += 1);
                 }
                 EngineEvent::Preempted { .. } => {}
@@ -69,19 +69,19 @@
         }
     }
 
-    fn take_token(&mut self, id: u64, index: u32) {
+    fn append_token(&mut self, id: u64, index: u32) {
         let Some(run) = self.runs.get_mut(&id) else {
             return;
         };
-        let have = run.first_index + run.tokens.len() as u32;
-        assert_eq!(index, have, "the stand-in engine skipped a token");
+        let next_index = run.first_index + run.tokens.len() as u32;
+        assert_eq!(index, next_index, "the stand-in engine skipped a token");
         run.tokens.push(answer_token(&run.prompt, index));
         run.changed.send_modify(|count| *count += 1);
         let generation = run.generation.clone();
         *self.record.computed_tokens.entry(generation).or_default() += 1;
     }
 
-    pub(crate) fn drop_run(&mut self, id: u64) {
+    pub(crate) fn remove_run(&mut self, id: u64) {
         self.model.cancel(id);
         self.runs.remove(&id);
     }
@@ -90,7 +90,8 @@
         self.runs.get(&id).map(|run| run.changed.subscribe())
     }
 
-    /// What a stream still has to send from `next` on; `None` where a newer attempt reads.
+    /// The items that a stream has to send from index `next` on; `None` if the run is gone or a
+    /// newer attempt reads it.
     pub(crate) fn items(&self, id: u64, attempt: u32, next: u32) -> Option<Vec<StreamItem>> {
         let run = self.runs.get(&id)?;
         if run.attempt != attempt {
@@ -107,7 +108,7 @@
                 text: text.clone(),
             })
             .collect();
-        if let Some((total_tokens, finish)) = run.done {
+        if let Some((total_tokens, finish)) = run.completion {
             items.push(StreamItem::Done {
                 generation: generation.clone(),
                 attempt,
--- a/tests/explain.rs
+++ b/tests/explain.rs
@@ -75,8 +75,8 @@
     );
 }
 
-/// Lines of several hosts are merged by time. The relaying host logs the request id, the home of its
-/// cell only the key of the generation. Truncated lines are counted, and a prefix that a log
+/// Lines of several hosts are merged by time. The relaying host logs the request id, the home of
+/// its cell only the key of the generation. Truncated lines are counted, and a prefix that a log
 /// collector puts before a line is ignored.
 #[test]
 fn merges_lines_of_several_hosts() {
@@ -109,8 +109,8 @@
     assert!(shown.contains("host-b cells: 00000000000000aa"), "{shown}");
 }
 
-/// A request is refused because other requests with the same content crashed upstreams. The lines of
-/// those crashes and of the circuit for the content are shown; lines of other contents are not.
+/// A request is refused because other requests with the same content crashed upstreams. The lines
+/// of those crashes and of the circuit for the content are shown; lines of other contents are not.
 #[test]
 fn shows_crashes_of_the_same_content() {
     let crashed = line(
--- a/tests/golden.rs
+++ b/tests/golden.rs
@@ -1,5 +1,5 @@
-//! Complete sessions compared byte for byte. Generation names, times and dates, which differ in each
-//! run, are replaced by placeholders.
+//! Complete sessions compared byte for byte. Generation names, times and dates, which differ in
+//! each run, are replaced by placeholders.
 
 use std::collections::HashMap;
 use std::sync::atomic::Ordering;
@@ -80,7 +80,8 @@
     insta::assert_snapshot!(shown);
 }
 
-/// The engine disconnects each stream after two tokens. The session must equal an uninterrupted one.
+/// The engine disconnects each stream after two tokens. The session must equal an uninterrupted
+/// one.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_resumed_answer() {
     let deployment = deployment().await;
--- a/tests/idempotent_submissions.rs
+++ b/tests/idempotent_submissions.rs
@@ -157,8 +157,8 @@
     runs: u64,
 }
 
-/// The response of a plain service is lost. A call that may not be repeated is sent once and reported
-/// with an unknown outcome; a repeatable one is retried and answered.
+/// The response of a plain service is lost. A call that may not be repeated is sent once and
+/// reported with an unknown outcome; a repeatable one is retried and answered.
 #[rstest]
 #[case::repeatable(PlainCase { method: Method::GET, status: StatusCode::OK, runs: 2 })]
 #[case::not_repeatable(PlainCase { method: Method::POST, status: StatusCode::BAD_GATEWAY, runs: 1 })]
--- a/tests/processes.rs
+++ b/tests/processes.rs
@@ -260,7 +260,8 @@
 }
 
 /// Set up from processes and settings files only: an operator applies the example, callers at all
-/// three hosts get complete responses, `plan` shows no difference, and an unknown preset is refused.
+/// three hosts get complete responses, `plan` shows no difference, and an unknown preset is
+/// refused.
 #[tokio::test(flavor = "multi_thread")]
 async fn processes_serve_operators_and_callers() {
     let mut hosts = start("meet");
@@ -316,7 +317,8 @@
 }
 
 /// One process is killed and another paused for 4 s, longer than all timeouts of its peers. Callers
-/// of the third must be unaffected. The resumed process must refute that it is dead and serve again.
+/// of the third must be unaffected. The resumed process must refute that it is dead and serve
+/// again.
 #[tokio::test(flavor = "multi_thread")]
 async fn killed_and_paused_processes_do_not_affect_others() {
     let mut hosts = start("pause");
--- a/tests/stream_failures.rs
+++ b/tests/stream_failures.rs
@@ -1,5 +1,5 @@
-//! Under failures of engines and connections, callers get every token of one generation exactly once
-//! and in order.
+//! Under failures of engines and connections, callers get every token of one generation exactly
+//! once and in order.
 
 use std::sync::atomic::Ordering;
 use std::time::Duration;
@@ -47,8 +47,8 @@
 }
 
 /// The engine fails in one of several ways after the first tokens; the caller must still get one
-/// complete response. The host resumes over a new connection if the engine still has the generation,
-/// otherwise on another engine with the prompt and the tokens generated so far.
+/// complete response. The host resumes over a new connection if the engine still has the
+/// generation, otherwise on another engine with the prompt and the tokens generated so far.
 #[rstest]
 #[case::engine_hangs(Failure {
     inject: |engine| engine.faults.unresponsive.store(true, Ordering::Relaxed),
@@ -133,8 +133,8 @@
     assert!(waited.is_ok(), "the engine still runs it");
 }
 
-/// An engine reports that it leaves, while the host list still has it as live. From 3 s later on, no
-/// host may start a generation on it.
+/// An engine reports that it leaves, while the host list still has it as live. From 3 s later on,
+/// no host may start a generation on it.
 #[tokio::test(flavor = "multi_thread")]
 async fn leaving_engine_gets_no_new_generations() {
     let deployment = deployment(2).await;
