--- a/crates/bench/src/cmd/cell.rs
+++ b/crates/bench/src/cmd/cell.rs
@@ -3,7 +3,7 @@
 
 use bpaf::Bpaf;
 
-use crate::reclaim::{Flood, Mix, Row, RowName, Settings, run};
+use crate::reclaim::{Flood, Mix, PolicyName, Row, Settings, run};
 
 /// Compare policies of placement and migration on engines that are reclaimed, in virtual time
 #[derive(Debug, Clone, Bpaf)]
@@ -20,7 +20,7 @@
     load: f64,
     /// Run one policy only: oracle, stay, move, copy_all, copy_largest, unfair or kept
     #[bpaf(argument("NAME"))]
-    policy: Option<RowName>,
+    policy: Option<PolicyName>,
     /// Number of engines
     #[bpaf(argument("N"), fallback(48))]
     engines: usize,
@@ -52,14 +52,14 @@
 
 impl Cell {
     pub(crate) fn run(&self) {
-        let rows = match self.policy {
-            Some(row) => vec![row],
-            None => RowName::ALL.to_vec(),
+        let policies = match self.policy {
+            Some(policy) => vec![policy],
+            None => PolicyName::ALL.to_vec(),
         };
-        for row in rows {
+        for policy in policies {
             for seed in self.seed..self.seed + self.seeds {
                 self.print(&run(Settings {
-                    row,
+                    policy,
                     engines: self.engines,
                     load: self.load,
                     duration_s: self.duration_s,
@@ -81,7 +81,7 @@
         let exists = organisation < self.organisations;
         exists.then_some(Flood {
             organisation,
-            times: self.flood_times,
+            rate_factor: self.flood_times,
         })
     }
 
--- a/crates/bench/src/reclaim/engine.rs
+++ b/crates/bench/src/reclaim/engine.rs
@@ -1,22 +1,22 @@
-//! An engine: a batch that steps together, prompts read in chunks, memory that runs out.
+//! Simulated engine: continuous batching, chunked prefill, and preemption when memory runs out.
 
 use std::collections::VecDeque;
 
 use fulmarpath_policy::EngineCapacity;
 
-/// The users' figures of an engine of the grown deployments.
-pub(super) const FIGURES: EngineCapacity = EngineCapacity {
+/// An engine of the users' grown deployments, by their figures.
+pub(super) const CAPACITY: EngineCapacity = EngineCapacity {
     memory_tokens: 21_874,
     slots: 24,
     token_bytes: 18_432,
     link_mbps: 2_700.0,
     copy_ttl_ms: 5_000,
 };
-const STEP_MS: f64 = 7.0;
-const STEP_MS_EACH: f64 = 0.12;
-const STEP_MS_EACH_1000: f64 = 0.004;
+const STEP_BASE_MS: f64 = 7.0;
+const STEP_MS_PER_SEQUENCE: f64 = 0.12;
+const STEP_MS_PER_1000_TOKENS: f64 = 0.004;
 const PREFILL_TOKENS_PER_MS: f64 = 14.0;
-const CHUNK_TOKENS: u32 = 112;
+const PREFILL_CHUNK_TOKENS: u32 = 112;
 
 /// A generation on an engine.
 #[derive(Debug, Clone, Copy)]
@@ -25,8 +25,8 @@
     pub(super) prompt_tokens: u32,
     pub(super) out_tokens: u32,
     pub(super) length_tokens: u32,
-    /// Tokens that are still to be read before it goes on.
-    pub(super) unread_tokens: u32,
+    /// Tokens that are still to be prefilled before decoding starts or resumes.
+    pub(super) prefill_tokens_left: u32,
     pub(super) is_long: bool,
 }
 
@@ -36,28 +36,27 @@
     }
 }
 
-/// What a step brought.
+/// Result of one step for one generation.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(super) enum Made {
+pub(super) enum StepOutput {
     Token(usize),
     Done(usize),
-    /// Its memory was taken; so many tokens are read again.
+    /// Its memory was freed; this many tokens have to be prefilled again.
     Preempted(usize, u32),
 }
 
-/// One engine.
 #[derive(Debug, Default)]
 pub(super) struct Engine {
     pub(super) data_centre: u64,
-    pub(super) series: u32,
+    pub(super) epoch: u32,
     pub(super) is_stepping: bool,
-    pub(super) gone_at_us: Option<u64>,
+    pub(super) stops_at_us: Option<u64>,
     pub(super) is_gone: bool,
-    /// When its link has done what was given to it.
+    /// When the link has finished the transfers queued on it.
     pub(super) link_free_us: u64,
     queue: VecDeque<Job>,
     batch: Vec<Job>,
-    /// Copies of others' memory: which run's, how much, until when at the most.
+    /// Copies of generations of other engines: run, tokens, expiry in µs.
     copies: Vec<(usize, u32, u64)>,
 }
 
@@ -73,7 +72,7 @@
         self.queue.push_back(job);
     }
 
-    /// A generation goes on from a copy: it is let in first.
+    /// Resumes a generation from its copy, ahead of the queue.
     pub(super) fn resume(&mut self, job: Job) {
         self.drop_copy(job.run);
         self.batch.push(job);
@@ -85,34 +84,34 @@
     }
 
     pub(super) fn drop_copy(&mut self, run: usize) {
-        self.copies.retain(|(one, _, _)| *one != run);
+        self.copies.retain(|(held, _, _)| *held != run);
     }
 
     pub(super) fn grow_copy(&mut self, run: usize, tokens: u32) {
-        let copy = self.copies.iter_mut().find(|(one, _, _)| *one == run);
+        let copy = self.copies.iter_mut().find(|(held, _, _)| *held == run);
         if let Some(copy) = copy {
             copy.1 = tokens;
         }
     }
 
-    /// What a copy holds here.
+    /// Tokens of this engine's copy of a run; 0 without one.
     pub(super) fn copied_tokens(&self, run: usize) -> u32 {
-        let copy = self.copies.iter().find(|(one, _, _)| *one == run);
+        let copy = self.copies.iter().find(|(held, _, _)| *held == run);
         copy.map_or(0, |(_, tokens, _)| *tokens)
     }
 
-    /// Takes a generation off it, with what it has.
-    pub(super) fn take(&mut self, run: usize) -> Option<Job> {
-        let place = self.batch.iter().position(|job| job.run == run)?;
-        Some(self.batch.remove(place))
+    /// Removes a generation from the batch with its progress.
+    pub(super) fn remove(&mut self, run: usize) -> Option<Job> {
+        let index = self.batch.iter().position(|job| job.run == run)?;
+        Some(self.batch.remove(index))
     }
 
     pub(super) fn find(&self, run: usize) -> Option<&Job> {
         self.batch.iter().find(|job| job.run == run)
     }
 
-    /// Everything that is on it, as it ends.
-    pub(super) fn clear(&mut self) -> Vec<usize> {
+    /// Removes all generations and copies; returns the runs of the generations.
+    pub(super) fn drain_runs(&mut self) -> Vec<usize> {
         self.copies.clear();
         let all = self.queue.drain(..).chain(self.batch.drain(..));
         all.map(|job| job.run).collect()
@@ -123,15 +122,16 @@
         held + self.copies.iter().map(|(_, tokens, _)| tokens).sum::<u32>()
     }
 
-    pub(super) fn has_room(&self, tokens: u32) -> bool {
-        self.used_tokens() + tokens <= FIGURES.memory_tokens
+    pub(super) fn has_memory(&self, tokens: u32) -> bool {
+        self.used_tokens() + tokens <= CAPACITY.memory_tokens
     }
 
-    /// Lets in what fits; how long the next step takes, or `None` where there is nothing to do.
+    /// Admits queued generations that fit and returns the duration of the next step in ms, or
+    /// `None` if the batch is empty.
     pub(super) fn begin_step(&mut self, now_us: u64) -> Option<f64> {
         self.copies.retain(|(_, _, until_us)| *until_us > now_us);
-        while self.batch.len() < FIGURES.slots as usize {
-            let fits = |job: &Job| self.has_room(job.held_tokens());
+        while self.batch.len() < CAPACITY.slots as usize {
+            let fits = |job: &Job| self.has_memory(job.held_tokens());
             if !self.queue.front().is_some_and(fits) {
                 break;
             }
@@ -141,43 +141,46 @@
             return None;
         }
         let context: u32 = self.batch.iter().map(Job::held_tokens).sum();
-        let unread = self.batch.iter().find(|job| job.unread_tokens > 0);
-        let chunk = unread.map_or(0, |job| job.unread_tokens.min(CHUNK_TOKENS));
-        let batch_ms = STEP_MS + STEP_MS_EACH * self.batch.len() as f64;
-        let context_ms = STEP_MS_EACH_1000 * f64::from(context) / 1_000.0;
+        let prefilling = self.batch.iter().find(|job| job.prefill_tokens_left > 0);
+        let chunk = prefilling.map_or(0, |job| job.prefill_tokens_left.min(PREFILL_CHUNK_TOKENS));
+        let batch_ms = STEP_BASE_MS + STEP_MS_PER_SEQUENCE * self.batch.len() as f64;
+        let context_ms = STEP_MS_PER_1000_TOKENS * f64::from(context) / 1_000.0;
         Some(batch_ms + context_ms + f64::from(chunk) / PREFILL_TOKENS_PER_MS)
     }
 
-    /// The step is over.
-    pub(super) fn end_step(&mut self) -> Vec<Made> {
-        let mut made = Vec::new();
-        let reading = self.batch.iter().position(|job| job.unread_tokens > 0);
-        for (place, job) in self.batch.iter_mut().enumerate() {
-            if job.unread_tokens > 0 {
-                if Some(place) == reading {
-                    job.unread_tokens -= job.unread_tokens.min(CHUNK_TOKENS);
+    /// Advances prefill by one chunk and each decoding generation by one token.
+    pub(super) fn end_step(&mut self) -> Vec<StepOutput> {
+        let mut outputs = Vec::new();
+        let prefilling = self
+            .batch
+            .iter()
+            .position(|job| job.prefill_tokens_left > 0);
+        for (index, job) in self.batch.iter_mut().enumerate() {
+            if job.prefill_tokens_left > 0 {
+                if Some(index) == prefilling {
+                    job.prefill_tokens_left -= job.prefill_tokens_left.min(PREFILL_CHUNK_TOKENS);
                 }
                 continue;
             }
             job.out_tokens += 1;
-            made.push(match job.out_tokens >= job.length_tokens {
-                true => Made::Done(job.run),
-                false => Made::Token(job.run),
+            outputs.push(match job.out_tokens >= job.length_tokens {
+                true => StepOutput::Done(job.run),
+                false => StepOutput::Token(job.run),
             });
         }
         self.batch.retain(|job| job.out_tokens < job.length_tokens);
-        self.preempt(&mut made);
-        made
+        self.preempt(&mut outputs);
+        outputs
     }
 
-    /// Where memory has run out the newest of the less urgent gives its own up.
-    fn preempt(&mut self, made: &mut Vec<Made>) {
-        while self.used_tokens() > FIGURES.memory_tokens && self.batch.len() > 1 {
+    /// Preempts the newest long generation, or else the newest, while memory is exceeded.
+    fn preempt(&mut self, outputs: &mut Vec<StepOutput>) {
+        while self.used_tokens() > CAPACITY.memory_tokens && self.batch.len() > 1 {
             let newest_long = self.batch.iter().rposition(|job| job.is_long);
-            let place = newest_long.unwrap_or(self.batch.len() - 1);
-            let mut job = self.batch.remove(place);
-            job.unread_tokens = job.held_tokens();
-            made.push(Made::Preempted(job.run, job.held_tokens()));
+            let index = newest_long.unwrap_or(self.batch.len() - 1);
+            let mut job = self.batch.remove(index);
+            job.prefill_tokens_left = job.held_tokens();
+            outputs.push(StepOutput::Preempted(job.run, job.held_tokens()));
             self.queue.push_front(job);
         }
     }
--- a/crates/bench/src/reclaim/event.rs
+++ b/crates/bench/src/reclaim/event.rs
@@ -1,83 +1,84 @@
-//! What happens next.
+//! Events of the simulation and their queue.
 
 use std::cmp::Ordering;
 use std::collections::BinaryHeap;
 
 use fulmarpath_policy::Migration;
 
-/// Something that happens at a moment.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub(super) enum Event {
-    /// A caller's try arrives.
+    /// An attempt of a caller arrives.
     Arrive(usize),
-    /// A try that found no room asks again.
-    Ask(usize),
-    /// An engine has made a step; of an older series of steps where the numbers differ.
-    Step { engine: usize, series: u32 },
-    /// The next reclaim.
+    /// An attempt that found no free engine requests a placement again.
+    RetryPlacement(usize),
+    /// An engine has finished a step. Ignored if its epoch has changed since the step began.
+    Step { engine: usize, epoch: u32 },
+    /// The next batch of engines is reclaimed.
     Reclaim,
-    /// The home has heard that an engine leaves.
-    Heard(usize),
-    /// The home has asked an engine how long it will be there.
-    Looked(usize),
-    /// The home looks for something to carry off an engine.
-    Carry(usize),
-    /// The long copy is at its destination.
-    Copied(Migration),
-    /// The short copy is there too, and the destination goes on.
-    GoesOn(Migration),
-    /// An engine is gone.
-    Gone(usize),
-    /// An engine crashes.
+    /// The home has received the notice that an engine leaves.
+    NoticeReceived(usize),
+    /// The home has an engine's report of its remaining time.
+    TimeLeftReported(usize),
+    /// The home looks for the next generation to migrate off an engine.
+    NextMigration(usize),
+    /// The bulk copy of a generation's memory is at its destination.
+    BulkCopied(Migration),
+    /// The copy of what was added meanwhile is there too, and the destination resumes.
+    DeltaCopied(Migration),
+    /// An engine ends at the end of its notice.
+    EngineGone(usize),
+    /// An engine ends without notice.
     Crash,
-    /// A new engine is there.
-    Born,
-    /// Hosts state what they relay.
-    Restate,
+    /// A replacement engine has started.
+    EngineStarted,
+    /// Hosts restate the runs that they relay.
+    RestateRuns,
 }
 
 #[derive(Debug, Clone, Copy, PartialEq)]
-struct At {
+struct ScheduledEvent {
     at_us: u64,
-    /// Events of one moment keep their order.
-    number: u64,
+    /// Breaks ties: events at the same time are handled in the order of scheduling.
+    sequence: u64,
     event: Event,
 }
 
-impl Eq for At {}
+impl Eq for ScheduledEvent {}
 
-impl Ord for At {
+impl Ord for ScheduledEvent {
     fn cmp(&self, other: &Self) -> Ordering {
-        let other = (other.at_us, other.number);
-        other.cmp(&(self.at_us, self.number))
+        let other = (other.at_us, other.sequence);
+        other.cmp(&(self.at_us, self.sequence))
     }
 }
 
-impl PartialOrd for At {
+impl PartialOrd for ScheduledEvent {
     fn partial_cmp(&self, other: &Self) -> Option<Ordering> {
         Some(self.cmp(other))
     }
 }
 
-/// Events in the order of their moments.
+/// Events, earliest first.
 #[derive(Debug, Default)]
-pub(super) struct Agenda {
-    events: BinaryHeap<At>,
-    number: u64,
+pub(super) struct EventQueue {
+    events: BinaryHeap<ScheduledEvent>,
+    sequence: u64,
 }
 
-impl Agenda {
-    pub(super) fn add(&mut self, at_us: u64, event: Event) {
-        self.number += 1;
-        let number = self.number;
-        self.events.push(At {
+impl EventQueue {
+    pub(super) fn schedule(&mut self, at_us: u64, event: Event) {
+        self.sequence += 1;
+        let sequence = self.sequence;
+        self.events.push(ScheduledEvent {
             at_us,
-            number,
+            sequence,
             event,
         });
     }
 
-    pub(super) fn next(&mut self) -> Option<(u64, Event)> {
-        self.events.pop().map(|at| (at.at_us, at.event))
+    pub(super) fn pop(&mut self) -> Option<(u64, Event)> {
+        self.events
+            .pop()
+            .map(|scheduled| (scheduled.at_us, scheduled.event))
     }
 }
--- a/crates/bench/src/reclaim/request.rs
+++ b/crates/bench/src/reclaim/request.rs
@@ -1,4 +1,4 @@
-//! Callers' requests, drawn by the users' sheets.
+//! Draws callers' requests by the users' sheets.
 
 use std::ops::Range;
 
@@ -7,70 +7,70 @@
 
 use super::world::Settings;
 
-/// Tokens of one event.
+/// Tokens in one event of an answer.
 const EVENT_TOKENS: u32 = 4;
-/// How far callers' guesses are off: the deviation of their logarithm.
-const GUESS_SIGMA: f64 = 1.2;
+/// Error of callers' length hints: standard deviation of the logarithm of hint over length.
+const HINT_SIGMA: f64 = 1.2;
 
-/// One kind of request, by the sheets of the grown deployments.
+/// One kind of request, by the users' sheets of the grown deployments.
 #[derive(Debug, Clone, Copy)]
-struct Kind {
+struct RequestKind {
     rate: f64,
-    shared_tokens: u32,
-    prompt_tokens: Drawn,
-    events: Drawn,
+    shared_prefix_tokens: u32,
+    prompt_tokens: LogNormal,
+    events: LogNormal,
     target_ms: u64,
-    /// How long callers wait at all.
+    /// Callers give up after this time.
     deadline_ms: u64,
     priority: u8,
 }
 
-/// A lognormal draw with a mean, cut off above.
+/// Lognormal distribution with its mean, capped at `max`.
 #[derive(Debug, Clone, Copy)]
-struct Drawn {
+struct LogNormal {
     mean: f64,
     sigma: f64,
-    most: f64,
+    max: f64,
 }
 
-impl Kind {
+impl RequestKind {
     fn is_long(&self) -> bool {
         self.priority > 0
     }
 }
 
-/// Requests a second at load 1.0 before each engine: both kinds together then ask for about the
-/// memory of the engines that are there, with 8.6 s for a report and 0.6 s for a short answer.
-const KINDS: [Kind; 2] = [
-    Kind {
+/// Rates are requests per second and engine at load 1.0: both kinds together then need about the
+/// memory of the running engines, at 8.6 s for a report and 0.6 s for a short answer.
+const KINDS: [RequestKind; 2] = [
+    RequestKind {
         rate: 0.60,
-        shared_tokens: 79,
-        prompt_tokens: Drawn {
+        shared_prefix_tokens: 79,
+        prompt_tokens: LogNormal {
             mean: 3_000.0,
             sigma: 0.35,
-            most: 6_000.0,
+            max: 6_000.0,
         },
-        events: Drawn {
+        events: LogNormal {
             mean: 188.0,
             sigma: 1.344,
-            most: 442.0,
+            max: 442.0,
         },
         target_ms: 1_800,
         deadline_ms: 39_000,
         priority: 1,
     },
-    Kind {
+    RequestKind {
         rate: 0.67,
-        shared_tokens: 350,
-        prompt_tokens: Drawn {
+        shared_prefix_tokens: 350,
+        prompt_tokens: LogNormal {
             mean: 2_200.0,
             sigma: 0.6,
-            most: 6_000.0,
+            max: 6_000.0,
         },
-        events: Drawn {
+        events: LogNormal {
             mean: 2.87,
             sigma: 1.424,
-            most: 10.0,
+            max: 10.0,
         },
         target_ms: 1_500,
         deadline_ms: 6_000,
@@ -78,9 +78,9 @@
     },
 ];
 
-/// A request as its caller means it.
+/// A request as its caller sends it, with the length that its answer will have.
 #[derive(Debug, Clone, Copy)]
-pub(super) struct Asked {
+pub(super) struct CallerRequest {
     pub(super) at_us: u64,
     pub(super) is_long: bool,
     pub(super) prompt_tokens: u32,
@@ -90,37 +90,37 @@
     pub(super) target_ms: u64,
     pub(super) deadline_ms: u64,
     pub(super) priority: u8,
-    /// Its place among the organisations, the largest first.
+    /// Index among the organisations, the largest first.
     pub(super) organisation: usize,
 }
 
-/// One organisation sends many times its usual for a part of the day.
+/// One organisation sends many times its usual rate for a part of the run.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct Flood {
-    /// Its place among the organisations, the largest first.
+    /// Index among the organisations, the largest first.
     pub(crate) organisation: usize,
-    /// Its requests, in times of its usual.
-    pub(crate) times: f64,
+    /// Its rate during the flood, as a multiple of its usual rate.
+    pub(crate) rate_factor: f64,
 }
 
 impl Flood {
-    /// The part of the day in which it comes.
-    const PART: std::ops::Range<f64> = 0.25..0.75;
+    /// The part of the run in which the flood happens.
+    const WINDOW: std::ops::Range<f64> = 0.25..0.75;
 }
 
-/// Organisations by size: each has this share of the requests of all.
-fn usual_share(organisation: usize, organisations: usize) -> f64 {
-    let weight = |place: usize| 1.0 / (place + 1) as f64;
+/// Share of all requests that come from an organisation. Sizes follow Zipf's law.
+fn organisation_share(organisation: usize, organisations: usize) -> f64 {
+    let weight = |index: usize| 1.0 / (index + 1) as f64;
     let all: f64 = (0..organisations).map(weight).sum();
     weight(organisation) / all
 }
 
-/// Requests a second before each engine at load 1.0, long ones and short ones.
+/// Requests per second and engine at load 1.0, by kind.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct Mix {
-    /// Long answers.
+    /// Requests with long answers.
     pub(crate) long_rate: f64,
-    /// Short ones.
+    /// Requests with short answers.
     pub(crate) short_rate: f64,
 }
 
@@ -134,7 +134,7 @@
 }
 
 impl Mix {
-    fn rate(self, kind: &Kind) -> f64 {
+    fn rate(self, kind: &RequestKind) -> f64 {
         match kind.is_long() {
             true => self.long_rate,
             false => self.short_rate,
@@ -142,50 +142,56 @@
     }
 }
 
-/// Draws the requests of a day before so many engines.
-pub(super) fn draw(settings: &Settings) -> Vec<Asked> {
-    let mut asked = Vec::new();
+/// Draws the requests of one run, ordered by arrival.
+pub(super) fn draw(settings: &Settings) -> Vec<CallerRequest> {
+    let mut requests = Vec::new();
     for (number, kind) in KINDS.iter().enumerate() {
         let seed = settings.seed.wrapping_mul(31).wrapping_add(number as u64);
         let rate = settings.mix.rate(kind) * settings.load * settings.engines as f64;
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
-        let mut usual = arrivals(&mut rng, kind, rate, 0.0..settings.duration_s);
+        let mut ordinary = arrivals(&mut rng, kind, rate, 0.0..settings.duration_s);
         let mut rng = ChaCha8Rng::seed_from_u64(seed ^ 0x0a6);
-        for one in &mut usual {
-            one.organisation = whose(&mut rng, settings.organisations);
+        for request in &mut ordinary {
+            request.organisation = draw_organisation(&mut rng, settings.organisations);
         }
-        asked.extend(usual);
+        requests.extend(ordinary);
         let Some(flood) = settings.flood else {
             continue;
         };
-        let rate = rate * usual_share(flood.organisation, settings.organisations);
-        let part = settings.duration_s * Flood::PART.start..settings.duration_s * Flood::PART.end;
-        let mut more = arrivals(&mut rng, kind, rate * (flood.times - 1.0), part);
-        for one in &mut more {
-            one.organisation = flood.organisation;
+        let rate = rate * organisation_share(flood.organisation, settings.organisations);
+        let window =
+            settings.duration_s * Flood::WINDOW.start..settings.duration_s * Flood::WINDOW.end;
+        let mut extra = arrivals(&mut rng, kind, rate * (flood.rate_factor - 1.0), window);
+        for request in &mut extra {
+            request.organisation = flood.organisation;
         }
-        asked.extend(more);
+        requests.extend(extra);
     }
-    asked.sort_by_key(|one| one.at_us);
-    asked
+    requests.sort_by_key(|request| request.at_us);
+    requests
 }
 
-fn arrivals(rng: &mut ChaCha8Rng, kind: &Kind, rate: f64, during_s: Range<f64>) -> Vec<Asked> {
-    let mut asked = Vec::new();
+fn arrivals(
+    rng: &mut ChaCha8Rng,
+    kind: &RequestKind,
+    rate: f64,
+    during_s: Range<f64>,
+) -> Vec<CallerRequest> {
+    let mut requests = Vec::new();
     let mut at_s = during_s.start;
     loop {
         at_s -= (1.0 - rng.random::<f64>()).ln() / rate;
         if at_s >= during_s.end {
-            return asked;
+            return requests;
         }
-        asked.push(one(rng, kind, at_s));
+        requests.push(draw_request(rng, kind, at_s));
     }
 }
 
-fn whose(rng: &mut ChaCha8Rng, organisations: usize) -> usize {
+fn draw_organisation(rng: &mut ChaCha8Rng, organisations: usize) -> usize {
     let mut draw = rng.random::<f64>();
     for organisation in 0..organisations {
-        draw -= usual_share(organisation, organisations);
+        draw -= organisation_share(organisation, organisations);
         if draw < 0.0 {
             return organisation;
         }
@@ -193,18 +199,18 @@
     0
 }
 
-fn one(rng: &mut ChaCha8Rng, kind: &Kind, at_s: f64) -> Asked {
+fn draw_request(rng: &mut ChaCha8Rng, kind: &RequestKind, at_s: f64) -> CallerRequest {
     let prompt = kind.prompt_tokens.draw(rng) as u32;
     let events = kind.events.draw(rng).ceil().max(1.0) as u32;
     let length_tokens = events * EVENT_TOKENS;
-    let guess = f64::from(length_tokens) * (GUESS_SIGMA * normal(rng)).exp();
-    Asked {
+    let hint = f64::from(length_tokens) * (HINT_SIGMA * normal(rng)).exp();
+    CallerRequest {
         at_us: (at_s * 1e6) as u64,
         is_long: kind.is_long(),
-        prompt_tokens: kind.shared_tokens + prompt.max(16),
+        prompt_tokens: kind.shared_prefix_tokens + prompt.max(16),
         length_tokens,
-        limit_tokens: kind.events.most as u32 * EVENT_TOKENS,
-        hint_tokens: guess.max(1.0) as u32,
+        limit_tokens: kind.events.max as u32 * EVENT_TOKENS,
+        hint_tokens: hint.max(1.0) as u32,
         target_ms: kind.target_ms,
         deadline_ms: kind.deadline_ms,
         priority: kind.priority,
@@ -212,10 +218,10 @@
     }
 }
 
-impl Drawn {
+impl LogNormal {
     fn draw(&self, rng: &mut ChaCha8Rng) -> f64 {
         let mu = self.mean.ln() - self.sigma * self.sigma / 2.0;
-        (mu + self.sigma * normal(rng)).exp().min(self.most)
+        (mu + self.sigma * normal(rng)).exp().min(self.max)
     }
 }
 
--- a/crates/bench/src/reclaim/row.rs
+++ b/crates/bench/src/reclaim/row.rs
@@ -1,30 +1,30 @@
-//! What a day came to under one way of deciding.
+//! Results of one run under one policy.
 
 use serde::Serialize;
 
 use super::world::Settings;
 use crate::sim::UnknownName;
 
-/// A way of deciding that is compared.
+/// Policies that are compared.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum RowName {
-    /// Callers' guesses are exact, and its transfers take no time on links.
+pub(crate) enum PolicyName {
+    /// Exact length hints, and transfers that take no time on links: the upper bound.
     Oracle,
-    /// Carries nothing off.
+    /// No migration.
     Stay,
-    /// Carries off, without running copies.
+    /// Migration without running copies.
     Move,
-    /// The same, and a running copy of each long generation on the emptiest other engine.
+    /// Migration, and a running copy of each long generation on the emptiest other engine.
     CopyAll,
-    /// The same for the largest fifth alone.
+    /// Migration, and running copies of the largest fifth of the long generations.
     CopyLargest,
-    /// The gateway as it is, but for the organisations: all callers are one's.
+    /// The gateway as it is, except that all callers belong to one organisation.
     Unfair,
     /// The gateway as it is.
     Kept,
 }
 
-impl RowName {
+impl PolicyName {
     pub(crate) const ALL: [Self; 7] = [
         Self::Oracle,
         Self::Stay,
@@ -48,16 +48,16 @@
     }
 }
 
-impl std::str::FromStr for RowName {
+impl std::str::FromStr for PolicyName {
     type Err = UnknownName;
 
     fn from_str(name: &str) -> Result<Self, UnknownName> {
-        let known = Self::ALL.into_iter().find(|row| row.name() == name);
+        let known = Self::ALL.into_iter().find(|policy| policy.name() == name);
         known.ok_or(UnknownName)
     }
 }
 
-/// What a day came to.
+/// Results of one run.
 #[derive(Debug, Clone, Serialize)]
 pub(crate) struct Row {
     pub(crate) policy: &'static str,
@@ -65,71 +65,72 @@
     pub(crate) seed: u64,
     pub(crate) organisations: Organisations,
     pub(crate) asked: usize,
-    /// Of the long ones: whole, whole and on time, whole and late.
+    /// Of the long requests: complete, complete and on time, complete and late.
     pub(crate) whole_share: f64,
     pub(crate) on_time_share: f64,
     pub(crate) late_share: f64,
-    /// Of the short ones: whole and on time.
+    /// Of the short requests: complete and on time.
     pub(crate) short_on_time_share: f64,
-    /// Of the tenth of the long ones with the largest prompts: whole and on time.
+    /// Of the tenth of the long requests with the largest prompts: complete and on time.
     pub(crate) largest_on_time_share: f64,
-    /// Of the tenth of the long ones with the longest answers: whole and on time.
+    /// Of the tenth of the long requests with the longest answers: complete and on time.
     pub(crate) longest_on_time_share: f64,
-    /// Benefit of the long ones, of what was owed: by size, a seventh of it where they are late.
+    /// Benefit of the long requests as a share of the possible benefit: it grows with a request's
+    /// size, and a late answer is worth a seventh.
     pub(crate) benefit_share: f64,
-    /// Callers of long ones that were refused and got nothing after it either.
+    /// Long requests that were refused and not served on their retry either.
     pub(crate) refused_for_good: usize,
-    /// Time to the first event of the long ones that were served.
+    /// Time to the first event of the long requests that were served.
     pub(crate) first_ms_p50: f64,
     pub(crate) first_ms_p99: f64,
-    /// The same of the short ones.
+    /// The same of the short requests.
     pub(crate) short_first_ms_p90: f64,
     pub(crate) short_first_ms_p99: f64,
-    /// Time for a token of an answer, on average.
+    /// Mean time per output token.
     pub(crate) token_ms: f64,
-    /// Life of the long ones that were served, by their benefit: what is lost where all hosts end at
-    /// once grows with it.
+    /// Mean duration of the long requests that were served, weighted by size. The loss when all
+    /// hosts end at once grows with it.
     pub(crate) life_ms: f64,
     pub(crate) refused: usize,
     pub(crate) lost: usize,
     pub(crate) preemptions: u32,
     pub(crate) moves: u32,
     pub(crate) wasted_prompt_tokens: u64,
-    /// Pauses of generations that were carried.
+    /// Pauses in streams whose generation was migrated.
     pub(crate) pause_ms_p50: f64,
     pub(crate) pause_ms_p99: f64,
 }
 
-/// How one caller fared.
+/// Outcome of one request of a caller.
 #[derive(Debug, Clone, Copy, Default)]
-pub(super) struct Fared {
+pub(super) struct CallerOutcome {
     pub(super) is_long: bool,
     pub(super) organisation: usize,
     pub(super) prompt_tokens: u32,
     pub(super) length_tokens: u32,
-    pub(super) is_whole: bool,
+    pub(super) is_complete: bool,
     pub(super) is_on_time: bool,
     pub(super) was_refused: bool,
     pub(super) first_ms: f64,
-    /// From the first event to the last.
+    /// Time from the first event to the last.
     pub(super) stream_ms: f64,
 }
 
-/// What a late answer is worth of one on time, by the users' sheets.
+/// Benefit of a late answer relative to one on time, by the users' sheets.
 const LATE_BENEFIT: f64 = 0.15;
-/// A token out weighs as much as so many of the prompt.
-const OUT_WEIGHT: u32 = 10;
-/// The part of a request's benefit that doesn't grow with its size.
-const LEAST_BENEFIT: f64 = 0.3;
+/// An output token weighs as much as this many prompt tokens.
+const OUT_TOKEN_WEIGHT: u32 = 10;
+/// Share of a request's benefit that doesn't depend on its size.
+const FIXED_BENEFIT: f64 = 0.3;
 
-impl Fared {
-    /// Its size, as the users weigh generations.
+impl CallerOutcome {
+    /// Size in prompt tokens, as the users weigh generations.
     fn size(&self) -> f64 {
-        f64::from(self.prompt_tokens + OUT_WEIGHT * self.length_tokens)
+        f64::from(self.prompt_tokens + OUT_TOKEN_WEIGHT * self.length_tokens)
     }
 
-    fn got(&self) -> f64 {
-        match (self.is_whole, self.is_on_time) {
+    fn benefit_factor(&self) -> f64 {
+        match (self.is_complete, self.is_on_time) {
             (_, true) => 1.0,
             (true, false) => LATE_BENEFIT,
             (false, false) => 0.0,
@@ -137,80 +138,92 @@
     }
 }
 
-/// Benefit of what was owed.
-fn benefit_share(of: &[&Fared]) -> f64 {
-    let mean = of.iter().map(|one| one.size()).sum::<f64>() / of.len().max(1) as f64;
-    let owed = |one: &Fared| LEAST_BENEFIT + (1.0 - LEAST_BENEFIT) * one.size() / mean;
-    let got: f64 = of.iter().map(|one| owed(one) * one.got()).sum();
-    got / of.iter().map(|one| owed(one)).sum::<f64>()
+/// Benefit obtained as a share of the possible benefit.
+fn benefit_share(outcomes: &[&CallerOutcome]) -> f64 {
+    let mean =
+        outcomes.iter().map(|outcome| outcome.size()).sum::<f64>() / outcomes.len().max(1) as f64;
+    let possible =
+        |outcome: &CallerOutcome| FIXED_BENEFIT + (1.0 - FIXED_BENEFIT) * outcome.size() / mean;
+    let obtained: f64 = outcomes
+        .iter()
+        .map(|outcome| possible(outcome) * outcome.benefit_factor())
+        .sum();
+    obtained
+        / outcomes
+            .iter()
+            .map(|outcome| possible(outcome))
+            .sum::<f64>()
 }
 
-/// Mean life, by benefit.
-fn life_ms(of: &[&&Fared]) -> f64 {
-    let sizes: f64 = of.iter().map(|one| one.size()).sum();
-    let lives = of
+/// Mean duration, weighted by size.
+fn life_ms(outcomes: &[&&CallerOutcome]) -> f64 {
+    let sizes: f64 = outcomes.iter().map(|outcome| outcome.size()).sum();
+    let durations = outcomes
         .iter()
-        .map(|one| one.size() * (one.first_ms + one.stream_ms));
-    lives.sum::<f64>() / sizes.max(1.0)
+        .map(|outcome| outcome.size() * (outcome.first_ms + outcome.stream_ms));
+    durations.sum::<f64>() / sizes.max(1.0)
 }
 
-fn share(of: &[&Fared], counts: impl Fn(&Fared) -> bool) -> f64 {
-    let count = of.iter().filter(|one| counts(one)).count();
-    count as f64 / of.len().max(1) as f64
+fn share(outcomes: &[&CallerOutcome], counts: impl Fn(&CallerOutcome) -> bool) -> f64 {
+    let count = outcomes.iter().filter(|outcome| counts(outcome)).count();
+    count as f64 / outcomes.len().max(1) as f64
 }
 
-/// The value below which this share of sorted values lies; 0 for none.
+/// The value below which this share of the sorted values lies; 0 if there are none.
 fn percentile(sorted: &[f64], share: f64) -> f64 {
-    let place = (sorted.len() as f64 * share) as usize;
-    sorted.get(place).copied().unwrap_or_default()
+    let index = (sorted.len() as f64 * share) as usize;
+    sorted.get(index).copied().unwrap_or_default()
 }
 
-/// How organisations fared beside one that floods, or beside the largest.
+/// Service of the other organisations while one floods; without a flood, beside the largest.
 #[derive(Debug, Clone, Serialize)]
 pub(crate) struct Organisations {
-    /// Of the requests of the one that floods.
+    /// Of the requests of the flooding organisation.
     pub(crate) flooder_on_time_share: f64,
-    /// Of all others' requests.
+    /// Of the requests of all other organisations.
     pub(crate) others_on_time_share: f64,
-    /// Of the worst-served tenth of the others.
+    /// Mean over the worst-served tenth of the other organisations.
     pub(crate) worst_on_time_share: f64,
-    /// Others' tries that were refused and never served, of their requests.
+    /// Of the other organisations' requests: refused and never served.
     pub(crate) others_refused_share: f64,
 }
 
-/// Organisations with fewer requests say little about how they are served.
-const COUNTED_REQUESTS: usize = 10;
+/// Organisations with fewer requests are left out of the worst tenth, as their share is noise.
+const MIN_REQUESTS: usize = 10;
 
 impl Organisations {
-    fn of(settings: &Settings, fared: &[Fared]) -> Self {
+    fn of(settings: &Settings, outcomes: &[CallerOutcome]) -> Self {
         let flooder = settings.flood.map_or(0, |flood| flood.organisation);
-        let on_time = |of: &[&Fared]| share(of, |one| one.is_on_time);
-        let (own, others): (Vec<&Fared>, Vec<&Fared>) =
-            fared.iter().partition(|one| one.organisation == flooder);
-        let mut each: Vec<f64> = (0..settings.organisations)
-            .filter(|place| *place != flooder)
-            .map(|place| {
+        let on_time = |outcomes: &[&CallerOutcome]| share(outcomes, |outcome| outcome.is_on_time);
+        let (flooder_outcomes, others): (Vec<&CallerOutcome>, Vec<&CallerOutcome>) = outcomes
+            .iter()
+            .partition(|outcome| outcome.organisation == flooder);
+        let mut shares: Vec<f64> = (0..settings.organisations)
+            .filter(|index| *index != flooder)
+            .map(|index| {
                 others
                     .iter()
                     .copied()
-                    .filter(move |one| one.organisation == place)
+                    .filter(move |outcome| outcome.organisation == index)
             })
-            .map(Iterator::collect::<Vec<&Fared>>)
-            .filter(|of| of.len() >= COUNTED_REQUESTS)
-            .map(|of| on_time(&of))
+            .map(Iterator::collect::<Vec<&CallerOutcome>>)
+            .filter(|outcomes| outcomes.len() >= MIN_REQUESTS)
+            .map(|outcomes| on_time(&outcomes))
             .collect();
-        each.sort_by(f64::total_cmp);
-        let worst = &each[..each.len().div_ceil(10)];
+        shares.sort_by(f64::total_cmp);
+        let worst = &shares[..shares.len().div_ceil(10)];
         Self {
-            flooder_on_time_share: on_time(&own),
+            flooder_on_time_share: on_time(&flooder_outcomes),
             others_on_time_share: on_time(&others),
             worst_on_time_share: worst.iter().sum::<f64>() / worst.len().max(1) as f64,
-            others_refused_share: share(&others, |one| one.was_refused && !one.is_whole),
+            others_refused_share: share(&others, |outcome| {
+                outcome.was_refused && !outcome.is_complete
+            }),
         }
     }
 }
 
-/// The counts of a day while it runs.
+/// Counters of a run in progress.
 #[derive(Debug, Default)]
 pub(super) struct Tally {
     pub(super) refused: usize,
@@ -222,47 +235,54 @@
 }
 
 impl Tally {
-    pub(super) fn row(mut self, settings: &Settings, fared: &[Fared]) -> Row {
-        let mut long: Vec<&Fared> = fared.iter().filter(|one| one.is_long).collect();
-        let short: Vec<&Fared> = fared.iter().filter(|one| !one.is_long).collect();
+    pub(super) fn into_row(mut self, settings: &Settings, outcomes: &[CallerOutcome]) -> Row {
+        let mut long: Vec<&CallerOutcome> =
+            outcomes.iter().filter(|outcome| outcome.is_long).collect();
+        let short: Vec<&CallerOutcome> =
+            outcomes.iter().filter(|outcome| !outcome.is_long).collect();
         let mut longest = long.clone();
-        longest.sort_by_key(|one| one.length_tokens);
+        longest.sort_by_key(|outcome| outcome.length_tokens);
         let longest = &longest[long.len() - long.len() / 10..];
-        long.sort_by_key(|one| one.prompt_tokens);
+        long.sort_by_key(|outcome| outcome.prompt_tokens);
         let largest = &long[long.len() - long.len() / 10..];
-        let whole: Vec<&&Fared> = long.iter().filter(|one| one.is_whole).collect();
-        let mut first_ms: Vec<f64> = whole.iter().map(|one| one.first_ms).collect();
+        let complete: Vec<&&CallerOutcome> =
+            long.iter().filter(|outcome| outcome.is_complete).collect();
+        let mut first_ms: Vec<f64> = complete.iter().map(|outcome| outcome.first_ms).collect();
         first_ms.sort_by(f64::total_cmp);
         let mut short_first_ms: Vec<f64> = short
             .iter()
-            .filter(|one| one.is_whole)
-            .map(|one| one.first_ms)
+            .filter(|outcome| outcome.is_complete)
+            .map(|outcome| outcome.first_ms)
             .collect();
         short_first_ms.sort_by(f64::total_cmp);
-        let stream_ms: f64 = whole.iter().map(|one| one.stream_ms).sum();
-        let tokens: f64 = whole.iter().map(|one| f64::from(one.length_tokens)).sum();
-        let is_given_up = |one: &&&Fared| one.was_refused && !one.is_whole;
+        let stream_ms: f64 = complete.iter().map(|outcome| outcome.stream_ms).sum();
+        let tokens: f64 = complete
+            .iter()
+            .map(|outcome| f64::from(outcome.length_tokens))
+            .sum();
+        let was_refused_for_good =
+            |outcome: &&&CallerOutcome| outcome.was_refused && !outcome.is_complete;
         self.pauses_ms.sort_by(f64::total_cmp);
         Row {
-            policy: settings.row.name(),
+            policy: settings.policy.name(),
             load: settings.load,
             seed: settings.seed,
-            organisations: Organisations::of(settings, fared),
-            asked: fared.len(),
-            whole_share: share(&long, |one| one.is_whole),
-            on_time_share: share(&long, |one| one.is_on_time),
-            late_share: share(&long, |one| one.is_whole && !one.is_on_time),
-            short_on_time_share: share(&short, |one| one.is_on_time),
-            largest_on_time_share: share(largest, |one| one.is_on_time),
-            longest_on_time_share: share(longest, |one| one.is_on_time),
+            organisations: Organisations::of(settings, outcomes),
+            asked: outcomes.len(),
+            whole_share: share(&long, |outcome| outcome.is_complete),
+            on_time_share: share(&long, |outcome| outcome.is_on_time),
+            late_share: share(&long, |outcome| outcome.is_complete && !outcome.is_on_time),
+            short_on_time_share: share(&short, |outcome| outcome.is_on_time),
+            largest_on_time_share: share(largest, |outcome| outcome.is_on_time),
+            longest_on_time_share: share(longest, |outcome| outcome.is_on_time),
             benefit_share: benefit_share(&long),
-            refused_for_good: long.iter().filter(is_given_up).count(),
+            refused_for_good: long.iter().filter(was_refused_for_good).count(),
             first_ms_p50: percentile(&first_ms, 0.5),
             first_ms_p99: percentile(&first_ms, 0.99),
             short_first_ms_p90: percentile(&short_first_ms, 0.9),
             short_first_ms_p99: percentile(&short_first_ms, 0.99),
             token_ms: stream_ms / tokens.max(1.0),
-            life_ms: life_ms(&whole),
+            life_ms: life_ms(&complete),
             refused: self.refused,
             lost: self.lost,
             preemptions: self.preemptions,
