--- a/crates/bench/src/cmd/policy.rs
+++ b/crates/bench/src/cmd/policy.rs
@@ -144,7 +144,7 @@
             },
             duration_s: self.duration_s,
             scenario,
-            split: self.split,
+            split_view: self.split,
         };
         let rate = deployment.rate * self.load;
         let arrivals = generate(self.workload, scenario, rate, self.duration_s, HOSTS, seed);
@@ -166,13 +166,13 @@
             cap: self.cap.unwrap_or(deployment.cap),
             fit,
             fifo: self.fifo,
-            pace: self.pace,
+            prefill_pace: self.pace,
             no_moves: self.no_moves,
             lead_bound_tokens: self.lead,
             lend_share: self.lend,
             half_age_ms: self.age_ms,
-            one_ask: self.one_ask,
-            early: self.early,
+            single_request: self.one_ask,
+            early_refusal_factor: self.early,
             hedge_ms: self.hedge_ms,
             progress_ms: self.progress_ms,
         }
--- a/crates/bench/src/sim/mod.rs
+++ b/crates/bench/src/sim/mod.rs
@@ -1,4 +1,5 @@
-//! Virtual time: the real decision code on several hosts before small stand-in engines.
+//! Simulates permits in virtual time: the gateway's own decision code on several hosts, in front of
+//! small engine models.
 
 mod policies;
 mod stats;
--- a/crates/bench/src/sim/policies.rs
+++ b/crates/bench/src/sim/policies.rs
@@ -4,18 +4,18 @@
 
 use super::workload::UnknownName;
 
-/// A row of the comparison.
+/// A policy of the comparison.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum PolicyName {
-    /// Each host goes round the engines; no admission.
+    /// Each host uses the engines in round-robin order; no admission control.
     RoundRobin,
-    /// The least loaded by lagging reports; no admission.
+    /// The least loaded engine by delayed reports; no admission control.
     LeastLoad,
-    /// A tuned number of generations at once, oldest first.
+    /// A tuned, fixed number of concurrent generations per engine, first come, first served.
     FixedCap,
-    /// What the product does.
+    /// The gateway's policy.
     Fulmarpath,
-    /// The same, knowing all lengths.
+    /// Admission with all output lengths known.
     Oracle,
 }
 
@@ -38,7 +38,7 @@
         }
     }
 
-    /// Whether homes decide who starts.
+    /// Whether homes control admission.
     pub(crate) fn admits(self) -> bool {
         !matches!(self, Self::RoundRobin | Self::LeastLoad)
     }
@@ -48,51 +48,51 @@
     type Err = UnknownName;
 
     fn from_str(name: &str) -> Result<Self, UnknownName> {
-        let found = Self::ALL.into_iter().find(|one| one.name() == name);
-        found.ok_or(UnknownName)
+        let known = Self::ALL.into_iter().find(|one| one.name() == name);
+        known.ok_or(UnknownName)
     }
 }
 
-/// What a trial sets differently from the product.
+/// Settings in which a trial may differ from the gateway.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct Tuning {
     pub(crate) weights: Weights,
     pub(crate) cap: u32,
     pub(crate) fit: Option<FitRule>,
     pub(crate) fifo: bool,
-    pub(crate) pace: Option<f32>,
+    pub(crate) prefill_pace: Option<f32>,
     pub(crate) no_moves: bool,
     pub(crate) lead_bound_tokens: Option<f64>,
     pub(crate) lend_share: f32,
     pub(crate) half_age_ms: Option<u64>,
-    pub(crate) one_ask: bool,
-    pub(crate) early: Option<f32>,
-    /// After so long without a grant the second home is asked as well.
+    pub(crate) single_request: bool,
+    pub(crate) early_refusal_factor: Option<f32>,
+    /// The permit request is hedged to the second home after this time without a grant.
     pub(crate) hedge_ms: u64,
-    /// Between two reports of progress.
+    /// Interval between two progress reports.
     pub(crate) progress_ms: u64,
 }
 
-/// How homes decide under a policy.
+/// Settings of the homes under a policy.
 pub(crate) fn home_settings(
     policy: PolicyName,
     tuning: &Tuning,
     memory_tokens: u32,
     prompt_ms_per_token: f32,
 ) -> HomeSettings {
-    let product = HomeSettings::new(
+    let gateway = HomeSettings::new(
         tuning.weights,
         tuning.lend_share,
         memory_tokens,
         prompt_ms_per_token,
     );
-    let product = HomeSettings {
+    let gateway = HomeSettings {
         queue_limit: 1_000,
         permit_ttl_ms: 10_000_000,
-        ..product
+        ..gateway
     };
     match policy {
-        PolicyName::Fulmarpath => trial(product, tuning, prompt_ms_per_token),
+        PolicyName::Fulmarpath => apply_tuning(gateway, tuning, prompt_ms_per_token),
         PolicyName::Oracle => HomeSettings {
             fit: FitRule::Sampled { share: 1.0 },
             order: OrderRule::SmallestFirst {
@@ -102,7 +102,7 @@
             lend_share: 1.0,
             moves: false,
             early_refusal_factor: 0.0,
-            ..product
+            ..gateway
         },
         _ => HomeSettings {
             fit: FitRule::Cap {
@@ -114,13 +114,13 @@
             moves: false,
             early_refusal_factor: 0.0,
             prompt_ms_per_token: 0.0,
-            ..product
+            ..gateway
         },
     }
 }
 
-fn trial(product: HomeSettings, tuning: &Tuning, prompt_ms_per_token: f32) -> HomeSettings {
-    let mut settings = product;
+fn apply_tuning(gateway: HomeSettings, tuning: &Tuning, prompt_ms_per_token: f32) -> HomeSettings {
+    let mut settings = gateway;
     settings.fit = tuning.fit.unwrap_or(settings.fit);
     if let Some(half_age_ms) = tuning.half_age_ms {
         settings.order = OrderRule::SmallestFirst { half_age_ms };
@@ -128,13 +128,15 @@
     if tuning.fifo {
         settings.order = OrderRule::Fifo;
     }
-    if let Some(pace) = tuning.pace {
-        settings.prompt_ms_per_token = prompt_ms_per_token * pace;
+    if let Some(prefill_pace) = tuning.prefill_pace {
+        settings.prompt_ms_per_token = prompt_ms_per_token * prefill_pace;
     }
     settings.moves &= !tuning.no_moves;
-    if let Some(lead) = tuning.lead_bound_tokens {
-        settings.lead_bound_tokens = lead;
+    if let Some(lead_tokens) = tuning.lead_bound_tokens {
+        settings.lead_bound_tokens = lead_tokens;
     }
-    settings.early_refusal_factor = tuning.early.unwrap_or(settings.early_refusal_factor);
+    settings.early_refusal_factor = tuning
+        .early_refusal_factor
+        .unwrap_or(settings.early_refusal_factor);
     settings
 }
--- a/crates/bench/src/sim/stats.rs
+++ b/crates/bench/src/sim/stats.rs
@@ -1,13 +1,13 @@
-//! What a run is judged by.
+//! Measures of a run.
 
 use hdrhistogram::Histogram;
 use serde::Serialize;
 
 use super::workload::ORGANISATIONS;
 
-/// A first token later than this is a stall.
+/// Waiting for the first token beyond this is stall time.
 const FIRST_TOKEN_BOUND_US: u64 = 1_500_000;
-/// A gap between two tokens longer than this is a stall.
+/// The part of a gap between two tokens beyond this is stall time.
 const GAP_BOUND_US: u64 = 250_000;
 
 /// The three measures of one organisation.
@@ -44,25 +44,25 @@
     pub(crate) organisations: Vec<Measures>,
 }
 
-struct Account {
+struct OrganisationStats {
     between_us: Histogram<u64>,
     stall_us: u64,
     preemptions: u64,
     requests: u64,
 }
 
-/// Gathers what happens to requests.
-pub(crate) struct Gatherer {
+/// Collects the measures during a run.
+pub(crate) struct StatsCollector {
     first_us: Histogram<u64>,
     between_us: Histogram<u64>,
     stall_us: Histogram<u64>,
-    accounts: Vec<Account>,
+    by_organisation: Vec<OrganisationStats>,
     pub(crate) tokens_done: u64,
     pub(crate) done: u64,
     pub(crate) refused: u64,
     pub(crate) preemptions: u64,
     pub(crate) moves: u64,
-    pub(crate) asks: u64,
+    pub(crate) permit_requests: u64,
     stall_total_us: u64,
 }
 
@@ -72,9 +72,9 @@
     histogram
 }
 
-impl Gatherer {
+impl StatsCollector {
     pub(crate) fn new() -> Self {
-        let account = |_| Account {
+        let stats = |_| OrganisationStats {
             between_us: histogram(),
             stall_us: 0,
             preemptions: 0,
@@ -84,45 +84,45 @@
             first_us: histogram(),
             between_us: histogram(),
             stall_us: histogram(),
-            accounts: (0..ORGANISATIONS).map(account).collect(),
+            by_organisation: (0..ORGANISATIONS).map(stats).collect(),
             tokens_done: 0,
             done: 0,
             refused: 0,
             preemptions: 0,
             moves: 0,
-            asks: 0,
+            permit_requests: 0,
             stall_total_us: 0,
         }
     }
 
-    pub(crate) fn first(&mut self, wait_us: u64) -> u64 {
+    pub(crate) fn record_first_token(&mut self, wait_us: u64) -> u64 {
         let _ = self.first_us.record(wait_us);
         wait_us.saturating_sub(FIRST_TOKEN_BOUND_US)
     }
 
-    pub(crate) fn gap(&mut self, organisation: usize, gap_us: u64) -> u64 {
+    pub(crate) fn record_gap(&mut self, organisation: usize, gap_us: u64) -> u64 {
         let _ = self.between_us.record(gap_us);
-        let _ = self.accounts[organisation].between_us.record(gap_us);
+        let _ = self.by_organisation[organisation].between_us.record(gap_us);
         gap_us.saturating_sub(GAP_BOUND_US)
     }
 
-    pub(crate) fn preempted(&mut self, organisation: usize) {
+    pub(crate) fn record_preemption(&mut self, organisation: usize) {
         self.preemptions += 1;
-        self.accounts[organisation].preemptions += 1;
+        self.by_organisation[organisation].preemptions += 1;
     }
 
-    /// A request has ended, or the run has, with so much stall.
-    pub(crate) fn end(&mut self, organisation: usize, stall_us: u64) {
+    /// Records the stall time of a request that has ended, or that is open at the end of the run.
+    pub(crate) fn record_end(&mut self, organisation: usize, stall_us: u64) {
         let _ = self.stall_us.record(stall_us);
         self.stall_total_us += stall_us;
-        let account = &mut self.accounts[organisation];
-        account.stall_us += stall_us;
-        account.requests += 1;
+        let stats = &mut self.by_organisation[organisation];
+        stats.stall_us += stall_us;
+        stats.requests += 1;
     }
 
-    /// A request that still waits at the end of the run, and the stall that is certain by then.
-    pub(crate) fn waiting_stall(first: bool, silent_us: u64) -> u64 {
-        let bound = if first {
+    /// Stall time so far of a request that still waits for its first or its next token.
+    pub(crate) fn open_stall_us(is_first: bool, silent_us: u64) -> u64 {
+        let bound = if is_first {
             FIRST_TOKEN_BOUND_US
         } else {
             GAP_BOUND_US
@@ -135,13 +135,13 @@
             histogram.value_at_quantile(quantile) as f64 / 1_000.0
         };
         let organisations: Vec<Measures> = self
-            .accounts
+            .by_organisation
             .iter()
-            .map(|account| Measures {
-                stall_ms_mean: account.stall_us as f64 / 1_000.0 / account.requests.max(1) as f64,
-                preemptions_per_1000: account.preemptions as f64 * 1_000.0
-                    / account.requests.max(1) as f64,
-                between_tokens_ms_p99: ms(&account.between_us, 0.99),
+            .map(|stats| Measures {
+                stall_ms_mean: stats.stall_us as f64 / 1_000.0 / stats.requests.max(1) as f64,
+                preemptions_per_1000: stats.preemptions as f64 * 1_000.0
+                    / stats.requests.max(1) as f64,
+                between_tokens_ms_p99: ms(&stats.between_us, 0.99),
             })
             .collect();
         let worst =
@@ -155,7 +155,7 @@
             refused: self.refused,
             preemptions: self.preemptions,
             moves: self.moves,
-            asks: self.asks,
+            asks: self.permit_requests,
             stall_ms_p50: ms(&self.stall_us, 0.5),
             stall_ms_p99: ms(&self.stall_us, 0.99),
             stall_ms_total: self.stall_total_us as f64 / 1_000.0,
--- a/crates/bench/src/sim/workload.rs
+++ b/crates/bench/src/sim/workload.rs
@@ -1,15 +1,15 @@
-//! Requests of the two users, drawn from a seed.
+//! Draws the two users' workloads from a seed.
 
 use rand::Rng;
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
 
-/// Whose workload.
+/// Workloads by user.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum WorkloadName {
-    /// Reports and classifications.
+    /// Reports (long answers) and classifications (short ones).
     Association,
-    /// Replies and Verdicts.
+    /// Replies (long answers) and verdicts (short ones).
     Vilaverde,
 }
 
@@ -25,21 +25,21 @@
     }
 }
 
-/// A name that isn't one of the choices.
+/// The name is none of the known ones.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
-#[error("could not find this name among the choices")]
+#[error("unknown name")]
 pub(crate) struct UnknownName;
 
-/// What happens besides the ordinary arrivals.
+/// Event that is added to the ordinary arrivals.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Scenario {
     /// Nothing.
     Ordinary,
-    /// One organisation's arrivals rise tenfold for the middle half.
+    /// One organisation's arrival rate rises tenfold during the middle half of the run.
     Rival,
-    /// An engine is lost in the middle.
+    /// An engine is lost in the middle of the run.
     EngineLost,
-    /// Answers get three times longer in the middle.
+    /// Long answers get three times longer from the middle of the run on.
     Shift,
 }
 
@@ -57,7 +57,7 @@
     }
 }
 
-/// One request as it will arrive.
+/// One request and its arrival time.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct Arrival {
     pub(crate) at_us: u64,
@@ -70,19 +70,19 @@
     pub(crate) length_tokens: u32,
 }
 
-/// Organisations in a workload.
+/// Number of organisations in a workload.
 pub(crate) const ORGANISATIONS: usize = 10;
-/// The one that rises in [`Scenario::Rival`].
+/// Index of the organisation whose rate rises in [`Scenario::Rival`].
 pub(crate) const RIVAL: usize = 3;
-/// Shares of the arrivals; a few are large.
+/// Shares of the arrivals by organisation; a few are large.
 const SHARES: [f64; ORGANISATIONS] = [0.28, 0.20, 0.14, 0.08, 0.07, 0.06, 0.05, 0.05, 0.04, 0.03];
 
-/// Declared weights follow the shares; their mean is 1.
+/// Configured weight of an organisation, proportional to its share; the mean is 1.
 pub(crate) fn weight(organisation: usize) -> f32 {
     SHARES[organisation] as f32 * ORGANISATIONS as f32
 }
 
-/// The longest answer of each service.
+/// Output limit of each service in tokens.
 pub(crate) const LIMITS: [u32; 2] = [8_000, 200];
 
 struct Shape {
@@ -112,7 +112,7 @@
     short_prompt: (60, 300),
 };
 
-/// Draws the arrivals of `duration_s` at `rate` requests a second over `hosts` hosts.
+/// Draws the arrivals of `duration_s` at `rate` requests per second over `hosts` hosts.
 pub(crate) fn generate(
     name: WorkloadName,
     scenario: Scenario,
@@ -129,7 +129,7 @@
     let middle = duration_s * 0.25..duration_s * 0.75;
     let mut arrivals = Vec::new();
     let mut at_s = 0.0;
-    // The rival's extra arrivals are drawn from a stream of their own, so that all others' stay
+    // The rival's extra arrivals come from a separate generator, which keeps all other arrivals
     // the same with and without them.
     let mut extra = ChaCha8Rng::seed_from_u64(seed ^ 0x5eed);
     loop {
@@ -138,8 +138,15 @@
             break;
         }
         let organisation = pick_organisation(&mut rng);
-        let longer = scenario == Scenario::Shift && at_s > duration_s * 0.5;
-        arrivals.push(draw(&mut rng, &shape, at_s, hosts, organisation, longer));
+        let is_shifted = scenario == Scenario::Shift && at_s > duration_s * 0.5;
+        arrivals.push(draw(
+            &mut rng,
+            &shape,
+            at_s,
+            hosts,
+            organisation,
+            is_shifted,
+        ));
     }
     if scenario == Scenario::Rival {
         let rate = rate * SHARES[RIVAL] * 9.0;
@@ -166,10 +173,10 @@
 }
 
 fn pick_organisation(rng: &mut ChaCha8Rng) -> usize {
-    let mut left = rng.random::<f64>() * SHARES.iter().sum::<f64>();
+    let mut remaining = rng.random::<f64>() * SHARES.iter().sum::<f64>();
     for (organisation, share) in SHARES.iter().enumerate() {
-        left -= share;
-        if left < 0.0 {
+        remaining -= share;
+        if remaining < 0.0 {
             return organisation;
         }
     }
@@ -182,19 +189,22 @@
     at_s: f64,
     hosts: usize,
     organisation: usize,
-    longer: bool,
+    is_shifted: bool,
 ) -> Arrival {
-    let short = rng.random::<f64>() < shape.short_share;
-    // Organisations differ in how much they write.
-    let scale = 0.6 + 0.1 * organisation as f64;
-    let stretch = if longer { 3.0 } else { 1.0 };
-    let (prompt, length) = if short {
+    let is_short = rng.random::<f64>() < shape.short_share;
+    // Organisations differ in the length of their answers.
+    let organisation_factor = 0.6 + 0.1 * organisation as f64;
+    let length_factor = if is_shifted { 3.0 } else { 1.0 };
+    let (prompt, length) = if is_short {
         let prompt = rng.random_range(shape.short_prompt.0..=shape.short_prompt.1);
         let length = rng.random_range(shape.short.0..=shape.short.1);
         (prompt, length)
     } else {
         let prompt = shape.long_prompt_median * (0.5 * normal(rng)).exp();
-        let length = shape.long_median * scale * stretch * (shape.long_sigma * normal(rng)).exp();
+        let length = shape.long_median
+            * organisation_factor
+            * length_factor
+            * (shape.long_sigma * normal(rng)).exp();
         let limit = f64::from(LIMITS[0]);
         (
             prompt.clamp(50.0, 6_000.0) as u32,
@@ -207,9 +217,9 @@
         at_us: (at_s * 1e6) as u64,
         host: rng.random_range(0..hosts),
         organisation,
-        service: usize::from(short),
+        service: usize::from(is_short),
         prompt_tokens: prompt.max(prefix_tokens + 8),
-        prefix: organisation as u64 * 8 + template + u64::from(short) * 1_000,
+        prefix: organisation as u64 * 8 + template + u64::from(is_short) * 1_000,
         prefix_tokens,
         length_tokens: length.max(1),
     }
--- a/crates/bench/src/sim/world.rs
+++ b/crates/bench/src/sim/world.rs
@@ -13,20 +13,20 @@
 use fulmarpath_standin::{EngineEvent, EngineModel, EngineSpec};
 
 use super::policies::{PolicyName, Tuning, home_settings};
-use super::stats::{Gatherer, Row};
+use super::stats::{Row, StatsCollector};
 use super::workload::{Arrival, Scenario};
 use event::Event;
 
-const PEER_US: u64 = 1_500;
+const PEER_LATENCY_US: u64 = 1_500;
 const REPORT_PERIOD_US: u64 = 500_000;
 const REPORT_LAG_US: u64 = 700_000;
 const TICK_US: u64 = 10_000;
-const PATIENCE_MS: Millis = 10_000;
+const MAX_WAIT_MS: Millis = 10_000;
 const DATA_CENTRES: usize = 3;
-/// An engine that is lost is noticed after so long.
-const NOTICE_US: u64 = 1_000_000;
+/// Time until the loss of an engine is detected.
+const LOSS_DETECTION_US: u64 = 1_000_000;
 
-/// What is simulated.
+/// Settings of one run.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct WorldSettings {
     pub(crate) policy: PolicyName,
@@ -36,27 +36,27 @@
     pub(crate) spec: EngineSpec,
     pub(crate) duration_s: f64,
     pub(crate) scenario: Scenario,
-    /// Half of the hosts believe in another home for each engine.
-    pub(crate) split: bool,
+    /// Half of the hosts use a different home for each engine.
+    pub(crate) split_view: bool,
 }
 
 #[derive(Debug, Clone)]
 struct Request {
     arrival: Arrival,
-    asks: Vec<(u64, usize)>,
-    /// The second pick, as long as it hasn't been asked.
-    spare: Option<usize>,
+    permit_requests: Vec<(u64, usize)>,
+    /// The second choice, until a permit has been requested there.
+    second_choice: Option<usize>,
     /// Engine and permit of the running attempt.
     held: Option<(usize, u64)>,
     attempt: u32,
-    /// An ask to move is under way.
-    moving: bool,
-    out: u32,
-    last_us: Option<u64>,
+    /// A permit on another engine has been requested, to move there.
+    is_moving: bool,
+    out_tokens: u32,
+    last_token_us: Option<u64>,
     stall_us: u64,
-    ended: bool,
+    has_ended: bool,
     priority: i32,
-    retried: bool,
+    was_retried: bool,
 }
 
 struct World<'a> {
@@ -69,7 +69,7 @@
     engines: Vec<EngineModel>,
     pending: Vec<Vec<EngineEvent>>,
     stepping: Vec<bool>,
-    dead: Vec<bool>,
+    is_lost: Vec<bool>,
     homes: Vec<Home>,
     home_host: Vec<usize>,
     lengths: Vec<Lengths>,
@@ -77,10 +77,10 @@
     reports: Vec<EngineLoad>,
     moves: Vec<(usize, PermitKey)>,
     by_permit: HashMap<(usize, u64), usize>,
-    by_ask: HashMap<u64, usize>,
-    next_ask: u64,
-    turn: Vec<usize>,
-    stats: Gatherer,
+    by_permit_request: HashMap<u64, usize>,
+    next_permit_request: u64,
+    round_robin: Vec<usize>,
+    stats: StatsCollector,
 }
 
 fn permit_bits(key: PermitKey) -> u64 {
@@ -96,10 +96,10 @@
     UpstreamKey::of(&format!("engine-{engine}"))
 }
 
-/// Runs the arrivals under one policy.
+/// Runs the arrivals under the policy of `settings`.
 pub(crate) fn run(settings: &WorldSettings, arrivals: &[Arrival], load: f64, seed: u64) -> Row {
     let mut world = World::new(settings, arrivals);
-    world.play();
+    world.run_events();
     world.stats.row(settings.policy.name(), load, seed)
 }
 
@@ -143,7 +143,7 @@
                 .collect(),
             pending: vec![Vec::new(); engines],
             stepping: vec![false; engines],
-            dead: vec![false; engines],
+            is_lost: vec![false; engines],
             homes: (0..engines * 2).map(|_| Home::new(home)).collect(),
             home_host: home_host.clone().chain(home_host).collect(),
             lengths: (0..settings.hosts).map(|_| Lengths::new()).collect(),
@@ -151,41 +151,41 @@
             reports: vec![empty; engines],
             moves: Vec::new(),
             by_permit: HashMap::new(),
-            by_ask: HashMap::new(),
-            next_ask: 1,
-            turn: (0..settings.hosts).collect(),
-            stats: Gatherer::new(),
+            by_permit_request: HashMap::new(),
+            next_permit_request: 1,
+            round_robin: (0..settings.hosts).collect(),
+            stats: StatsCollector::new(),
         };
         for (index, arrival) in arrivals.iter().enumerate() {
-            world.at(arrival.at_us, Event::Arrive(index));
+            world.schedule(arrival.at_us, Event::Arrive(index));
         }
         for engine in 0..engines {
             let first_us = REPORT_PERIOD_US * engine as u64 / engines as u64;
-            world.at(first_us, Event::Report(engine));
+            world.schedule(first_us, Event::Report(engine));
         }
         let progress_us = settings.tuning.progress_ms * 1_000;
-        world.at(progress_us, Event::Progress);
-        world.at(TICK_US, Event::Tick);
+        world.schedule(progress_us, Event::Progress);
+        world.schedule(TICK_US, Event::Tick);
         if settings.scenario == Scenario::EngineLost {
-            world.at(world.end_us / 2, Event::LoseEngine(0));
+            world.schedule(world.end_us / 2, Event::LoseEngine(0));
         }
         world
     }
 
-    fn at(&mut self, at_us: u64, event: Event) {
+    fn schedule(&mut self, at_us: u64, event: Event) {
         self.sequence += 1;
         self.queue.push(Reverse((at_us, self.sequence, event)));
     }
 
     fn after(&mut self, delay_us: u64, event: Event) {
-        self.at(self.now_us + delay_us, event);
+        self.schedule(self.now_us + delay_us, event);
     }
 
     fn now_ms(&self) -> Millis {
         self.now_us / 1_000
     }
 
-    fn play(&mut self) {
+    fn run_events(&mut self) {
         while let Some(Reverse((at_us, _, event))) = self.queue.pop() {
             if at_us > self.end_us {
                 break;
@@ -196,45 +196,51 @@
         self.now_us = self.end_us;
         for index in 0..self.requests.len() {
             let request = &self.requests[index];
-            if request.ended {
+            if request.has_ended {
                 continue;
             }
-            let since = request.last_us.unwrap_or(request.arrival.at_us);
+            let since = request.last_token_us.unwrap_or(request.arrival.at_us);
             let silent_us = self.end_us.saturating_sub(since);
-            let stall = Gatherer::waiting_stall(request.last_us.is_none(), silent_us);
+            let stall = StatsCollector::open_stall_us(request.last_token_us.is_none(), silent_us);
             let total = request.stall_us + stall;
-            self.stats.end(request.arrival.organisation, total);
+            self.stats.record_end(request.arrival.organisation, total);
         }
     }
 
     fn handle(&mut self, event: Event) {
         match event {
             Event::Arrive(request) => self.arrive(request),
-            Event::AskAt {
+            Event::PermitRequested {
                 home,
                 request,
-                ask,
+                permit_request,
                 only_now,
             } => {
-                self.ask_at(home, request, ask, only_now);
+                self.receive_permit_request(home, request, permit_request, only_now);
             }
             Event::Granted {
                 home,
                 request,
-                ask,
+                permit_request,
                 permit,
                 priority,
             } => {
-                self.granted(home, request, ask, permit, priority);
+                self.receive_grant(home, request, permit_request, permit, priority);
             }
             Event::Hedge {
                 request,
-                ask,
+                permit_request,
                 only_now,
-            } => self.hedge(request, ask, only_now),
-            Event::Refused { request, ask } => self.refused(request, ask),
-            Event::Withdraw { home, ask } => {
-                self.homes[home].withdraw(PermitRequestId(ask));
+            } => self.hedge(request, permit_request, only_now),
+            Event::Refused {
+                request,
+                permit_request,
+            } => self.receive_refusal(request, permit_request),
+            Event::Withdraw {
+                home,
+                permit_request,
+            } => {
+                self.homes[home].withdraw(PermitRequestId(permit_request));
                 self.step_home(home);
             }
             Event::Submit {
@@ -242,18 +248,18 @@
                 request,
                 attempt,
             } => self.submit(engine, request, attempt),
-            Event::StepDone(engine) => self.step_done(engine),
+            Event::StepDone(engine) => self.finish_step(engine),
             Event::Report(engine) => {
                 let model = &self.engines[engine];
                 let (used, running, waiting) =
                     (model.used_tokens(), model.running(), model.waiting());
-                let reported = Event::Reported {
+                let report = Event::Reported {
                     engine,
                     used,
                     running,
                     waiting,
                 };
-                self.after(REPORT_LAG_US, reported);
+                self.after(REPORT_LAG_US, report);
                 self.after(REPORT_PERIOD_US, Event::Report(engine));
             }
             Event::Reported {
@@ -262,9 +268,9 @@
                 running,
                 waiting,
             } => {
-                self.reported(engine, used, running, waiting);
+                self.receive_report(engine, used, running, waiting);
             }
-            Event::Progress => self.progress(),
+            Event::Progress => self.report_progress(),
             Event::Tick => {
                 if self.settings.policy.admits() {
                     for home in 0..self.homes.len() {
@@ -286,12 +292,12 @@
                 self.homes[home].finish(now_ms, permit_key(permit), length, lengths);
                 self.step_home(home);
             }
-            Event::Left { home, permit } => {
+            Event::Released { home, permit } => {
                 self.homes[home].cancel(permit_key(permit));
                 self.step_home(home);
             }
-            Event::LoseEngine(engine) => self.lose(engine),
-            Event::Recover(request) => self.ask(request, false),
+            Event::LoseEngine(engine) => self.lose_engine(engine),
+            Event::RetryRequest(request) => self.request_permit(request, false),
         }
     }
 }
@@ -300,17 +306,17 @@
     fn new(arrival: Arrival) -> Self {
         Self {
             arrival,
-            asks: Vec::new(),
-            spare: None,
+            permit_requests: Vec::new(),
+            second_choice: None,
             held: None,
             attempt: 0,
-            moving: false,
-            out: 0,
-            last_us: None,
+            is_moving: false,
+            out_tokens: 0,
+            last_token_us: None,
             stall_us: 0,
-            ended: false,
+            has_ended: false,
             priority: 0,
-            retried: false,
+            was_retried: false,
         }
     }
 }
--- a/crates/bench/src/sim/world/admission.rs
+++ b/crates/bench/src/sim/world/admission.rs
@@ -1,4 +1,4 @@
-//! From an arrival to a permit or a refusal.
+//! Admission: from an arrival to a permit or a refusal.
 
 use fulmarpath_policy::{
     Candidate, EngineLoad, EnginePermitRequest, HostKey, OrganisationKey, Outcome, PermitRequestId,
@@ -6,30 +6,30 @@
 };
 
 use super::super::policies::PolicyName;
-use super::super::stats::Gatherer;
+use super::super::stats::StatsCollector;
 use super::super::workload::{LIMITS, ORGANISATIONS, weight};
 use super::event::Event;
-use super::{DATA_CENTRES, PATIENCE_MS, PEER_US, World, permit_bits, upstream_key};
+use super::{DATA_CENTRES, MAX_WAIT_MS, PEER_LATENCY_US, World, permit_bits, upstream_key};
 
 impl World<'_> {
     pub(super) fn arrive(&mut self, request: usize) {
         if self.settings.policy.admits() {
-            self.ask(request, false);
+            self.request_permit(request, false);
             return;
         }
         let host = self.requests[request].arrival.host;
         let engine = match self.settings.policy {
             PolicyName::RoundRobin => loop {
-                self.turn[host] = (self.turn[host] + 1) % self.engines.len();
-                if !self.dead[self.turn[host]] {
-                    break self.turn[host];
+                self.round_robin[host] = (self.round_robin[host] + 1) % self.engines.len();
+                if !self.is_lost[self.round_robin[host]] {
+                    break self.round_robin[host];
                 }
             },
             _ => self.least_loaded(),
         };
         let attempt = self.requests[request].attempt;
         self.after(
-            PEER_US,
+            PEER_LATENCY_US,
             Event::Submit {
                 engine,
                 request,
@@ -40,7 +40,7 @@
 
     pub(super) fn least_loaded(&self) -> usize {
         let engines = 0..self.engines.len();
-        let live = engines.filter(|engine| !self.dead[*engine]);
+        let live = engines.filter(|engine| !self.is_lost[*engine]);
         let least = live.min_by_key(|engine| {
             let report = self.reports[*engine];
             report.used_tokens + report.waiting * 1_000
@@ -48,9 +48,9 @@
         least.unwrap_or(0)
     }
 
-    /// The home that a host believes an engine to have.
+    /// Home of an engine in the view of a host.
     pub(super) fn home_of(&self, engine: usize, host: usize) -> usize {
-        if self.settings.split && host % 2 == 1 {
+        if self.settings.split_view && host % 2 == 1 {
             engine + self.engines.len()
         } else {
             engine
@@ -61,17 +61,17 @@
         home % self.engines.len()
     }
 
-    /// Asks two homes, as an entry host does.
-    pub(super) fn ask(&mut self, request: usize, only_now: bool) {
+    /// Requests a permit at one home, with a second as the hedge, as an entry host does.
+    pub(super) fn request_permit(&mut self, request: usize, only_now: bool) {
         if !self.settings.policy.admits() {
             self.arrive(request);
             return;
         }
         let arrival = self.requests[request].arrival;
         let held = self.requests[request].held;
-        let without = held.map(|(home, _)| self.engine_of(home));
+        let excluded = held.map(|(home, _)| self.engine_of(home));
         let candidates: Vec<Candidate> = (0..self.engines.len())
-            .filter(|engine| Some(*engine) != without && !self.dead[*engine])
+            .filter(|engine| Some(*engine) != excluded && !self.is_lost[*engine])
             .map(|engine| Candidate {
                 upstream: upstream_key(engine),
                 is_local: engine % DATA_CENTRES == arrival.host % DATA_CENTRES,
@@ -79,80 +79,95 @@
                 cached: false,
             })
             .collect();
-        let Some(picked) = pick(arrival.prefix, &candidates) else {
+        let Some(choice) = pick(arrival.prefix, &candidates) else {
             return;
         };
-        let first = self.engine_named(picked.first);
-        let second = picked.second.filter(|_| !self.settings.tuning.one_ask);
-        self.requests[request].spare = second.map(|second| self.engine_named(second));
-        let ask = self.send_ask(request, first, only_now);
+        let first = self.engine_by_key(choice.first);
+        let second = choice
+            .second
+            .filter(|_| !self.settings.tuning.single_request);
+        self.requests[request].second_choice = second.map(|second| self.engine_by_key(second));
+        let permit_request = self.send_permit_request(request, first, only_now);
         let hedge_us = self.settings.tuning.hedge_ms * 1_000;
         self.after(
             hedge_us,
             Event::Hedge {
                 request,
-                ask,
+                permit_request,
                 only_now,
             },
         );
     }
 
-    pub(super) fn engine_named(&self, upstream: UpstreamKey) -> usize {
+    pub(super) fn engine_by_key(&self, upstream: UpstreamKey) -> usize {
         let engines = 0..self.engines.len();
         let mut named = engines.filter(|engine| upstream_key(*engine) == upstream);
         named.next().unwrap_or(0)
     }
 
-    pub(super) fn send_ask(&mut self, request: usize, engine: usize, only_now: bool) -> u64 {
-        let ask = self.next_ask;
-        self.next_ask += 1;
-        self.stats.asks += 1;
+    pub(super) fn send_permit_request(
+        &mut self,
+        request: usize,
+        engine: usize,
+        only_now: bool,
+    ) -> u64 {
+        let permit_request = self.next_permit_request;
+        self.next_permit_request += 1;
+        self.stats.permit_requests += 1;
         let home = self.home_of(engine, self.requests[request].arrival.host);
-        self.requests[request].asks.push((ask, home));
-        self.by_ask.insert(ask, request);
+        self.requests[request]
+            .permit_requests
+            .push((permit_request, home));
+        self.by_permit_request.insert(permit_request, request);
         self.after(
-            PEER_US,
-            Event::AskAt {
+            PEER_LATENCY_US,
+            Event::PermitRequested {
                 home,
                 request,
-                ask,
+                permit_request,
                 only_now,
             },
         );
-        ask
+        permit_request
     }
 
-    /// The first home hasn't granted in time: ask the second as well.
-    pub(super) fn hedge(&mut self, request: usize, ask: u64, only_now: bool) {
-        let still_waits = self.requests[request]
-            .asks
+    /// Requests a permit at the second home as well if the first hasn't granted one in time.
+    pub(super) fn hedge(&mut self, request: usize, permit_request: u64, only_now: bool) {
+        let is_open = self.requests[request]
+            .permit_requests
             .iter()
-            .any(|(one, _)| *one == ask);
-        if still_waits && let Some(engine) = self.requests[request].spare.take() {
-            self.send_ask(request, engine, only_now);
+            .any(|(id, _)| *id == permit_request);
+        if is_open && let Some(engine) = self.requests[request].second_choice.take() {
+            self.send_permit_request(request, engine, only_now);
         }
     }
 
-    pub(super) fn ask_at(&mut self, home: usize, request: usize, ask: u64, only_now: bool) {
-        let one = &self.requests[request];
-        let arrival = one.arrival;
+    pub(super) fn receive_permit_request(
+        &mut self,
+        home: usize,
+        request: usize,
+        permit_request: u64,
+        only_now: bool,
+    ) {
+        let state = &self.requests[request];
+        let arrival = state.arrival;
         let waited_ms = (self.now_us - arrival.at_us) / 1_000;
-        let max_wait_ms = if one.out > 0 || one.retried {
+        let max_wait_ms = if state.out_tokens > 0 || state.was_retried {
             60_000
         } else {
-            PATIENCE_MS.saturating_sub(waited_ms)
+            MAX_WAIT_MS.saturating_sub(waited_ms)
         };
         let total: f32 = (0..ORGANISATIONS).map(weight).sum();
         let known = self.settings.policy == PolicyName::Oracle;
         let message = EnginePermitRequest {
-            id: PermitRequestId(ask),
+            id: PermitRequestId(permit_request),
             host: HostKey(arrival.host as u64),
             organisation: OrganisationKey(arrival.organisation as u64),
             service: ServiceKey(arrival.service as u64),
             weight: weight(arrival.organisation),
             share: weight(arrival.organisation) / total,
             prompt_tokens: arrival.prompt_tokens,
-            out_tokens: one.out,
+            out_tokens: state.out_tokens,
             output_limit_tokens: LIMITS[arrival.service],
             max_wait_ms,
             only_now,
@@ -191,26 +206,26 @@
                     priority,
                     ..
                 } => {
-                    let Some(request) = self.by_ask.get(&ask.0).copied() else {
+                    let Some(request) = self.by_permit_request.get(&ask.0).copied() else {
                         continue;
                     };
                     let permit = permit_bits(permit);
-                    let granted = Event::Granted {
+                    let grant = Event::Granted {
                         home,
                         request,
-                        ask: ask.0,
+                        permit_request: ask.0,
                         permit,
                         priority,
                     };
-                    self.after(PEER_US, granted);
+                    self.after(PEER_LATENCY_US, grant);
                 }
                 Outcome::Refused { ask, .. } => {
-                    if let Some(request) = self.by_ask.get(&ask.0).copied() {
+                    if let Some(request) = self.by_permit_request.get(&ask.0).copied() {
                         self.after(
-                            PEER_US,
+                            PEER_LATENCY_US,
                             Event::Refused {
                                 request,
-                                ask: ask.0,
+                                permit_request: ask.0,
                             },
                         );
                     }
@@ -220,40 +235,40 @@
         }
     }
 
-    pub(super) fn granted(
+    pub(super) fn receive_grant(
         &mut self,
         home: usize,
         request: usize,
-        ask: u64,
+        permit_request: u64,
         permit: u64,
         priority: i32,
     ) {
         let engine = self.engine_of(home);
-        let wanted = self.requests[request]
-            .asks
+        let is_open = self.requests[request]
+            .permit_requests
             .iter()
-            .any(|(one, _)| *one == ask);
-        if !wanted || self.requests[request].ended || self.dead[engine] {
-            self.after(PEER_US, Event::Left { home, permit });
+            .any(|(id, _)| *id == permit_request);
+        if !is_open || self.requests[request].has_ended || self.is_lost[engine] {
+            self.after(PEER_LATENCY_US, Event::Released { home, permit });
             return;
         }
-        self.requests[request].spare = None;
-        let others: Vec<(u64, usize)> = self.requests[request].asks.drain(..).collect();
+        self.requests[request].second_choice = None;
+        let others: Vec<(u64, usize)> = self.requests[request].permit_requests.drain(..).collect();
         for (other, other_home) in others {
-            if other != ask {
+            if other != permit_request {
                 let withdraw = Event::Withdraw {
                     home: other_home,
-                    ask: other,
+                    permit_request: other,
                 };
-                self.after(PEER_US, withdraw);
+                self.after(PEER_LATENCY_US, withdraw);
             }
         }
-        let one = &mut self.requests[request];
-        one.attempt += 1;
-        one.priority = priority;
-        let attempt = one.attempt;
-        let before = one.held.replace((home, permit));
-        let was_moving = std::mem::take(&mut one.moving);
+        let state = &mut self.requests[request];
+        state.attempt += 1;
+        state.priority = priority;
+        let attempt = state.attempt;
+        let before = state.held.replace((home, permit));
+        let was_moving = std::mem::take(&mut state.is_moving);
         self.by_permit.insert((home, permit), request);
         if let Some((old, old_permit)) = before {
             debug_assert!(was_moving, "only a move replaces a permit");
@@ -262,15 +277,15 @@
             self.engines[old_engine].cancel(request as u64);
             self.stats.moves += 1;
             self.after(
-                PEER_US,
-                Event::Left {
+                PEER_LATENCY_US,
+                Event::Released {
                     home: old,
                     permit: old_permit,
                 },
             );
         }
         self.after(
-            PEER_US,
+            PEER_LATENCY_US,
             Event::Submit {
                 engine,
                 request,
@@ -279,34 +294,39 @@
         );
     }
 
-    pub(super) fn refused(&mut self, request: usize, ask: u64) {
-        let one = &mut self.requests[request];
-        let before = one.asks.len();
-        one.asks.retain(|(other, _)| *other != ask);
-        if one.asks.len() == before || !one.asks.is_empty() || one.ended {
+    pub(super) fn receive_refusal(&mut self, request: usize, permit_request: u64) {
+        let state = &mut self.requests[request];
+        let before = state.permit_requests.len();
+        state
+            .permit_requests
+            .retain(|(other, _)| *other != permit_request);
+        if state.permit_requests.len() == before
+            || !state.permit_requests.is_empty()
+            || state.has_ended
+        {
             return;
         }
-        if let Some(engine) = one.spare.take() {
-            let only_now = one.moving;
-            self.send_ask(request, engine, only_now);
+        if let Some(engine) = state.second_choice.take() {
+            let only_now = state.is_moving;
+            self.send_permit_request(request, engine, only_now);
             return;
         }
-        if one.moving {
-            one.moving = false;
+        if state.is_moving {
+            state.is_moving = false;
             return;
         }
-        if one.held.is_some() {
+        if state.held.is_some() {
             return;
         }
-        if one.out > 0 || one.retried {
-            self.after(200_000, Event::Recover(request));
+        if state.out_tokens > 0 || state.was_retried {
+            self.after(200_000, Event::RetryRequest(request));
             return;
         }
-        one.ended = true;
-        let waited_us = self.now_us - one.arrival.at_us;
-        let stall = Gatherer::waiting_stall(true, waited_us);
-        let organisation = one.arrival.organisation;
+        state.has_ended = true;
+        let waited_us = self.now_us - state.arrival.at_us;
+        let stall = StatsCollector::open_stall_us(true, waited_us);
+        let organisation = state.arrival.organisation;
         self.stats.refused += 1;
-        self.stats.end(organisation, stall);
+        self.stats.record_end(organisation, stall);
     }
 }
--- a/crates/bench/src/sim/world/engines.rs
+++ b/crates/bench/src/sim/world/engines.rs
@@ -1,34 +1,34 @@
-//! What engines make, report and lose.
+//! Engines: steps, load reports, progress and loss.
 
 use fulmarpath_policy::EngineLoad;
 use fulmarpath_standin::{EngineEvent, Job};
 
 use super::super::policies::PolicyName;
 use super::event::Event;
-use super::{NOTICE_US, PEER_US, World, permit_bits, permit_key};
+use super::{LOSS_DETECTION_US, PEER_LATENCY_US, World, permit_bits, permit_key};
 
 impl World<'_> {
     pub(super) fn submit(&mut self, engine: usize, request: usize, attempt: u32) {
-        let one = &self.requests[request];
-        if one.attempt != attempt || one.ended {
+        let state = &self.requests[request];
+        if state.attempt != attempt || state.has_ended {
             return;
         }
-        if self.dead[engine] {
-            self.after(NOTICE_US, Event::Recover(request));
+        if self.is_lost[engine] {
+            self.after(LOSS_DETECTION_US, Event::RetryRequest(request));
             return;
         }
         let priority = if self.settings.policy == PolicyName::Fulmarpath {
-            one.priority
+            state.priority
         } else {
             0
         };
-        let arrival = one.arrival;
+        let arrival = state.arrival;
         self.engines[engine].submit(Job {
             id: request as u64,
             prefix: arrival.prefix,
             prefix_tokens: arrival.prefix_tokens,
             prompt_tokens: arrival.prompt_tokens,
-            out_tokens: one.out,
+            out_tokens: state.out_tokens,
             length_tokens: arrival.length_tokens,
             priority,
         });
@@ -51,18 +51,18 @@
         }
     }
 
-    pub(super) fn step_done(&mut self, engine: usize) {
-        if self.dead[engine] {
+    pub(super) fn finish_step(&mut self, engine: usize) {
+        if self.is_lost[engine] {
             return;
         }
         let events = std::mem::take(&mut self.pending[engine]);
         for event in &events {
             match *event {
-                EngineEvent::Token { id, index } => self.token(engine, id as usize, index),
-                EngineEvent::Done { id } => self.done(engine, id as usize),
+                EngineEvent::Token { id, index } => self.record_token(engine, id as usize, index),
+                EngineEvent::Done { id } => self.complete(engine, id as usize),
                 EngineEvent::Preempted { id } => {
                     let organisation = self.requests[id as usize].arrival.organisation;
-                    self.stats.preempted(organisation);
+                    self.stats.record_preemption(organisation);
                 }
             }
         }
@@ -71,50 +71,52 @@
     }
 
     pub(super) fn runs_on(&self, engine: usize, request: usize) -> bool {
-        let one = &self.requests[request];
-        !one.ended
-            && one
+        let state = &self.requests[request];
+        !state.has_ended
+            && state
                 .held
                 .is_some_and(|(held, _)| self.engine_of(held) == engine)
     }
 
-    pub(super) fn token(&mut self, engine: usize, request: usize, index: u32) {
+    pub(super) fn record_token(&mut self, engine: usize, request: usize, index: u32) {
         if !self.runs_on(engine, request) {
             return;
         }
         let now_us = self.now_us;
-        let one = &mut self.requests[request];
-        if index < one.out {
+        let state = &mut self.requests[request];
+        if index < state.out_tokens {
             return;
         }
-        assert_eq!(index, one.out, "a token must be the next one");
-        one.out += 1;
-        let stall = match one.last_us.replace(now_us) {
-            None => self.stats.first(now_us - one.arrival.at_us),
-            Some(last_us) => self.stats.gap(one.arrival.organisation, now_us - last_us),
+        assert_eq!(index, state.out_tokens, "a token must be the next one");
+        state.out_tokens += 1;
+        let stall = match state.last_token_us.replace(now_us) {
+            None => self.stats.record_first_token(now_us - state.arrival.at_us),
+            Some(last_token_us) => self
+                .stats
+                .record_gap(state.arrival.organisation, now_us - last_token_us),
         };
-        one.stall_us += stall;
+        state.stall_us += stall;
     }
 
-    pub(super) fn done(&mut self, engine: usize, request: usize) {
+    pub(super) fn complete(&mut self, engine: usize, request: usize) {
         if !self.runs_on(engine, request) {
             return;
         }
-        let one = &mut self.requests[request];
-        one.ended = true;
+        let state = &mut self.requests[request];
+        state.has_ended = true;
         let (organisation, stall, length) = (
-            one.arrival.organisation,
-            one.stall_us,
-            one.arrival.length_tokens,
+            state.arrival.organisation,
+            state.stall_us,
+            state.arrival.length_tokens,
         );
-        let held = one.held.take();
+        let held = state.held.take();
         self.stats.done += 1;
         self.stats.tokens_done += u64::from(length);
-        self.stats.end(organisation, stall);
+        self.stats.record_end(organisation, stall);
         if let Some((home, permit)) = held.filter(|_| self.settings.policy.admits()) {
             self.by_permit.remove(&(home, permit));
             self.after(
-                PEER_US,
+                PEER_LATENCY_US,
                 Event::Finished {
                     home,
                     permit,
@@ -124,7 +126,7 @@
         }
     }
 
-    pub(super) fn reported(&mut self, engine: usize, used: u32, running: u32, waiting: u32) {
+    pub(super) fn receive_report(&mut self, engine: usize, used: u32, running: u32, waiting: u32) {
         let load = EngineLoad {
             running,
             waiting,
@@ -138,17 +140,17 @@
         }
     }
 
-    /// Entry hosts report how far their permits are, and heed the moves that homes ask for.
-    pub(super) fn progress(&mut self) {
+    /// Entry hosts report the progress of their permits and start the moves that homes request.
+    pub(super) fn report_progress(&mut self) {
         self.after(self.settings.tuning.progress_ms * 1_000, Event::Progress);
         if !self.settings.policy.admits() {
             return;
         }
         let now_ms = self.now_ms();
         for index in 0..self.requests.len() {
-            let one = &self.requests[index];
-            if let Some((home, permit)) = one.held.filter(|_| !one.ended) {
-                self.homes[home].progress(now_ms, permit_key(permit), one.out);
+            let state = &self.requests[index];
+            if let Some((home, permit)) = state.held.filter(|_| !state.has_ended) {
+                self.homes[home].progress(now_ms, permit_key(permit), state.out_tokens);
             }
         }
         for (home, permit) in std::mem::take(&mut self.moves) {
@@ -156,30 +158,30 @@
             let Some(request) = self.by_permit.get(&held).copied() else {
                 continue;
             };
-            let one = &mut self.requests[request];
-            if !one.moving && one.out > 0 && !one.ended {
-                one.moving = true;
-                self.ask(request, true);
+            let state = &mut self.requests[request];
+            if !state.is_moving && state.out_tokens > 0 && !state.has_ended {
+                state.is_moving = true;
+                self.request_permit(request, true);
             }
         }
     }
 
-    pub(super) fn lose(&mut self, engine: usize) {
-        self.dead[engine] = true;
+    pub(super) fn lose_engine(&mut self, engine: usize) {
+        self.is_lost[engine] = true;
         self.stepping[engine] = false;
         for index in 0..self.requests.len() {
             if !self.runs_on(engine, index) {
                 continue;
             }
-            let one = &mut self.requests[index];
-            let held = one.held.take();
-            one.attempt += 1;
-            one.retried = true;
+            let state = &mut self.requests[index];
+            let held = state.held.take();
+            state.attempt += 1;
+            state.was_retried = true;
             if let Some((home, permit)) = held.filter(|_| self.settings.policy.admits()) {
                 self.by_permit.remove(&(home, permit));
-                self.after(NOTICE_US, Event::Left { home, permit });
+                self.after(LOSS_DETECTION_US, Event::Released { home, permit });
             }
-            self.after(NOTICE_US, Event::Recover(index));
+            self.after(LOSS_DETECTION_US, Event::RetryRequest(index));
         }
     }
 }
--- a/crates/bench/src/sim/world/event.rs
+++ b/crates/bench/src/sim/world/event.rs
@@ -1,33 +1,33 @@
-//! What happens in the world, at a moment.
+//! Events of the simulation.
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum Event {
     Arrive(usize),
-    AskAt {
+    PermitRequested {
         home: usize,
         request: usize,
-        ask: u64,
+        permit_request: u64,
         only_now: bool,
     },
     Granted {
         home: usize,
         request: usize,
-        ask: u64,
+        permit_request: u64,
         permit: u64,
         priority: i32,
     },
     Hedge {
         request: usize,
-        ask: u64,
+        permit_request: u64,
         only_now: bool,
     },
     Refused {
         request: usize,
-        ask: u64,
+        permit_request: u64,
     },
     Withdraw {
         home: usize,
-        ask: u64,
+        permit_request: u64,
     },
     Submit {
         engine: usize,
@@ -49,10 +49,10 @@
         permit: u64,
         length: u32,
     },
-    Left {
+    Released {
         home: usize,
         permit: u64,
     },
     LoseEngine(usize),
-    Recover(usize),
+    RetryRequest(usize),
 }
