--- a/crates/bench/src/sim/stats.rs
+++ b/crates/bench/src/sim/stats.rs
@@ -67,7 +67,7 @@
 }
 
 fn histogram() -> Histogram<u64> {
-    let mut histogram = Histogram::new(3).expect("a histogram of three digits");
+    let mut histogram = Histogram::new(3).expect("create a histogram with three digits");
     histogram.auto(true);
     histogram
 }
--- a/crates/bench/src/slopes/bytes.rs
+++ b/crates/bench/src/slopes/bytes.rs
@@ -1,4 +1,4 @@
-//! The bytes of each control message as it goes over the wire.
+//! Bytes of each control message on the wire.
 
 use fulmarpath_policy::{
     EngineLoad, EnginePermitRequest, HostKey, OrganisationKey, PermitKey, PermitRequestId,
@@ -12,15 +12,15 @@
 use tarpc::tokio_serde::Serializer;
 use tarpc::tokio_serde::formats::Bincode;
 
-/// TCP and IP headers of a segment, with time stamps. The call's acknowledgement rides on the
-/// answer, the answer's own goes alone.
-const SEGMENT_BYTES: usize = 52;
-/// The length that frames a message, the call's kind, id, deadline and trace.
-const CALL_BYTES: usize = 4 + 4 + 8 + 12 + 33;
-/// The same for an answer.
-const ANSWER_BYTES: usize = 4 + 8 + 4;
+/// TCP and IP headers of a segment, with timestamps. The call's ACK is piggybacked on the answer;
+/// the answer's ACK is a segment of its own.
+const SEGMENT_HEADER_BYTES: usize = 52;
+/// Overhead of a call: length prefix, kind, ID, deadline and trace context.
+const CALL_OVERHEAD_BYTES: usize = 4 + 4 + 8 + 12 + 33;
+/// Overhead of an answer: length prefix, ID and kind.
+const ANSWER_OVERHEAD_BYTES: usize = 4 + 8 + 4;
 
-/// One call and its answer.
+/// Bytes of one call and its answer.
 #[derive(Debug, Clone, Serialize)]
 pub(crate) struct CallBytes {
     pub(crate) what: &'static str,
@@ -29,7 +29,7 @@
 }
 
 impl CallBytes {
-    pub(crate) fn both(&self) -> f64 {
+    pub(crate) fn total_bytes(&self) -> f64 {
         (self.call_bytes + self.answer_bytes) as f64
     }
 
@@ -41,7 +41,7 @@
     }
 }
 
-fn size<T: Serialize + Unpin>(message: &T) -> usize {
+fn encoded_bytes<T: Serialize + Unpin>(message: &T) -> usize {
     let mut codec = Bincode::<(), T>::default();
     let bytes = std::pin::Pin::new(&mut codec).serialize(message);
     bytes.map_or(0, |bytes| bytes.len())
@@ -54,16 +54,16 @@
 ) -> CallBytes {
     CallBytes {
         what,
-        call_bytes: size(call) + CALL_BYTES + SEGMENT_BYTES,
-        answer_bytes: size(answer) + ANSWER_BYTES + 2 * SEGMENT_BYTES,
+        call_bytes: encoded_bytes(call) + CALL_OVERHEAD_BYTES + SEGMENT_HEADER_BYTES,
+        answer_bytes: encoded_bytes(answer) + ANSWER_OVERHEAD_BYTES + 2 * SEGMENT_HEADER_BYTES,
     }
 }
 
-/// Rumours in a ping of an ordinary second and of a bad one.
-const BAD_SECOND_RUMOURS: usize = 8;
+/// Rumours in a ping while many members change state; an ordinary ping has none.
+const BUSY_PING_RUMOURS: usize = 8;
 
 pub(crate) fn measure() -> Vec<CallBytes> {
-    let ask = EnginePermitRequest {
+    let permit_request = EnginePermitRequest {
         id: PermitRequestId(u64::MAX),
         host: HostKey(u64::MAX),
         organisation: OrganisationKey(u64::MAX),
@@ -95,7 +95,7 @@
         state: RunState::Running,
     };
     let report = |count| (HostKey(u64::MAX), vec![progress; count]);
-    let nothing = ProgressReply::default();
+    let empty_reply = ProgressReply::default();
     let slot = SlotRequest {
         organisation: OrganisationKey(u64::MAX),
         host: HostKey(u64::MAX),
@@ -115,13 +115,13 @@
         call("ping, nothing new", &ping(0), &pong(0)),
         call(
             "ping, 8 rumours",
-            &ping(BAD_SECOND_RUMOURS),
-            &pong(BAD_SECOND_RUMOURS),
+            &ping(BUSY_PING_RUMOURS),
+            &pong(BUSY_PING_RUMOURS),
         ),
-        call("ask, granted", &(UpstreamKey(1), ask), &granted),
+        call("ask, granted", &(UpstreamKey(1), permit_request), &granted),
         call("withdraw", &(UpstreamKey(1), PermitRequestId(1)), &()),
-        call("progress of 1 permit", &report(1), &nothing),
-        call("progress of 11 permits", &report(11), &nothing),
+        call("progress of 1 permit", &report(1), &empty_reply),
+        call("progress of 11 permits", &report(11), &empty_reply),
         call("slot under a limit", &slot, &LimitAnswer::Taken),
         call(
             "slots restated, 10 organisations",
--- a/crates/bench/src/slopes/capacity.rs
+++ b/crates/bench/src/slopes/capacity.rs
@@ -1,4 +1,4 @@
-//! What the slopes make at the two-year size, as docs/CAPACITY.md shows it.
+//! Totals at the two-year size, calculated from the slopes, as the tables of docs/CAPACITY.md.
 
 use fulmarpath::settings::{Organisation, key_hash};
 
@@ -9,142 +9,144 @@
 const REPLICAS: f64 = 600.0;
 const REQUESTS_PER_S: f64 = 6_000.0;
 const TOKENS_PER_S: f64 = 1_300_000.0;
-const BETWEEN_TOKENS_S: f64 = 0.025;
+const TIME_BETWEEN_TOKENS_S: f64 = 0.025;
 const DATA_CENTRES: f64 = 9.0;
-/// Assumed: the share of submissions under a key.
+/// Share of submissions with an idempotency key.
 const KEYED_SHARE: f64 = 0.1;
-/// Second homes asked, for each request (measured at load 0.95: 0.2).
-const SECOND_ASKS: f64 = 0.25;
-/// Assumed: asks repeated because they wait in a queue, for each request.
-const REASKS: f64 = 0.25;
-/// Between two reports of progress in a fleet of this size.
+/// Permit requests to a second home, per request; 0.2 at load 0.95.
+const SECOND_PERMIT_REQUESTS: f64 = 0.25;
+/// Permit requests repeated while they wait in a queue, per request.
+const REPEATED_PERMIT_REQUESTS: f64 = 0.25;
+/// Interval between two progress reports in a fleet of this size.
 const PROGRESS_S: f64 = 2.0;
-const BOUND_BYTES_PER_S: f64 = 26_000.0;
-const BOUND_CORE: f64 = 0.022;
-const BOUND_MEMORY_BYTES: f64 = 256.0 * 1024.0 * 1024.0;
+const MAX_BYTES_PER_S: f64 = 26_000.0;
+const MAX_CORE_SHARE: f64 = 0.022;
+const MAX_MEMORY_BYTES: f64 = 256.0 * 1024.0 * 1024.0;
 
 const CHANGES_PER_DAY: f64 = 480.0;
 const DAY_S: f64 = 86_400.0;
-/// A small HTTP exchange on a connection of its own, with its handshake.
+/// A small HTTP exchange on a new connection, with the handshake.
 const LOAD_POLL_BYTES: f64 = 1_100.0;
 const ORGANISATIONS: usize = 1_300;
 
-/// The largest part of the configuration: the organisations.
-fn part_bytes() -> f64 {
-    let one = |number: usize| Organisation {
+/// Size of the organisations, the largest part of the configuration.
+fn largest_part_bytes() -> f64 {
+    let organisation = |number: usize| Organisation {
         name: format!("organisation-of-the-consortium-{number}"),
         key_sha256: vec![key_hash(&number.to_string())],
         weight: 1.0,
         requests_per_s: 40.0,
         concurrent_requests: 400,
     };
-    let all: Vec<Organisation> = (0..ORGANISATIONS).map(one).collect();
+    let all: Vec<Organisation> = (0..ORGANISATIONS).map(organisation).collect();
     serde_json::to_vec(&all).map_or(0.0, |value| value.len() as f64)
 }
 
 struct Row {
     role: &'static str,
     mechanism: &'static str,
-    /// Calls that a host makes and answers, a second.
+    /// Calls per second that a host makes and answers.
     calls_per_s: f64,
     bytes_per_s: f64,
     core: f64,
     memory_bytes: f64,
 }
 
-fn of<'a>(slopes: &'a [Slope], what: &str) -> &'a Slope {
+fn slope_of<'a>(slopes: &'a [Slope], what: &str) -> &'a Slope {
     let found = slopes.iter().find(|slope| slope.what == what);
-    found.unwrap_or_else(|| panic!("no slope of {what}"))
+    found.unwrap_or_else(|| panic!("no slope named {what}"))
 }
 
 fn bytes_of(calls: &[CallBytes], what: &str) -> f64 {
     let found = calls.iter().find(|call| call.what == what);
-    found.map_or(0.0, CallBytes::both)
+    found.map_or(0.0, CallBytes::total_bytes)
 }
 
-/// The table, with a last row of totals against the bounds.
+/// The table of costs per role, with the totals relative to the bounds in the last row.
 pub(crate) fn table(bytes: &[CallBytes], cpu: &[Slope], memory: &[Slope]) -> String {
     let requests = REQUESTS_PER_S / HOSTS;
-    let answer_s = TOKENS_PER_S / REQUESTS_PER_S * BETWEEN_TOKENS_S;
-    let streams = requests * answer_s;
+    let answer_duration_s = TOKENS_PER_S / REQUESTS_PER_S * TIME_BETWEEN_TOKENS_S;
+    let streams = requests * answer_duration_s;
     let homes = REPLICAS / HOSTS;
-    // A stream's engine is near; its home is one of the hosts of that data centre.
-    let near_homes = (HOSTS / DATA_CENTRES).min(REPLICAS / DATA_CENTRES);
-    let spoken = near_homes * (1.0 - (1.0 - 1.0 / near_homes).powf(streams));
-    let progress_per_s = spoken / PROGRESS_S;
-    let permits_each = streams / spoken;
-    let us = |what: &str| of(cpu, what).fixed / 1e6;
-    let each_permit_us = of(cpu, "progress, each permit");
-    let progress_us = (each_permit_us.fixed + each_permit_us.each * permits_each) / 1e6;
-    let one = bytes_of(bytes, "progress of 1 permit");
-    let eleven = bytes_of(bytes, "progress of 11 permits");
-    let per_permit = (eleven - one) / 10.0;
-    let progress_bytes = one + per_permit * (permits_each - 1.0);
-    let asks = requests * (1.0 + SECOND_ASKS + REASKS);
-    let withdrawals = requests * SECOND_ASKS;
-    // Each host makes its calls and answers as many of others: both ways cross its link.
-    let both = 2.0;
+    // A stream's engine is in the same data centre, and its home is a host of that data centre.
+    let local_homes = (HOSTS / DATA_CENTRES).min(REPLICAS / DATA_CENTRES);
+    let contacted_homes = local_homes * (1.0 - (1.0 - 1.0 / local_homes).powf(streams));
+    let progress_per_s = contacted_homes / PROGRESS_S;
+    let permits_per_home = streams / contacted_homes;
+    let cpu_s = |what: &str| slope_of(cpu, what).fixed / 1e6;
+    let permit_slope = slope_of(cpu, "progress, each permit");
+    let progress_cpu_s = (permit_slope.fixed + permit_slope.each * permits_per_home) / 1e6;
+    let one_permit_bytes = bytes_of(bytes, "progress of 1 permit");
+    let eleven_permits_bytes = bytes_of(bytes, "progress of 11 permits");
+    let bytes_per_permit = (eleven_permits_bytes - one_permit_bytes) / 10.0;
+    let progress_bytes = one_permit_bytes + bytes_per_permit * (permits_per_home - 1.0);
+    let permit_requests = requests * (1.0 + SECOND_PERMIT_REQUESTS + REPEATED_PERMIT_REQUESTS);
+    let withdrawals = requests * SECOND_PERMIT_REQUESTS;
+    // Each host answers as many calls of others as it makes, and both cross its link.
+    let directions = 2.0;
     let rows = [
         Row {
             role: "entry and relay: permits",
             mechanism: "one home asked, a second after 10 ms; short calls repeated while queued",
-            calls_per_s: both * (asks + withdrawals),
-            bytes_per_s: both
-                * (asks * bytes_of(bytes, "ask, granted")
+            calls_per_s: directions * (permit_requests + withdrawals),
+            bytes_per_s: directions
+                * (permit_requests * bytes_of(bytes, "ask, granted")
                     + withdrawals * bytes_of(bytes, "withdraw")),
-            core: asks * us("ask and withdraw"),
-            memory_bytes: streams * of(memory, "open stream, all three ends").each,
+            core: permit_requests * cpu_s("ask and withdraw"),
+            memory_bytes: streams * slope_of(memory, "open stream, all three ends").each,
         },
         Row {
             role: "home of engines: progress",
             mechanism: "one message to each home every 2 s (0.5 s today), and one at each end",
-            calls_per_s: both * (progress_per_s + requests),
-            bytes_per_s: both * (progress_per_s * progress_bytes + requests * one),
-            core: progress_per_s * progress_us + requests * each_permit_us.fixed / 1e6,
-            memory_bytes: homes.ceil() * of(memory, "home with 64 permits").each
-                + 2_600.0 * of(memory, "organisation and service in lengths").each,
+            calls_per_s: directions * (progress_per_s + requests),
+            bytes_per_s: directions
+                * (progress_per_s * progress_bytes + requests * one_permit_bytes),
+            core: progress_per_s * progress_cpu_s + requests * permit_slope.fixed / 1e6,
+            memory_bytes: homes.ceil() * slope_of(memory, "home with 64 permits").each
+                + 2_600.0 * slope_of(memory, "organisation and service in lengths").each,
         },
         Row {
             role: "home of organisations: limits",
             mechanism: "exact counts at one host for each organisation",
-            calls_per_s: both * (requests + 2.0),
-            bytes_per_s: both
+            calls_per_s: directions * (requests + 2.0),
+            bytes_per_s: directions
                 * (requests * bytes_of(bytes, "slot under a limit")
                     + 2.0 * bytes_of(bytes, "slots restated, 10 organisations")),
-            core: requests * us("slot"),
+            core: requests * cpu_s("slot"),
             memory_bytes: 0.0,
         },
         Row {
             role: "home of claim shards",
             mechanism: "segments gathered by shard, created once by number",
-            calls_per_s: both * requests * KEYED_SHARE,
-            bytes_per_s: both * requests * KEYED_SHARE * bytes_of(bytes, "claim"),
-            core: requests * KEYED_SHARE * us("slot"),
+            calls_per_s: directions * requests * KEYED_SHARE,
+            bytes_per_s: directions * requests * KEYED_SHARE * bytes_of(bytes, "claim"),
+            core: requests * KEYED_SHARE * cpu_s("slot"),
             memory_bytes: 0.0,
         },
         Row {
             role: "member",
             mechanism: "one ping a period of 300 ms, rumours in it",
-            calls_per_s: both * 3.33,
-            bytes_per_s: both * 3.33 * bytes_of(bytes, "ping, nothing new"),
-            core: 3.33 * us("ping"),
-            memory_bytes: HOSTS * of(memory, "member").each,
+            calls_per_s: directions * 3.33,
+            bytes_per_s: directions * 3.33 * bytes_of(bytes, "ping, nothing new"),
+            core: 3.33 * cpu_s("ping"),
+            memory_bytes: HOSTS * slope_of(memory, "member").each,
         },
         Row {
             role: "home of engines: load polls",
             mechanism: "each engine polled twice a second by its home alone",
             calls_per_s: homes * 2.0,
             bytes_per_s: homes * 2.0 * LOAD_POLL_BYTES,
-            core: homes * 2.0 * us("slot"),
+            core: homes * 2.0 * cpu_s("slot"),
             memory_bytes: 0.0,
         },
         Row {
             role: "watcher and spreader",
             mechanism: "2 watchers a data centre; parts by hash, fetched once from the announcer",
             calls_per_s: 2.0,
-            bytes_per_s: 2.0 * LOAD_POLL_BYTES + both * part_bytes() * CHANGES_PER_DAY / DAY_S,
-            core: 2.0 * us("slot"),
-            memory_bytes: part_bytes() * 4.0,
+            bytes_per_s: 2.0 * LOAD_POLL_BYTES
+                + directions * largest_part_bytes() * CHANGES_PER_DAY / DAY_S,
+            core: 2.0 * cpu_s("slot"),
+            memory_bytes: largest_part_bytes() * 4.0,
         },
     ];
     let mut out = String::from(
@@ -164,7 +166,7 @@
             row.bytes_per_s,
             row.core * 100.0,
             row.memory_bytes / 1e6,
-            row.bytes_per_s / both / BOUND_BYTES_PER_S * 100.0
+            row.bytes_per_s / directions / MAX_BYTES_PER_S * 100.0
         ));
     }
     out.push_str(&format!(
@@ -172,14 +174,14 @@
         total.0,
         total.1 * 100.0,
         total.2 / 1e6,
-        total.0 / both / BOUND_BYTES_PER_S * 100.0,
-        total.1 / BOUND_CORE * 100.0,
-        total.2 / BOUND_MEMORY_BYTES * 100.0
+        total.0 / directions / MAX_BYTES_PER_S * 100.0,
+        total.1 / MAX_CORE_SHARE * 100.0,
+        total.2 / MAX_MEMORY_BYTES * 100.0
     ));
     out
 }
 
-/// What the whole fleet asks of the platform.
+/// The table of calls from the whole fleet to the platform.
 pub(crate) fn platform() -> String {
     let watchers = DATA_CENTRES * 2.0;
     let claims = 200.0;
@@ -193,6 +195,6 @@
          | writes: changes of the configuration, 5 objects each | {changes:.3}/s | several hundred/s |\n\
          | the largest value: {ORGANISATIONS} organisations | {:.0} bytes | 1,000,000 bytes |\n",
         watchers * 2.0,
-        part_bytes()
+        largest_part_bytes()
     )
 }
--- a/crates/bench/src/slopes/cpu.rs
+++ b/crates/bench/src/slopes/cpu.rs
@@ -1,4 +1,4 @@
-//! Processor time of each control call, over real connections between real hosts.
+//! CPU time of each control call, over TCP connections between running hosts.
 
 use std::time::Instant;
 
@@ -17,13 +17,13 @@
 
 use super::{Slope, fit};
 
-/// Calls for one point.
+/// Calls per measured point.
 const CALLS: u32 = 4_000;
-/// One processor tick of /proc.
+/// Unit of the CPU times in /proc/self/stat.
 const TICK_US: f64 = 10_000.0;
 
-/// Processor time that this process has used.
-fn used_us() -> f64 {
+/// CPU time that this process has used.
+fn cpu_time_us() -> f64 {
     let stat = std::fs::read_to_string("/proc/self/stat").unwrap_or_default();
     let fields = stat.rsplit(')').next().unwrap_or_default();
     let ticks: f64 = fields
@@ -35,42 +35,43 @@
     ticks * TICK_US
 }
 
-fn soon() -> Context {
+fn call_context() -> Context {
     context::current()
 }
 
-/// Time of the calling and the answering side together, for one call. What the deployment does by
-/// itself in that time is taken off.
-async fn time<F: Future>(idle_share: f64, mut call: impl FnMut(u32) -> F) -> f64 {
-    let (before_us, started) = (used_us(), Instant::now());
+/// CPU time of one call on both sides together, in µs. The idle load of the deployment during that
+/// time is subtracted.
+async fn cpu_us_per_call<F: Future>(idle_share: f64, mut call: impl FnMut(u32) -> F) -> f64 {
+    let (before_us, started) = (cpu_time_us(), Instant::now());
     for number in 0..CALLS {
         call(number).await;
     }
     let idle_us = started.elapsed().as_secs_f64() * 1e6 * idle_share;
-    (used_us() - before_us - idle_us) / f64::from(CALLS)
+    (cpu_time_us() - before_us - idle_us) / f64::from(CALLS)
 }
 
 pub(crate) async fn measure() -> Vec<Slope> {
-    let size = DeploymentSpec {
+    let spec = DeploymentSpec {
         hosts: 2,
         engines: 1,
         ..DeploymentSpec::default()
     };
-    let deployment = Deployment::start(size).await.expect("a deployment");
+    let deployment = Deployment::start(spec).await.expect("start a deployment");
     let address = deployment.host(0).peer_address;
     let transport = tarpc::serde_transport::tcp::connect(address, Bincode::default).await;
-    let client = PeerClient::new(Config::default(), transport.expect("a connection")).spawn();
-    let idle_share = idle().await;
+    let client =
+        PeerClient::new(Config::default(), transport.expect("connect to the host")).spawn();
+    let idle_share = measure_idle_share().await;
     let upstream = UpstreamKey::of("engine-0");
     let point = |x: f64, y: f64| vec![(x, y), (x + 1.0, y)];
     let ping = ping(deployment.host(1).peer_address);
-    let ping_us = time(idle_share, |_| client.ping(soon(), ping.clone())).await;
-    let ask_us = time(idle_share, |number| {
+    let ping_us = cpu_us_per_call(idle_share, |_| client.ping(call_context(), ping.clone())).await;
+    let permit_us = cpu_us_per_call(idle_share, |number| {
         let client = &client;
         async move {
-            let ask = ask(number);
-            let _ = client.ask(soon(), upstream, ask).await;
-            let _ = client.withdraw(soon(), upstream, ask.id).await;
+            let request = permit_request(number);
+            let _ = client.ask(call_context(), upstream, request).await;
+            let _ = client.withdraw(call_context(), upstream, request.id).await;
         }
     })
     .await;
@@ -82,32 +83,32 @@
             concurrent: u32::MAX,
         },
     };
-    let slot_us = time(idle_share, |_| client.take_slot(soon(), slot)).await;
+    let slot_us = cpu_us_per_call(idle_share, |_| client.take_slot(call_context(), slot)).await;
     let mut progress = Vec::new();
     for count in [1u32, 20, 80] {
         let report = vec![unknown_permit(upstream); count as usize];
-        let us = time(idle_share, |_| {
-            client.progress(soon(), HostKey(1), report.clone())
+        let us = cpu_us_per_call(idle_share, |_| {
+            client.progress(call_context(), HostKey(1), report.clone())
         })
         .await;
         progress.push((f64::from(count), us));
     }
     vec![
         fit("ping", "us", &point(0.0, ping_us)),
-        fit("ask and withdraw", "us", &point(0.0, ask_us)),
+        fit("ask and withdraw", "us", &point(0.0, permit_us)),
         fit("slot", "us", &point(0.0, slot_us)),
         fit("progress, each permit", "us", &progress),
     ]
 }
 
-async fn idle() -> f64 {
-    const WATCHED: std::time::Duration = std::time::Duration::from_millis(2_000);
-    let before_us = used_us();
-    tokio::time::sleep(WATCHED).await;
-    (used_us() - before_us) / WATCHED.as_micros() as f64
+async fn measure_idle_share() -> f64 {
+    const IDLE_WINDOW: std::time::Duration = std::time::Duration::from_millis(2_000);
+    let before_us = cpu_time_us();
+    tokio::time::sleep(IDLE_WINDOW).await;
+    (cpu_time_us() - before_us) / IDLE_WINDOW.as_micros() as f64
 }
 
-fn ask(number: u32) -> EnginePermitRequest {
+fn permit_request(number: u32) -> EnginePermitRequest {
     EnginePermitRequest {
         id: PermitRequestId(u64::from(number)),
         host: HostKey(1),
--- a/crates/bench/src/slopes/memory.rs
+++ b/crates/bench/src/slopes/memory.rs
@@ -1,4 +1,4 @@
-//! Memory of each thing that a host holds, by the growth of this process.
+//! Memory of each kind of object that a host holds, from the growth of this process.
 
 use std::hint::black_box;
 
@@ -27,15 +27,15 @@
         * PAGE_BYTES
 }
 
-/// Memory that `make` leaves behind at each of several counts.
-fn grow<T>(what: &'static str, counts: [u64; 3], make: impl Fn(u64) -> T) -> Slope {
+/// Growth of the resident memory by what `make` allocates, at each count.
+fn measure_growth<T>(what: &'static str, counts: [u64; 3], make: impl Fn(u64) -> T) -> Slope {
     let points: Vec<(f64, f64)> = counts
         .into_iter()
         .map(|count| {
             let before = resident_bytes();
             let held = black_box(make(count));
             let grown = resident_bytes() - before;
-            // Kept, so that the next point can't grow into what this one gave back.
+            // Leaked: the next point would otherwise reuse the freed memory and show less growth.
             std::mem::forget(held);
             (count as f64, grown)
         })
@@ -45,12 +45,12 @@
 
 pub(crate) async fn measure() -> Vec<Slope> {
     vec![
-        grow("member", [20_000, 40_000, 80_000], |count| {
-            // As many tables as a fleet of 400 has.
+        measure_growth("member", [20_000, 40_000, 80_000], |count| {
+            // One member table of a fleet of 400 hosts for every 400 members.
             let tables = (0..count / 400).map(|_| members(400));
             tables.collect::<Vec<_>>()
         }),
-        grow(
+        measure_growth(
             "organisation and service in lengths",
             [2_000, 4_000, 8_000],
             |count| {
@@ -62,22 +62,22 @@
                 lengths
             },
         ),
-        grow("home with 64 permits", [200, 400, 800], |count| {
+        measure_growth("home with 64 permits", [200, 400, 800], |count| {
             (0..count).map(|_| home(64)).collect::<Vec<_>>()
         }),
-        streams().await,
+        measure_streams().await,
     ]
 }
 
 fn members(count: u32) -> Members {
-    let note = |number: u32| MemberInfo {
+    let member = |number: u32| MemberInfo {
         name: format!("zrh-a-entry-{number}"),
         data_centre: "zrh-a".into(),
         address: ([10, 0, (number >> 8) as u8, number as u8], 7_080).into(),
     };
-    let mut members = Members::new(note(0), 1);
+    let mut members = Members::new(member(0), 1);
     for number in 1..count {
-        members.seed(1, note(number));
+        members.seed(1, member(number));
     }
     members
 }
@@ -87,7 +87,7 @@
     let mut home = Home::new(settings);
     let lengths = Lengths::new();
     for number in 0..permits {
-        let ask = EnginePermitRequest {
+        let permit_request = EnginePermitRequest {
             id: PermitRequestId(number),
             host: HostKey(number),
             organisation: OrganisationKey(number % 10),
@@ -101,16 +101,16 @@
             only_now: false,
             known_tokens: None,
         };
-        home.request_permit(1, ask, &lengths);
+        home.request_permit(1, permit_request, &lengths);
     }
     home.step(1, &lengths, &mut Vec::new());
     home
 }
 
-/// Quiet streams through one host. The caller's and the engine's ends are in this process too, so
-/// this is more than the host's own share.
-async fn streams() -> Slope {
-    let size = DeploymentSpec {
+/// Idle streams through one host. The caller's and the engine's ends are in this process too, so
+/// the result is more than the host's own share.
+async fn measure_streams() -> Slope {
+    let spec = DeploymentSpec {
         hosts: 1,
         engines: 1,
         engine: EngineSpec {
@@ -122,24 +122,24 @@
         silence_bound_ms: 20_000,
         ..DeploymentSpec::default()
     };
-    let deployment = Deployment::start(size).await.expect("a deployment");
+    let deployment = Deployment::start(spec).await.expect("start a deployment");
     let address = deployment.caller_address(0);
     let mut points = vec![];
     let mut open_streams = Vec::new();
     let before = resident_bytes();
     for step in 1..=3 {
-        let asks = (0..200).map(|number| {
+        let requests = (0..200).map(|number| {
             let prompt = format!("quiet {step} {number} #4000");
             async move {
-                let ask = CallerRequest {
+                let request = CallerRequest {
                     key: CALLER_KEY,
                     prompt,
                     ..CallerRequest::default()
                 };
-                open(address, &ask).await
+                open(address, &request).await
             }
         });
-        open_streams.extend(join_all(asks).await);
+        open_streams.extend(join_all(requests).await);
         points.push((open_streams.len() as f64, resident_bytes() - before));
     }
     let slope = fit("open stream, all three ends", "bytes", &points);
--- a/crates/bench/src/slopes/mod.rs
+++ b/crates/bench/src/slopes/mod.rs
@@ -1,4 +1,5 @@
-//! Slopes: what one more of each thing costs.
+//! Marginal costs: bytes, CPU time and memory of one more of each item, and the totals at the
+//! two-year size.
 
 pub(crate) mod bytes;
 pub(crate) mod capacity;
@@ -7,20 +8,20 @@
 
 use serde::Serialize;
 
-/// A cost that grows with a count.
+/// A cost that grows linearly with a count.
 #[derive(Debug, Clone, Serialize)]
 pub(crate) struct Slope {
     pub(crate) what: &'static str,
     pub(crate) unit: &'static str,
-    /// Cost of none.
+    /// Cost at a count of 0.
     pub(crate) fixed: f64,
     /// Cost of one more.
     pub(crate) each: f64,
-    /// The largest distance of a measured point from the line, as a share of that point.
+    /// The largest deviation of a measured point from the line, relative to that point.
     pub(crate) residual: f64,
 }
 
-/// The least-squares line through points of count and cost.
+/// Fits a least-squares line through points of count and cost.
 pub(crate) fn fit(what: &'static str, unit: &'static str, points: &[(f64, f64)]) -> Slope {
     let count = points.len() as f64;
     let mean_x = points.iter().map(|(x, _)| x).sum::<f64>() / count;
