--- a/crates/bench/src/cmd/faults.rs
+++ b/crates/bench/src/cmd/faults.rs
@@ -6,8 +6,7 @@
 
 use crate::faults::{Fault, RoundSettings, Verdict, run};
 
-/// Run callers against a deployment under random faults and check what callers and upstreams
-/// observe
+/// Inject random faults into a deployment in one process and check what callers receive
 #[derive(Debug, Clone, Bpaf)]
 #[bpaf(command)]
 pub(crate) struct Faults {
--- a/crates/bench/src/cmd/soak.rs
+++ b/crates/bench/src/cmd/soak.rs
@@ -8,8 +8,7 @@
 
 use crate::soak::{Corruption, FaultSet, SoakSettings, default_binary, run_seed};
 
-/// Inject seeded faults into a deployment of host processes and check what callers and upstreams
-/// observe
+/// Inject seeded faults into a deployment of host processes and check what callers receive
 #[derive(Debug, Clone, Bpaf)]
 #[bpaf(command)]
 pub(crate) struct Soak {
