--- a/crates/bench/src/reclaim/engine_lifecycle.rs
+++ b/crates/bench/src/reclaim/engine_lifecycle.rs
@@ -71,7 +71,7 @@
         self.register();
     }
 
-    /// Resumes a generation of an engine that is gone from its copy, or counts it as lost.
+    /// Resumes a generation from its copy after its engine ended, or counts it as lost.
     pub(super) fn fail_over(&mut self, run: usize) {
         let attempt = self.attempts[run];
         let copy = attempt
