--- a/crates/gateway/src/attempt.rs
+++ b/crates/gateway/src/attempt.rs
@@ -132,7 +132,7 @@
             .min(CONNECT_TIMEOUT_MS);
         let opened = Connection::open(address, Duration::from_millis(connect_ms)).await;
         let Ok(mut connection) = opened else {
-            self.instances.unreachable(self.clock.now_ms(), key);
+            self.instances.record_unreachable(self.clock.now_ms(), key);
             return Err(Failure::Unsent);
         };
         let request = self.outbound(inbound, &in_flight.chosen, &options);
@@ -191,7 +191,8 @@
                 .penalise_until(now_ms + CLOSING_PENALTY_MS, key);
         }
         let latency_ms = now_ms.saturating_sub(started_ms);
-        self.instances.answered(now_ms, key, latency_ms, head.load);
+        self.instances
+            .record_response(now_ms, key, latency_ms, head.load);
         self.metrics.first_byte_ms.observe(latency_ms as f64);
         Ok(Answer {
             head,
--- a/crates/gateway/src/availability.rs
+++ b/crates/gateway/src/availability.rs
@@ -28,13 +28,13 @@
             return Self::default();
         };
         let services = active.configuration.services.iter();
-        let cold = services.filter(|one| one.cold_ms > 0);
-        let by_service = cold.map(|one| {
+        let cold = services.filter(|service| service.cold_ms > 0);
+        let by_service = cold.map(|service| {
             let cold_limit = ColdLimit {
-                cold_ms: one.cold_ms,
-                starts: bound.starts_per_host(one.cold_per_second),
+                cold_ms: service.cold_ms,
+                starts: bound.starts_per_host(service.cold_per_second),
             };
-            (one.name.clone(), cold_limit)
+            (service.name.clone(), cold_limit)
         });
         Self {
             by_service: by_service.collect(),
@@ -51,6 +51,7 @@
 pub(crate) struct Availability {
     /// Its data centre is evacuated: it receives no work.
     pub(crate) is_evacuated: bool,
-    /// Set while it accepts only a few new requests per second.
+    /// Its cold limit and until when that applies, which may be in the past; `None` if the
+    /// upstreams of its service are never cold.
     pub(crate) cold: Option<Cold>,
 }
--- a/crates/gateway/src/backpressure.rs
+++ b/crates/gateway/src/backpressure.rs
@@ -24,8 +24,8 @@
             }
             (_, None) => info!("backpressure: {instance} names no limit any more"),
         }
-        if let Some(rest_ms) = signals.backoff_ms {
-            info!("backpressure: {instance} wants nothing from this host for {rest_ms} ms");
+        if let Some(backoff_ms) = signals.backoff_ms {
+            info!("backpressure: {instance} wants nothing from this host for {backoff_ms} ms");
         }
         if after.is_leaving() && !before.is_leaving() {
             info!("backpressure: {instance} says that it leaves");
@@ -60,7 +60,7 @@
         backpressure.merge_limit(per_s, received_ms);
     }
 
-    /// Blocks starts on this host until `until_ms`, as the upstream's limit leaves it none before.
+    /// Blocks starts of this host at an upstream until `until_ms`: its limit allows none before.
     pub(crate) fn throttle_until(&self, upstream: UpstreamKey, until_ms: Millis) {
         let mut table = self.table.lock();
         let backpressure = table.backpressure.entry(upstream).or_default();
@@ -117,10 +117,12 @@
     /// does so at present, or if none takes work at all.
     pub(crate) fn available_at_ms(&self, now_ms: Millis, service: &str) -> Option<Millis> {
         let table = self.table.lock();
-        let same = table.by_service.get(service)?;
-        let open = same.iter().map(|key| &table.arena[*key]);
-        let open = open.filter(|one| table.takes_work(one));
-        let first_ms = open.map(|one| table.available_at_ms(one.upstream)).min()?;
+        let keys = table.by_service.get(service)?;
+        let open = keys.iter().map(|key| &table.arena[*key]);
+        let open = open.filter(|instance| table.takes_work(instance));
+        let first_ms = open
+            .map(|instance| table.available_at_ms(instance.upstream))
+            .min()?;
         (first_ms > now_ms).then_some(first_ms)
     }
 }
--- a/crates/gateway/src/cell_layout.rs
+++ b/crates/gateway/src/cell_layout.rs
@@ -13,41 +13,42 @@
 /// Number of engines in each data centre.
 pub(crate) fn count(registered: &[&Registration]) -> BTreeMap<String, usize> {
     let mut counts = BTreeMap::new();
-    for one in registered {
-        *counts.entry(one.data_centre.clone()).or_default() += 1;
+    for registration in registered {
+        *counts.entry(registration.data_centre.clone()).or_default() += 1;
     }
     counts
 }
 
-/// Groups engines by cell; a service that is not divided has one cell, also without engines.
-pub(crate) fn divide<'a>(
-    division: &CellPartitioning,
+/// Groups engines by cell; a service that is not partitioned has one cell, even without engines.
+pub(crate) fn group_by_cell<'a>(
+    partitioning: &CellPartitioning,
     service: &str,
     registered: &[&'a Registration],
 ) -> HashMap<CellKey, Vec<&'a Registration>> {
     let mut by_cell: HashMap<CellKey, Vec<&Registration>> = HashMap::new();
-    if division == &CellPartitioning::default() {
+    if partitioning == &CellPartitioning::default() {
         by_cell.insert(cell_key(service, None), Vec::new());
     }
-    for one in registered {
-        let part = division.partition_of_engine(&one.data_centre, name_key(one));
+    for registration in registered {
+        let partition =
+            partitioning.partition_of_engine(&registration.data_centre, name_key(registration));
         by_cell
-            .entry(cell_key(service, part))
+            .entry(cell_key(service, partition))
             .or_default()
-            .push(one);
+            .push(registration);
     }
     by_cell
 }
 
 /// The cell for a generation that a host in `data_centre` starts.
 pub(crate) fn cell_for(
-    division: &CellPartitioning,
+    partitioning: &CellPartitioning,
     service: &str,
     data_centre: &str,
     run: RunKey,
 ) -> CellKey {
     cell_key(
         service,
-        division.partition_for_generation(data_centre, run.0),
+        partitioning.partition_for_generation(data_centre, run.0),
     )
 }
--- a/crates/gateway/src/cells.rs
+++ b/crates/gateway/src/cells.rs
@@ -22,27 +22,27 @@
     cell: Cell,
 }
 
-/// How a service is divided into cells after an update.
-struct DivisionChange {
-    division: CellPartitioning,
+/// How a service is partitioned into cells after an update.
+struct PartitioningChange {
+    partitioning: CellPartitioning,
     /// Whether engines belong to other cells than before.
     is_new: bool,
 }
 
 /// The cells' tables.
 ///
-/// Lock order: tables, divisions, by engine.
+/// Lock order: tables, partitionings, by engine.
 #[derive(Default)]
 pub(crate) struct Cells {
     tables: Mutex<HashMap<CellKey, Table>>,
-    /// The division of each service into cells.
-    divisions: Mutex<HashMap<String, CellPartitioning>>,
+    /// The partitioning of each service into cells.
+    partitionings: Mutex<HashMap<String, CellPartitioning>>,
     by_engine: Mutex<CellsByEngine>,
 }
 
 impl Cells {
-    /// Applies the registered engines; returns whether homes have to learn again which generations
-    /// run.
+    /// Applies the registered engines; returns whether homes need new statements of the running
+    /// generations.
     pub(crate) fn apply_directory(
         &self,
         now_ms: Millis,
@@ -51,8 +51,11 @@
         availability_of: impl Fn(UpstreamKey) -> Availability,
     ) -> bool {
         let mut by_service: HashMap<&str, Vec<&Registration>> = HashMap::new();
-        for one in &directory.registrations {
-            by_service.entry(&one.service).or_default().push(one);
+        for registration in &directory.registrations {
+            by_service
+                .entry(&registration.service)
+                .or_default()
+                .push(registration);
         }
         let mut by_engine = CellsByEngine::new();
         let mut is_new = false;
@@ -62,10 +65,13 @@
                 continue;
             };
             let registered = by_service.remove(service.name.as_str()).unwrap_or_default();
-            let division_change = self.update_division(&service.name, &registered);
-            let by_cell =
-                cell_layout::divide(&division_change.division, &service.name, &registered);
-            if division_change.is_new {
+            let partitioning_change = self.update_partitioning(&service.name, &registered);
+            let by_cell = cell_layout::group_by_cell(
+                &partitioning_change.partitioning,
+                &service.name,
+                &registered,
+            );
+            if partitioning_change.is_new {
                 is_new = true;
                 // Engines that moved to another cell would be taken for leaving engines; homes
                 // learn of the generations from the next statements.
@@ -78,12 +84,12 @@
                 }
             }
             for (cell, engines) in by_cell {
-                let engines = engines.iter().map(|one| {
-                    let availability = availability_of(upstream_key(one));
-                    engine(one, traits, availability)
+                let engines = engines.iter().map(|registration| {
+                    let availability = availability_of(upstream_key(registration));
+                    engine(registration, traits, availability)
                 });
                 let engines: Vec<CellEngine> = engines.collect();
-                by_engine.extend(engines.iter().map(|one| (one.key, cell)));
+                by_engine.extend(engines.iter().map(|engine| (engine.key, cell)));
                 let table = tables.entry(cell).or_insert_with(|| Table {
                     service: service.name.clone(),
                     cell: Cell::default(),
@@ -96,14 +102,18 @@
         is_new
     }
 
-    fn update_division(&self, service: &str, registered: &[&Registration]) -> DivisionChange {
-        let mut divisions = self.divisions.lock();
-        let before = divisions.get(service).cloned().unwrap_or_default();
-        let division = before.updated(&cell_layout::count(registered));
-        divisions.insert(service.to_owned(), division.clone());
-        DivisionChange {
-            is_new: !division.has_same_cells(&before),
-            division,
+    fn update_partitioning(
+        &self,
+        service: &str,
+        registered: &[&Registration],
+    ) -> PartitioningChange {
+        let mut partitionings = self.partitionings.lock();
+        let before = partitionings.get(service).cloned().unwrap_or_default();
+        let partitioning = before.updated(&cell_layout::count(registered));
+        partitionings.insert(service.to_owned(), partitioning.clone());
+        PartitioningChange {
+            is_new: !partitioning.has_same_cells(&before),
+            partitioning,
         }
     }
 
@@ -118,9 +128,9 @@
 
     /// The cell for a generation that a host in `data_centre` starts.
     pub(crate) fn cell_for(&self, service: &str, data_centre: &str, run: RunKey) -> CellKey {
-        let divisions = self.divisions.lock();
-        let division = divisions.get(service).cloned().unwrap_or_default();
-        cell_layout::cell_for(&division, service, data_centre, run)
+        let partitionings = self.partitionings.lock();
+        let partitioning = partitionings.get(service).cloned().unwrap_or_default();
+        cell_layout::cell_for(&partitioning, service, data_centre, run)
     }
 
     pub(crate) fn place(
@@ -142,11 +152,11 @@
         }
     }
 
-    pub(crate) fn restate(&self, now_ms: Millis, restatement: &RelayedRuns) {
-        if let Some(table) = self.tables.lock().get_mut(&restatement.cell) {
+    pub(crate) fn restate(&self, now_ms: Millis, relayed_runs: &RelayedRuns) {
+        if let Some(table) = self.tables.lock().get_mut(&relayed_runs.cell) {
             table
                 .cell
-                .restate(now_ms, restatement.host, &restatement.runs);
+                .restate(now_ms, relayed_runs.host, &relayed_runs.runs);
         }
     }
 
--- a/crates/gateway/src/collection_reader.rs
+++ b/crates/gateway/src/collection_reader.rs
@@ -120,7 +120,7 @@
     }
 
     /// Logs a failed call and waits before the next one. The collection has to be listed again
-    /// then, as after an outage a list shows more than a watch from an old revision.
+    /// then: after an outage a list is more complete than a watch from an old revision.
     pub(crate) async fn handle_failure(&mut self, gateway: &Arc<Gateway>, error: &StoreError) {
         if !error.is_outage() {
             info!("store: {} to be read anew: {error}", self.what);
--- a/crates/gateway/src/control.rs
+++ b/crates/gateway/src/control.rs
@@ -83,6 +83,6 @@
     /// Discards an unused copy at the engine that holds it; returns whether that is known to have
     /// succeeded.
     async fn discard_copy(&self, holder: SocketAddr, copy_id: &str) -> bool;
-    /// Probes an engine; the state may be some hundred ms old.
+    /// Probes an engine; the state may be a few hundred ms old.
     async fn probe(&self, engine: SocketAddr) -> ProbeResult;
 }
--- a/crates/gateway/src/crashes.rs
+++ b/crates/gateway/src/crashes.rs
@@ -12,8 +12,8 @@
 use crate::inbound::InboundRequest;
 use crate::instance::Chosen;
 
-/// An upstream that accepts connections may have been restarted already: its registration shows it
-/// within this time.
+/// An upstream that accepts connections may have been restarted already: its registration shows
+/// the new start within this time.
 const RESTART_TIMEOUT: Duration = Duration::from_millis(1_000);
 
 /// A run whose connection ended before its response did.
@@ -57,8 +57,8 @@
 impl Gateway {
     /// Checks whether an upstream that broke off a run has itself ended.
     ///
-    /// A reset connection and a crashed upstream look alike from the connection. If one were taken
-    /// for the other, requests would be suspected for faults of a link.
+    /// A connection looks the same after a crash of the upstream and after a network fault. Without
+    /// this check, network faults would be taken for crashes, and the requests suspected.
     pub(crate) fn check_for_crash(self: &Arc<Self>, run: InterruptedRun) {
         let gateway = self.clone();
         tokio::spawn(async move {
@@ -70,7 +70,7 @@
     }
 
     /// Whether an upstream has ended without notice. An upstream that had given notice ends as
-    /// announced, whatever ran there.
+    /// announced, regardless of the requests that ran there.
     async fn has_ended(&self, chosen: &Chosen) -> bool {
         if chosen.lost.is_cancelled() {
             return true;
--- a/crates/gateway/src/directory.rs
+++ b/crates/gateway/src/directory.rs
@@ -20,8 +20,8 @@
     /// Its name, which is the same after a restart; its address may be reused by another upstream.
     pub instance: String,
     /// When this start began, in Unix milliseconds by the upstream's own clock. A later start
-    /// supersedes an earlier one and knows nothing of it, so name and start time together identify
-    /// the place of requests, generations and copies.
+    /// supersedes an earlier one and holds none of its state, so name and start time together
+    /// identify where a request, generation or copy is.
     #[serde(rename = "born_ms")]
     pub started_at_ms: Option<Millis>,
     /// The service to which it belongs.
--- a/crates/gateway/src/dissemination.rs
+++ b/crates/gateway/src/dissemination.rs
@@ -34,8 +34,8 @@
 const STORE_UNREADABLE_TTL_MS: Millis = 2_500;
 /// Minimum time between two such announcements of one host.
 const STORE_UNREADABLE_INTERVAL_MS: Millis = 400;
-/// Changes of the upstreams within this time are announced together; a leaving upstream may get
-/// requests for two seconds.
+/// Changes of the upstreams within this time are announced together; a leaving upstream may receive
+/// requests for up to two seconds.
 const ANNOUNCE_DELAY: Duration = Duration::from_millis(100);
 
 /// What this host has announced, and what other hosts have announced about their store access.
@@ -70,18 +70,18 @@
         let now_ms = self.clock.now_ms();
         let unreadable = self.dissemination.unreadable.lock().clone();
         let members = self.fleet.members.lock();
-        let me = members.own_key();
+        let own_key = members.own_key();
         let area = self.area(&members);
         let in_area = members
             .homes()
-            .filter(|(key, member)| *key != me && area.contains(&member.data_centre));
+            .filter(|(key, member)| *key != own_key && area.contains(&member.data_centre));
         let others = in_area.map(|(key, _)| WatchCandidate {
             rank: key.0,
             store_unreadable: unreadable
                 .get(&key)
                 .is_some_and(|until_ms| now_ms < *until_ms),
         });
-        area.is_watcher(me.0, others)
+        area.is_watcher(own_key.0, others)
     }
 
     /// The data centres with which this host exchanges updates.
@@ -199,10 +199,10 @@
 
     fn audience(&self, includes: impl Fn(&str) -> bool) -> Vec<Vec<SocketAddr>> {
         let members = self.fleet.members.lock();
-        let me = members.own_key();
+        let own_key = members.own_key();
         let recipients = members
             .homes()
-            .filter(|(key, member)| *key != me && includes(&member.data_centre));
+            .filter(|(key, member)| *key != own_key && includes(&member.data_centre));
         let recipients = recipients.map(|(key, member)| Recipient {
             data_centre: member.data_centre.as_str(),
             rank: key.0,
--- a/crates/gateway/src/evacuations.rs
+++ b/crates/gateway/src/evacuations.rs
@@ -1,4 +1,5 @@
-//! Follows the operator's evacuations of data centres, and announces them to all hosts.
+//! Watches the operator's evacuations of data centres, and announces them to the hosts of this
+//! area.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -149,7 +150,7 @@
 /// The data centres in a list. The name alone states the evacuation, so an entry that can't be read
 /// counts too.
 fn names(all: &Snapshot<String>) -> BTreeSet<String> {
-    let unreadable = all.unusable.iter().filter_map(|one| one.name.clone());
+    let unreadable = all.unusable.iter().filter_map(|entry| entry.name.clone());
     all.items.iter().cloned().chain(unreadable).collect()
 }
 
--- a/crates/gateway/src/fleet.rs
+++ b/crates/gateway/src/fleet.rs
@@ -1,6 +1,6 @@
 //! Tracks the other hosts, and fetches the state that they hold in a later version.
 //!
-//! Liveness is determined by pings alone, since no entry of a host expires in the store by itself.
+//! Liveness is determined by pings alone, since host entries in the store do not expire.
 //! A ping compares the versions of all replicated state, so a host without store access is updated
 //! by its peers.
 
@@ -96,7 +96,7 @@
         self.has_written_entry.load(Ordering::Relaxed)
     }
 
-    /// Whether the store has the entry.
+    /// Whether the store has this host's entry, as far as known.
     pub(crate) fn has_entry(&self) -> bool {
         self.has_entry.load(Ordering::Relaxed)
     }
@@ -141,8 +141,8 @@
     fn presence_line(&self, now_ms: Millis) -> Option<String> {
         let present = {
             let members = self.members.lock();
-            let me = members.own_key();
-            let others = members.homes().filter(|(key, _)| *key != me);
+            let own_key = members.own_key();
+            let others = members.homes().filter(|(key, _)| *key != own_key);
             others
                 .map(|(key, member)| (key, member.name.clone()))
                 .collect()
--- a/crates/gateway/src/forward.rs
+++ b/crates/gateway/src/forward.rs
@@ -22,7 +22,7 @@
 use crate::problem::{Problem, reply};
 use crate::tracker::RequestTracker;
 
-/// Maximum number of dispatches of one request that ran nowhere, in addition to the attempts that
+/// Maximum number of dispatches of one request that were not run, in addition to the attempts that
 /// the route allows. Each costs a round trip; after three the service is full or gone.
 const MAX_UNRUN_DISPATCHES: u32 = 3;
 /// Fraction of the route's target after which an idempotent request is retried on another upstream:
--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -172,7 +172,7 @@
         {
             let evacuations = self.evacuations.lock();
             self.instances
-                .adopt(now_ms, directory, &evacuations, &cold_limits);
+                .apply_directory(now_ms, directory, &evacuations, &cold_limits);
         }
         let availability_of = |engine| self.instances.availability(engine);
         let has_new_layout = active_configuration.is_some_and(|active_configuration| {
@@ -204,7 +204,7 @@
         self.evacuations.lock().count()
     }
 
-    /// Contents with restricted admission after upstreams crashed under them.
+    /// Contents with restricted admission after upstreams crashed while running them.
     pub fn open_circuit_count(&self) -> usize {
         self.circuit_breakers.restricted()
     }
@@ -267,7 +267,7 @@
         let now_ms = self.clock.now_ms();
         let age = |since_ms: Millis| now_ms.saturating_sub(since_ms) as i64;
         let hosts = self.fleet.host_count();
-        let (upstreams_heard_ms, upstreams) = {
+        let (upstreams_updated_ms, upstreams) = {
             let roster = self.roster.lock();
             (roster.last_update_ms(), roster.len())
         };
@@ -278,7 +278,7 @@
         });
         Readings {
             configuration_age_ms: age(self.applied_ms.load(Ordering::Relaxed)),
-            upstreams_age_ms: age(upstreams_heard_ms),
+            upstreams_age_ms: age(upstreams_updated_ms),
             upstreams: upstreams as i64,
             hosts: hosts as i64,
             quarantined: self.open_circuit_count() as i64,
--- a/crates/gateway/src/head.rs
+++ b/crates/gateway/src/head.rs
@@ -72,7 +72,7 @@
 pub struct Outbound {
     /// Remaining time until the caller's deadline.
     pub time_left_ms: Millis,
-    /// The start of the upstream that is addressed; any other start refuses the request.
+    /// The name of the addressed upstream; another upstream at its address refuses the request.
     pub instance: String,
     /// The caller's organisation.
     pub organisation: Option<String>,
--- a/crates/gateway/src/homes.rs
+++ b/crates/gateway/src/homes.rs
@@ -77,7 +77,7 @@
         }
         let placement = self.place_locally(cell, request);
         // A cell's home counts its starts at a cold engine; a host that places in its stead has to
-        // ask.
+        // request each start from the engine's home.
         if let Placement::On { engine, .. } = placement
             && !self.is_home(cell)
             && let Err(retry_after_ms) = self.request_start_if_cold(engine).await
@@ -137,7 +137,7 @@
         });
     }
 
-    /// States to each cell's home which generations this host relays, periodically and on request.
+    /// Reports to each cell's home which generations this host relays, periodically and on request.
     pub(crate) async fn restate_runs(self: Arc<Self>) {
         loop {
             let notified = self.cell_duties.restate_now.notified();
--- a/crates/gateway/src/instance.rs
+++ b/crates/gateway/src/instance.rs
@@ -94,7 +94,7 @@
     pub(crate) address: SocketAddr,
     /// Cancelled when the upstream has restarted: whatever ran there is lost.
     pub(crate) lost: CancellationToken,
-    pub(crate) flight: InFlightId,
+    pub(crate) in_flight_id: InFlightId,
 }
 
 impl Chosen {
--- a/crates/gateway/src/instances.rs
+++ b/crates/gateway/src/instances.rs
@@ -27,7 +27,7 @@
     },
     /// This upstream, which advertises a limit: a start must be requested first.
     Limited(UpstreamKey),
-    /// None now: all upstreams that accept work have asked this host to back off.
+    /// No upstream now: all that accept work throttle this host, by a limit or by backoff.
     Throttled {
         /// When the first of them accepts requests again.
         available_ms: Millis,
@@ -52,7 +52,7 @@
     }
 
     /// Applies a newer directory and keeps the state of upstreams that remain listed.
-    pub(crate) fn adopt(
+    pub(crate) fn apply_directory(
         &self,
         now_ms: Millis,
         directory: &Directory,
@@ -65,17 +65,17 @@
         let mut by_service: HashMap<String, Vec<InstanceKey>> = HashMap::new();
         for registration in &directory.registrations {
             let key = table.apply_registration(now_ms, registration);
-            let one = &mut table.arena[key];
-            one.cold_limit = cold_limits.get(&registration.service);
-            one.is_evacuated = evacuations.is_evacuated(&registration.data_centre);
+            let instance = &mut table.arena[key];
+            instance.cold_limit = cold_limits.get(&registration.service);
+            instance.is_evacuated = evacuations.is_evacuated(&registration.data_centre);
             // When an evacuation ends, the upstreams of the data centre are cold.
             if let Some(ended_ms) = evacuations.ended_ms(&registration.data_centre) {
-                one.mark_cold(ended_ms);
+                instance.mark_cold(ended_ms);
             }
             by_upstream.insert(upstream_key(registration), key);
             by_name.insert(registration.instance.clone(), key);
-            let same = by_service.entry(registration.service.clone()).or_default();
-            same.push(key);
+            let keys = by_service.entry(registration.service.clone()).or_default();
+            keys.push(key);
         }
         let removed = std::mem::take(&mut table.by_name);
         for key in removed.into_values() {
@@ -100,21 +100,21 @@
         draw: f32,
     ) -> Selection {
         let mut table = self.table.lock();
-        let same = table.by_service.get(service).map_or(&[][..], Vec::as_slice);
-        let same = same.iter().filter(|key| !excluded.contains(key));
-        let open = same.filter(|key| table.takes_work(&table.arena[**key]));
-        let opens_ms = |key: &InstanceKey| table.available_at_ms(table.arena[*key].upstream);
-        let first_available_ms = open.clone().map(opens_ms).min();
-        let open = open.filter(|key| opens_ms(key) <= now_ms);
+        let keys = table.by_service.get(service).map_or(&[][..], Vec::as_slice);
+        let keys = keys.iter().filter(|key| !excluded.contains(key));
+        let open = keys.filter(|key| table.takes_work(&table.arena[**key]));
+        let available_at_ms = |key: &InstanceKey| table.available_at_ms(table.arena[*key].upstream);
+        let first_available_ms = open.clone().map(available_at_ms).min();
+        let open = open.filter(|key| available_at_ms(key) <= now_ms);
         let (cold, warm): (Vec<InstanceKey>, Vec<InstanceKey>) =
             open.partition(|key| table.arena[**key].cold(now_ms).is_some());
         let choices: Vec<Choice<InstanceKey>> = warm
             .into_iter()
             .map(|key| (key, &table.arena[key]))
-            .map(|(key, one)| Choice {
+            .map(|(key, instance)| Choice {
                 key,
-                cost: one.stats.cost(now_ms),
-                is_local: one.registration.data_centre == self.data_centre,
+                cost: instance.stats.cost(now_ms),
+                is_local: instance.registration.data_centre == self.data_centre,
             })
             .collect();
         let warm = choose(&choices, draw);
@@ -143,9 +143,9 @@
     /// Whether a service has upstreams and all of them are in evacuated data centres.
     pub(crate) fn is_evacuated(&self, service: &str) -> bool {
         let table = self.table.lock();
-        let same = table.by_service.get(service).map_or(&[][..], Vec::as_slice);
-        let mut same = same.iter().map(|key| &table.arena[*key]);
-        same.len() > 0 && same.all(|one| one.is_evacuated)
+        let keys = table.by_service.get(service).map_or(&[][..], Vec::as_slice);
+        let mut instances = keys.iter().map(|key| &table.arena[*key]);
+        instances.len() > 0 && instances.all(|instance| instance.is_evacuated)
     }
 
     /// Whether an upstream may receive work.
@@ -154,13 +154,13 @@
         let Some(key) = table.by_upstream.get(&upstream) else {
             return Availability::default();
         };
-        let one = &table.arena[*key];
-        let cold = one.cold_limit.map(|cold_limit| Cold {
-            until_ms: one.cold_until_ms,
+        let instance = &table.arena[*key];
+        let cold = instance.cold_limit.map(|cold_limit| Cold {
+            until_ms: instance.cold_until_ms,
             starts: cold_limit.starts,
         });
         Availability {
-            is_evacuated: one.is_evacuated,
+            is_evacuated: instance.is_evacuated,
             cold,
         }
     }
@@ -169,15 +169,15 @@
     pub(crate) fn cold(&self, now_ms: Millis) -> Vec<UpstreamKey> {
         let table = self.table.lock();
         let all = table.arena.values();
-        let cold = all.filter(|one| one.cold(now_ms).is_some());
-        cold.map(|one| one.upstream).collect()
+        let cold = all.filter(|instance| instance.cold(now_ms).is_some());
+        cold.map(|instance| instance.upstream).collect()
     }
 
     /// Whether a chosen upstream is cold.
     pub(crate) fn is_cold(&self, now_ms: Millis, key: InstanceKey) -> bool {
         let table = self.table.lock();
-        let one = table.arena.get(key);
-        one.is_some_and(|one| one.cold(now_ms).is_some())
+        let instance = table.arena.get(key);
+        instance.is_some_and(|instance| instance.cold(now_ms).is_some())
     }
 
     /// Counts a request at the upstream that the home has selected; `None` if this host knows that
@@ -219,19 +219,19 @@
     /// An engine that a generation may be migrated to; `None` if it receives no work now.
     pub(crate) fn destination(&self, now_ms: Millis, upstream: UpstreamKey) -> Option<Destination> {
         let is_evacuated = self.availability(upstream).is_evacuated;
-        let is_closed = self.table.lock().is_throttled(now_ms, upstream);
+        let is_throttled = self.table.lock().is_throttled(now_ms, upstream);
         let found = self.find(upstream);
-        found.filter(|_| !is_evacuated && !is_closed)
+        found.filter(|_| !is_evacuated && !is_throttled)
     }
 
-    /// The address of an upstream.
+    /// The current start of an upstream, as a destination.
     pub(crate) fn find(&self, upstream: UpstreamKey) -> Option<Destination> {
         let table = self.table.lock();
-        let one = &table.arena[*table.by_upstream.get(&upstream)?];
+        let instance = &table.arena[*table.by_upstream.get(&upstream)?];
         Some(Destination {
             upstream,
-            address: one.registration.address,
-            lost: one.lost.clone(),
+            address: instance.registration.address,
+            lost: instance.lost.clone(),
         })
     }
 
@@ -246,59 +246,59 @@
     pub(crate) fn takes_work(&self, key: InstanceKey) -> bool {
         let table = self.table.lock();
         let known = table.arena.get(key);
-        known.is_some_and(|one| table.takes_work(one))
+        known.is_some_and(|instance| table.takes_work(instance))
     }
 
     /// Records the end of a request to a chosen upstream.
     pub(crate) fn end(&self, now_ms: Millis, chosen: &Chosen, verdict: Verdict) {
-        self.with(chosen.key, |one| {
-            one.stats.end(now_ms, chosen.flight, verdict)
+        self.with(chosen.key, |instance| {
+            instance.stats.end(now_ms, chosen.in_flight_id, verdict)
         });
     }
 
     /// Records that a response head has arrived.
-    pub(crate) fn answered(
+    pub(crate) fn record_response(
         &self,
         now_ms: Millis,
         key: InstanceKey,
         latency_ms: Millis,
         load: Option<ReportedLoad>,
     ) {
-        self.with(key, |one| {
-            one.stats.record_latency(latency_ms);
+        self.with(key, |instance| {
+            instance.stats.record_latency(latency_ms);
             // An upstream that was unreachable is cold when it returns, and its entry may not say
             // so yet.
-            if std::mem::take(&mut one.is_unreachable) {
-                one.mark_cold(now_ms);
+            if std::mem::take(&mut instance.is_unreachable) {
+                instance.mark_cold(now_ms);
             }
             if let Some(load) = load {
-                one.stats.record_load(now_ms, load);
+                instance.stats.record_load(now_ms, load);
             }
         });
     }
 
     /// Records that no connection could be made.
-    pub(crate) fn unreachable(&self, now_ms: Millis, key: InstanceKey) {
-        self.with(key, |one| {
-            one.stats.record_unreachable(now_ms);
-            one.is_unreachable = true;
+    pub(crate) fn record_unreachable(&self, now_ms: Millis, key: InstanceKey) {
+        self.with(key, |instance| {
+            instance.stats.record_unreachable(now_ms);
+            instance.is_unreachable = true;
         });
     }
 
     /// Deprioritises the upstream until `until_ms`.
     pub(crate) fn penalise_until(&self, until_ms: Millis, key: InstanceKey) {
-        self.with(key, |one| one.stats.penalise_until(until_ms));
+        self.with(key, |instance| instance.stats.penalise_until(until_ms));
     }
 
     /// Marks an upstream as gone for good: another upstream answers at its address.
     pub(crate) fn mark_leaving(&self, key: InstanceKey) {
-        self.with(key, |one| one.is_leaving = true);
+        self.with(key, |instance| instance.is_leaving = true);
     }
 
     fn with(&self, key: InstanceKey, change: impl FnOnce(&mut Instance)) {
         let mut table = self.table.lock();
-        if let Some(one) = table.arena.get_mut(key) {
-            change(one);
+        if let Some(instance) = table.arena.get_mut(key) {
+            change(instance);
         }
     }
 }
--- a/crates/gateway/src/join.rs
+++ b/crates/gateway/src/join.rs
@@ -129,7 +129,7 @@
     async fn sync_with_any(self: &Arc<Self>, mut sample: Vec<Rumour>) {
         self.merge_rumours(&sample);
         let own = self.host_key();
-        sample.retain(|one| HostKey::of(&one.member.name) != own);
+        sample.retain(|rumour| HostKey::of(&rumour.member.name) != own);
         for peer in sample.into_iter().take(MAX_SYNC_PEERS) {
             let address = peer.member.address;
             if self.exchange_members(address).await {
@@ -230,18 +230,18 @@
     /// not know of each other, and each would place generations as if it had all engines to itself.
     /// Each part has a watcher, and both write their entries into the same store.
     async fn keep_entries(self: &Arc<Self>) {
-        let mut absences = UnresponsiveHosts::default();
+        let mut unresponsive = UnresponsiveHosts::default();
         loop {
             sleep(ENTRY_CHECK_PERIOD).await;
             if self.is_watcher() {
-                self.check_entries(&mut absences).await;
+                self.check_entries(&mut unresponsive).await;
             } else {
-                absences = UnresponsiveHosts::default();
+                unresponsive = UnresponsiveHosts::default();
             }
         }
     }
 
-    async fn check_entries(self: &Arc<Self>, absences: &mut UnresponsiveHosts) {
+    async fn check_entries(self: &Arc<Self>, unresponsive: &mut UnresponsiveHosts) {
         if !self.fleet.has_entry() && !self.write_entry().await {
             return;
         }
@@ -254,12 +254,12 @@
                 members.homes().map(|(_, member)| member.address).collect();
             others.retain(|_, address| !present.contains(address));
         }
-        absences.retain(|name| others.contains_key(name));
+        unresponsive.retain(|name| others.contains_key(name));
         for (name, address) in others.into_iter().take(MAX_CONTACTED_ENTRIES) {
             if self.contact_any(&[address]).await {
-                absences.record_answer(&name);
+                unresponsive.record_answer(&name);
                 self.announce_all_known();
-            } else if absences.record_miss(&name) {
+            } else if unresponsive.record_miss(&name) {
                 info!("fleet: removing the entry of {name}, which does not answer");
                 self.remove_entry(&name).await;
             }
--- a/crates/gateway/src/key.rs
+++ b/crates/gateway/src/key.rs
@@ -29,10 +29,10 @@
     hash(data_centre)
 }
 
-/// The key of a cell: of the whole service, or of a part of a data centre's engines.
-pub(crate) fn cell_key(service: &str, part: Option<(&str, u64)>) -> CellKey {
-    CellKey(match part {
-        Some((data_centre, part)) => hash(&format!("{service}/{data_centre}/{part}")),
+/// The key of a cell: of the whole service, or of a partition of a data centre's engines.
+pub(crate) fn cell_key(service: &str, partition: Option<(&str, u64)>) -> CellKey {
+    CellKey(match partition {
+        Some((data_centre, partition)) => hash(&format!("{service}/{data_centre}/{partition}")),
         None => hash(service),
     })
 }
--- a/crates/gateway/src/metadata.rs
+++ b/crates/gateway/src/metadata.rs
@@ -121,7 +121,7 @@
 pub trait HostRegistry: Send + Sync {
     /// Writes this host's entry, and replaces an older one of the same name.
     async fn register(&self, host: &HostRegistration) -> Result<(), StoreError>;
-    /// Removes a host's entry; succeeds without one.
+    /// Removes a host's entry; succeeds if there is none.
     async fn unregister(&self, name: &str) -> Result<(), StoreError>;
 }
 
@@ -143,7 +143,7 @@
 pub trait CircuitRegistry: Send + Sync {
     /// Writes a circuit, and replaces an older one of the same content.
     async fn store(&self, circuit: &StoredCircuit) -> Result<(), StoreError>;
-    /// Removes the circuit of a content; succeeds without one.
+    /// Removes the circuit of a content; succeeds if there is none.
     async fn remove(&self, content: ContentKey) -> Result<(), StoreError>;
 }
 
--- a/crates/gateway/src/poison.rs
+++ b/crates/gateway/src/poison.rs
@@ -110,8 +110,8 @@
         }
     }
 
-    /// Admits a request to run. If its content runs one at a time, this request occupies that place
-    /// from then on.
+    /// Admits a request to run. If requests with its content may run only one at a time, this
+    /// request holds the single place from then on.
     pub(crate) async fn admit(&self, inbound: &InboundRequest) -> Result<(), Problem> {
         let service = ServiceKey::of(&inbound.service);
         let admitted = poison::admit(self, service, inbound.content).await;
--- a/crates/gateway/src/probe.rs
+++ b/crates/gateway/src/probe.rs
@@ -1,11 +1,11 @@
-//! Probes engines whose state is in doubt.
+//! Probes engines whose state is uncertain.
 //!
 //! A registration shows that an engine is leaving as long as the store can be read. During a store
-//! outage an engine that had ended looked empty to its home, which sent each new generation there
-//! first: hosts met closed ports until their attempts were used up, and generations on engines
-//! whose notice reached nobody were cut off. The home therefore probes engines with reported
-//! failures, and all engines of its cells during an outage and until they have registered again: an
-//! engine that leaves in that time never registers again.
+//! outage, an engine that has ended would look empty to its home, which would send each new
+//! generation there first: hosts would find closed ports until their attempts were used up, and
+//! generations on engines whose notice reached no host would be cut off. The home therefore probes
+//! engines with reported failures, and all engines of its cells during an outage and until they
+//! have registered again: an engine that leaves in that time never registers again.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -75,7 +75,8 @@
     /// Counts a failure as a cell's home, and probes the engine.
     ///
     /// An engine that fails a part of its requests reports itself healthy and looks emptier than
-    /// the others. Each host meets it once or twice; only the home receives all reports.
+    /// the others. Each host sees only one or two of its failures; only the home receives all
+    /// reports.
     pub(crate) async fn handle_engine_failure(
         self: &Arc<Self>,
         cell: CellKey,
@@ -141,8 +142,8 @@
 
     /// Probes a leaving engine for the time that it has left.
     ///
-    /// Notices differ by a third. With the shortest notice assumed, the last third of a longer one
-    /// went unused; with a longer one assumed, transfers were cut off by the engine's end.
+    /// Notices differ by a third. If the shortest notice were assumed, the last third of a longer
+    /// one would go unused; if a longer one were assumed, the engine's end would cut off transfers.
     pub(crate) async fn probe_time_left(self: Arc<Self>, cell: CellKey, engine: UpstreamKey) {
         for wait in TIME_LEFT_PROBE_DELAYS {
             sleep(wait).await;
--- a/crates/gateway/src/record.rs
+++ b/crates/gateway/src/record.rs
@@ -20,12 +20,13 @@
 /// One dispatch of a request to an upstream.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Dispatch {
-    /// The upstream's start.
+    /// The upstream's name.
     pub instance: String,
     /// Time since the request's arrival.
     pub at_ms: Millis,
-    /// `answered`, `failed` (by the upstream itself), `unsent`, `shed` (stated as not run),
-    /// `unknown` or `overdue`.
+    /// `sent` (no outcome yet), `answered`, `failed` (by the upstream itself), `broken` (its body
+    /// was not received in full or is not signed), `unsent`, `shed` (stated as not run), `unknown`
+    /// or `overdue`.
     pub outcome: String,
 }
 
@@ -84,7 +85,7 @@
 
     fn end(&self) -> String {
         let last = self.dispatches.last();
-        let at = last.map_or("no upstream", |one| one.instance.as_str());
+        let at = last.map_or("no upstream", |dispatch| dispatch.instance.as_str());
         match self.outcome.as_str() {
             "answered" if self.status < 500 => self.answered(),
             "answered" => format!(
--- a/crates/gateway/src/restored_entries.rs
+++ b/crates/gateway/src/restored_entries.rs
@@ -63,7 +63,7 @@
         let due = self
             .entries
             .values()
-            .filter(|one| one.accept_at_ms <= now_ms);
-        due.map(|one| one.registration.clone()).collect()
+            .filter(|entry| entry.accept_at_ms <= now_ms);
+        due.map(|entry| entry.registration.clone()).collect()
     }
 }
--- a/crates/gateway/src/roster.rs
+++ b/crates/gateway/src/roster.rs
@@ -2,11 +2,11 @@
 //! unavailable or restored.
 //!
 //! A registration expires without a heartbeat, and no upstream can send one while the store is
-//! unavailable. When the store returns, all registrations are missing at once and are back after
-//! about two seconds. Without a grace period every upstream would be dropped for that time and
-//! every request refused. Entries that expired during the outage are therefore kept for
-//! [`REREGISTRATION_GRACE_MS`] after the store's return; what is still missing then is removed. An
-//! upstream that announced that it is draining gets no grace period.
+//! unavailable. When the store is available again, all registrations are missing, until the live
+//! upstreams have registered again after about two seconds. Without a grace period every upstream
+//! would be dropped for that time and every request refused. Entries that expired during the outage
+//! are therefore kept for [`REREGISTRATION_GRACE_MS`] after its end; those that are still missing
+//! then are removed. An upstream that announced that it is draining gets no grace period.
 //!
 //! A store restored from a backup has lost its latest changes. Upstreams that registered after the
 //! backup get the same grace period to register again. An upstream that had left and is listed
@@ -22,7 +22,7 @@
 use crate::metadata::{Change, Changes, Snapshot, UnusableEntry};
 use crate::restored_entries::RestoredEntries;
 
-/// Live upstreams register again within about two seconds of the store's return.
+/// Live upstreams register again within about two seconds of the end of a store outage.
 const REREGISTRATION_GRACE_MS: Millis = 2_200;
 /// No registration expires in a shorter outage: entries outlive three heartbeats.
 const MIN_OUTAGE_MS: Millis = 1_500;
@@ -37,8 +37,8 @@
     changed_at: Revision,
 }
 
-/// Upstreams for which this host's view differs from the store, for a while after the store's
-/// return.
+/// Upstreams for which this host's view differs from the store, for a while after an outage or a
+/// restore of the store.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) struct Unconfirmed {
     /// Kept although the store lacks them.
@@ -176,7 +176,7 @@
         let listed: HashMap<String, Registration> = snapshot
             .items
             .into_iter()
-            .map(|one| (one.instance.clone(), one))
+            .map(|registration| (registration.instance.clone(), registration))
             .collect();
         let missing: Vec<String> = self
             .entries
@@ -209,13 +209,14 @@
     }
 
     /// Applies a peer's change; returns whether it changed anything. A change that begins after
-    /// this host's revision is ignored: a comparison of revisions fetches what lies between.
+    /// this host's revision is ignored: the missing changes are fetched once a comparison of
+    /// revisions shows that a peer has them.
     ///
-    /// A change that begins before this host's revision is applied: it gives the present state of
-    /// all that changed since then. The watchers of each data centre divide the sequence of changes
-    /// at different revisions. A host that was once updated by a peer of another data centre is at
-    /// a revision between two such boundaries; if it accepted only changes that begin exactly at
-    /// its revision, it would from then on be updated by complete lists alone.
+    /// A change that begins before this host's revision is applied: it contains the present state
+    /// of all entries that changed since then. The watchers of each data centre divide the sequence
+    /// of changes at different revisions. A host that was once updated by a peer of another data
+    /// centre is at a revision between two such boundaries; if it accepted only changes that begin
+    /// exactly at its revision, it would from then on be updated by complete lists alone.
     pub fn apply_peer_change(&mut self, now_ms: Millis, change: DirectoryChange) -> bool {
         self.last_update_ms = now_ms;
         if change.from_revision > self.revision || change.revision <= self.revision {
@@ -263,12 +264,13 @@
             false => revision,
         };
         let put = self.entries.values();
-        let put = put
-            .filter(|one| from_revision == Revision::default() || one.changed_at > from_revision);
+        let put = put.filter(|entry| {
+            from_revision == Revision::default() || entry.changed_at > from_revision
+        });
         DirectoryChange {
             from_revision,
             revision: self.revision,
-            put: put.map(|one| one.registration.clone()).collect(),
+            put: put.map(|entry| entry.registration.clone()).collect(),
             gone: self.departures.since(from_revision),
             lapsed: self.missing_names(),
         }
@@ -335,7 +337,7 @@
             let name = registration.instance.clone();
             changed |= self.put(now_ms, registration);
             if let Some(entry) = self.entries.get_mut(&name) {
-                // This is this host's own conclusion: it is passed on with the next revision.
+                // Decided by this host, not by the store: peers receive it with the next revision.
                 entry.changed_at = self.revision.next();
             }
         }
@@ -348,7 +350,7 @@
         }
         let missing = self.missing_names();
         for name in &missing {
-            // This is this host's own conclusion: it is passed on with the next revision.
+            // Decided by this host, not by the store: peers receive it with the next revision.
             self.drop_entry(now_ms, name, self.revision.next());
         }
         !missing.is_empty()
@@ -387,8 +389,8 @@
 
     /// Applies an entry, unless it belongs to an earlier start than the known one. Entries of the
     /// previous start may arrive late, from a peer or from a store entry that the new start has not
-    /// replaced yet. A start that announced that it is draining stays so: an entry that says
-    /// otherwise comes from a backup.
+    /// replaced yet. A start that announced that it is draining keeps that state: an entry that
+    /// says otherwise comes from a backup.
     fn put(&mut self, now_ms: Millis, mut registration: Registration) -> bool {
         let name = registration.instance.clone();
         match registration.started_at_ms {
@@ -442,8 +444,8 @@
         true
     }
 
-    /// Removes the upstream of an unusable entry, whatever the entry said before. Such an entry has
-    /// not expired because of a store outage, so there is no grace period.
+    /// Removes the upstream of an unusable entry, whatever its state was. Such an entry has not
+    /// expired because of a store outage, so there is no grace period.
     fn drop_unusable(&mut self, now_ms: Millis, unusable: &UnusableEntry) -> bool {
         let name = unusable.name.as_ref();
         name.is_some_and(|name| self.drop_entry(now_ms, name, self.revision))
--- a/crates/gateway/src/runs.rs
+++ b/crates/gateway/src/runs.rs
@@ -76,11 +76,11 @@
     pub(crate) fn restatements(
         &self,
         host: HostKey,
-        cell_with: impl Fn(UpstreamKey) -> Option<CellKey>,
+        cell_of_engine: impl Fn(UpstreamKey) -> Option<CellKey>,
     ) -> Vec<RelayedRuns> {
         let mut by_cell: HashMap<CellKey, Vec<RunStatement>> = HashMap::new();
         for entry in self.entries.lock().values() {
-            let cell = cell_with(entry.statement.engine).unwrap_or(entry.cell);
+            let cell = cell_of_engine(entry.statement.engine).unwrap_or(entry.cell);
             by_cell.entry(cell).or_default().push(entry.statement);
         }
         let cells = by_cell.into_iter();
@@ -89,7 +89,7 @@
             .collect()
     }
 
-    /// Has a generation migrated to another engine.
+    /// Orders the migration of a generation to another engine; returns the outcome.
     pub(crate) async fn migrate(&self, run: RunKey, to: Destination) -> MigrationAnswer {
         let orders = match self.entries.lock().get(&run) {
             Some(entry) => entry.orders.clone(),
--- a/crates/gateway/src/start.rs
+++ b/crates/gateway/src/start.rs
@@ -60,8 +60,9 @@
         self.lost_ms = Some(now_ms);
     }
 
-    /// Replaces a problem that guarantees that the request has not run if it may have run.
-    fn without_false_not_run(&self, problem: Problem) -> Problem {
+    /// The problem to report: one that guarantees that the request has not run is replaced if it
+    /// may have run.
+    fn problem_after_runs(&self, problem: Problem) -> Problem {
         match self.runs > 0 && problem.guarantees_not_run() {
             true => Problem::Broken,
             false => problem,
@@ -87,7 +88,7 @@
             Ok(started) => Ok(started),
             Err(problem) => {
                 let problem =
-                    self.refine_refusal(attempts.without_false_not_run(problem), &inbound.service);
+                    self.refine_refusal(attempts.problem_after_runs(problem), &inbound.service);
                 attempts.failed_response.take().ok_or(problem)
             }
         }
@@ -250,7 +251,7 @@
         attempts: &Attempts,
     ) -> Result<Option<SelectedEngine>, Problem> {
         let tried = &attempts.tried;
-        let mut refused_by: Vec<UpstreamKey> = tried.iter().map(|one| one.upstream).collect();
+        let mut refused_by: Vec<UpstreamKey> = tried.iter().map(|chosen| chosen.upstream).collect();
         let wait_ms = (inbound.route.target_ms as f32 * CAPACITY_WAIT_FRACTION) as Millis;
         let since_ms = attempts.lost_ms.unwrap_or(tracker.arrived_ms);
         let until_ms = inbound.deadline_ms.min(since_ms + wait_ms);
@@ -284,7 +285,8 @@
                     }
                     let now_ms = self.clock.now_ms();
                     if let Some(chosen) = self.instances.reserve(now_ms, engine) {
-                        let backup = backup.and_then(|one| self.instances.destination(now_ms, one));
+                        let backup =
+                            backup.and_then(|backup| self.instances.destination(now_ms, backup));
                         return Ok(Some(SelectedEngine { chosen, backup }));
                     }
                     refused_by.push(engine);
@@ -295,7 +297,7 @@
                 Placement::Full { .. } => sleep(PLACEMENT_RETRY_INTERVAL).await,
                 Placement::TooLarge => return Err(Problem::TooLarge),
                 Placement::NoEngine => {
-                    let tried: Vec<_> = tried.iter().map(|one| one.key).collect();
+                    let tried: Vec<_> = tried.iter().map(|chosen| chosen.key).collect();
                     let chosen = self
                         .find_upstream(&inbound.service, &tried, until_ms)
                         .await?;
--- a/crates/gateway/src/start_limits.rs
+++ b/crates/gateway/src/start_limits.rs
@@ -192,8 +192,7 @@
         Err(min_wait_ms)
     }
 
-    /// Adds a retry time to `AllRefused` if the upstreams that accept work have asked this host to
-    /// back off.
+    /// Adds a retry time to `AllRefused` if the upstreams that accept work throttle this host.
     pub(crate) fn refine_refusal(&self, problem: Problem, service: &str) -> Problem {
         let now_ms = self.clock.now_ms();
         match (problem, self.instances.available_at_ms(now_ms, service)) {
@@ -366,7 +365,7 @@
 
     /// Whether the advertised limit of an upstream leaves no start for this host now. In that case
     /// the upstream is throttled locally until the time that the home gave, and other requests do
-    /// not ask the home before.
+    /// not ask the home until then.
     pub(crate) async fn is_throttled(&self, upstream: UpstreamKey) -> bool {
         let request = StartRequest {
             is_cold: false,
--- a/crates/gateway/src/store_sync.rs
+++ b/crates/gateway/src/store_sync.rs
@@ -1,4 +1,4 @@
-//! Keeps the configuration and the upstreams in step with the store.
+//! Keeps the configuration and the upstreams in sync with the store.
 
 use std::ops::Range;
 use std::sync::Arc;
@@ -23,7 +23,7 @@
 const WATCH_CHECK_PERIOD: Duration = Duration::from_millis(200);
 /// How often a host that has just started checks whether its peers have been asked.
 const JOIN_CHECK_PERIOD: Duration = Duration::from_millis(10);
-/// Between two reads of a host that has neither data from its peers nor from the store: before the
+/// Between two reads of a host that has data neither from its peers nor from the store: before the
 /// first configuration is written, and during a store outage. Randomised for each read.
 const READ_INTERVAL_MS: Range<u64> = 800..1_600;
 /// Share of the same bound that passes between two watches of the upstreams, so that changes close
@@ -95,7 +95,7 @@
         }
     }
 
-    /// Watches the upstreams' registrations while this host should.
+    /// Watches the upstreams' registrations while this host is a watcher or the home of a cell.
     pub(crate) async fn sync_registrations(self: Arc<Self>) {
         let source = &*self.metadata.registrations;
         let wait = self.share_of_change_bound(WATCH_SHARE);
@@ -219,7 +219,7 @@
         }
     }
 
-    /// Ends what was kept only until the store would confirm it after an outage or a restore.
+    /// Expires state that is kept until the store confirms it after an outage or a restore.
     pub(crate) async fn expire_unconfirmed(self: Arc<Self>) {
         loop {
             sleep(EXPIRY_CHECK_PERIOD).await;
@@ -251,12 +251,12 @@
         log_store_restored(before, &roster);
     }
 
-    fn update_roster(&self, step: impl FnOnce(&mut Roster, Millis) -> bool) {
+    fn update_roster(&self, apply: impl FnOnce(&mut Roster, Millis) -> bool) {
         let now_ms = self.clock.now_ms();
         let mut roster = self.roster.lock();
         roster.mark_store_available(now_ms);
         let before = roster.revision();
-        if step(&mut roster, now_ms) {
+        if apply(&mut roster, now_ms) {
             let directory = roster.directory();
             info!(
                 "upstreams: {} known at revision {}",
--- a/crates/gateway/src/stored_circuits.rs
+++ b/crates/gateway/src/stored_circuits.rs
@@ -4,7 +4,7 @@
 //! stored: they are rare and cost one write by each of the two homes. The hosts that read the
 //! configuration from the store also read the circuits once after their start. They read them again
 //! after the store was restored from a backup, write what it lacks and remove what was closed
-//! since, as no other host does.
+//! since then, because no other host does.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -25,7 +25,7 @@
 const WRITE_PERIOD: Duration = Duration::from_secs(1);
 /// Number of attempts: the store's longest outages are over by then, and the hosts themselves know
 /// the circuit.
-const WRITE_TRIES: u32 = 60;
+const WRITE_ATTEMPTS: u32 = 60;
 
 impl Gateway {
     /// Stores a decision that this host made as a home.
@@ -47,7 +47,7 @@
     async fn write_circuit(&self, circuit: Circuit) {
         let (content, version) = (circuit.content, circuit.version);
         let stored = stored(Clock::wall_ms(), circuit);
-        for _ in 0..WRITE_TRIES {
+        for _ in 0..WRITE_ATTEMPTS {
             // A late write would remain in the store after the circuit was closed.
             if self.circuit_breakers.version(content) != Some(version) {
                 return;
@@ -61,7 +61,7 @@
     }
 
     async fn remove_circuit(&self, content: ContentKey) {
-        for _ in 0..WRITE_TRIES {
+        for _ in 0..WRITE_ATTEMPTS {
             let removed = self.metadata.circuit_registry.remove(content).await;
             if self.record_write(content, removed) {
                 return;
@@ -95,15 +95,20 @@
                 *self.circuits_era.lock() = Some(all.revision.era);
                 self.report_unusable_in_list("the circuits", &all);
                 let stored = all.items.iter();
-                let stored = stored.map(|one| (one.content, one.openings)).collect();
+                let stored = stored
+                    .map(|circuit| (circuit.content, circuit.openings))
+                    .collect();
                 let unix_ms = Clock::wall_ms();
-                let circuits = all.items.into_iter().map(|one| restored(unix_ms, one));
-                let (old, circuits) = circuits.partition(Circuit::is_expired);
+                let circuits = all
+                    .items
+                    .into_iter()
+                    .map(|circuit| restored(unix_ms, circuit));
+                let (expired, circuits) = circuits.partition(Circuit::is_expired);
                 let changes = adopt_circuits(self.as_ref(), circuits, "the store");
                 if !changes.is_empty() {
                     self.announce(ReplicatedState::Circuits, &changes, self.area_branches());
                 }
-                self.remove_old(old).await;
+                self.remove_expired(expired).await;
                 self.restore_circuits(&stored);
             }
             Err(error) => warn!("circuits: the stored circuits can't be read: {error}"),
@@ -130,8 +135,8 @@
         }
     }
 
-    async fn remove_old(&self, old: Vec<Circuit>) {
-        for circuit in old {
+    async fn remove_expired(&self, expired: Vec<Circuit>) {
+        for circuit in expired {
             let removed = self.metadata.circuit_registry.remove(circuit.content).await;
             self.record_write(circuit.content, removed);
         }
@@ -151,8 +156,8 @@
 const STORED_VERSION: u32 = 1;
 
 /// The difference between the clock of the writer and that of the reader shifts the time at which
-/// the circuit half-opens: earlier if this clock is ahead, later if it is behind. That is seconds
-/// out of minutes.
+/// the circuit half-opens: earlier if this clock is ahead, later if it is behind. The shift is
+/// a matter of seconds, while a circuit stays open for minutes.
 fn restored(unix_ms: u64, stored: StoredCircuit) -> Circuit {
     let age_ms: Millis = unix_ms.saturating_sub(stored.since_unix_ms);
     Circuit {
--- a/crates/gateway/src/stream.rs
+++ b/crates/gateway/src/stream.rs
@@ -44,8 +44,8 @@
         let chunks = unfold(Some(relay), |relay| async {
             let mut relay = relay?;
             let chunk = relay.next().await?;
-            let goes_on = chunk.is_ok().then_some(relay);
-            Some((chunk, goes_on))
+            let next_state = chunk.is_ok().then_some(relay);
+            Some((chunk, next_state))
         });
         *reply.body_mut() = stream_body(chunks);
         reply
--- a/crates/gateway/src/unusable_entries.rs
+++ b/crates/gateway/src/unusable_entries.rs
@@ -32,8 +32,8 @@
     ) {
         let mut first = None;
         let mut count = 0;
-        for one in unusable {
-            first.get_or_insert(one);
+        for entry in unusable {
+            first.get_or_insert(entry);
             count += 1;
         }
         let Some(first) = first else { return };
--- a/crates/gateway/src/upstream_table.rs
+++ b/crates/gateway/src/upstream_table.rs
@@ -37,21 +37,21 @@
     ) -> InstanceKey {
         let known = self.by_name.remove(&registration.instance);
         if let Some(key) = known {
-            let one = &mut self.arena[key];
-            if one.is_start_of(registration) {
-                if one.registration != *registration {
-                    one.registration = registration.clone();
-                    one.apply_stated_cold(now_ms);
+            let instance = &mut self.arena[key];
+            if instance.is_start_of(registration) {
+                if instance.registration != *registration {
+                    instance.registration = registration.clone();
+                    instance.apply_stated_cold(now_ms);
                 }
                 return key;
             }
             info!("upstreams: {} has started again", registration.instance);
-            one.lost.cancel();
+            instance.lost.cancel();
             self.arena.remove(key);
         }
-        let mut one = Instance::new(registration.clone());
-        one.apply_stated_cold(now_ms);
-        self.arena.insert(one)
+        let mut instance = Instance::new(registration.clone());
+        instance.apply_stated_cold(now_ms);
+        self.arena.insert(instance)
     }
 
     /// When an upstream accepts requests from this host again, according to its signals.
@@ -67,9 +67,9 @@
     }
 
     /// Whether an upstream takes new work, according to its registration and its own signals.
-    pub(crate) fn takes_work(&self, one: &Instance) -> bool {
-        let backpressure = self.backpressure.get(&one.upstream);
-        one.takes_work() && !backpressure.is_some_and(Backpressure::is_leaving)
+    pub(crate) fn takes_work(&self, instance: &Instance) -> bool {
+        let backpressure = self.backpressure.get(&instance.upstream);
+        instance.takes_work() && !backpressure.is_some_and(Backpressure::is_leaving)
     }
 
     /// The limit that an upstream advertises.
@@ -88,14 +88,14 @@
 
     /// Counts a request at an upstream.
     pub(crate) fn start(&mut self, now_ms: Millis, key: InstanceKey) -> Chosen {
-        let one = &mut self.arena[key];
+        let instance = &mut self.arena[key];
         Chosen {
             key,
-            upstream: one.upstream,
-            instance: one.registration.instance.clone(),
-            address: one.registration.address,
-            lost: one.lost.clone(),
-            flight: one.stats.start(now_ms),
+            upstream: instance.upstream,
+            instance: instance.registration.instance.clone(),
+            address: instance.registration.address,
+            lost: instance.lost.clone(),
+            in_flight_id: instance.stats.start(now_ms),
         }
     }
 }
--- a/crates/gateway/tests/replicated_encoding.rs
+++ b/crates/gateway/tests/replicated_encoding.rs
@@ -47,13 +47,17 @@
     let revision = Revision::new(1, 9);
     roster.apply(1, Changes { revision, changes });
     let change = roster.change_since(Revision::new(1, 5));
-    let mut put: Vec<&str> = change.put.iter().map(|one| one.instance.as_str()).collect();
+    let mut put: Vec<&str> = change
+        .put
+        .iter()
+        .map(|registration| registration.instance.as_str())
+        .collect();
     put.sort();
     assert_eq!(put, ["i-0000000001", "i-0000000064"]);
     let gone: Vec<&str> = change
         .gone
         .iter()
-        .map(|one| one.instance.as_str())
+        .map(|departure| departure.instance.as_str())
         .collect();
     assert_eq!(gone, ["i-0000000000"]);
     let (from, to) = (Revision::new(1, 5), Revision::new(1, 9));
--- a/crates/gateway/tests/roster.rs
+++ b/crates/gateway/tests/roster.rs
@@ -42,7 +42,7 @@
         .directory()
         .registrations
         .into_iter()
-        .map(|one| one.instance)
+        .map(|registration| registration.instance)
         .collect();
     names.sort();
     names
@@ -63,9 +63,9 @@
 }
 
 struct Outage {
-    lost_ms: u64,
-    back_ms: u64,
-    /// When the complete list is read again, without the second upstream.
+    from_ms: u64,
+    to_ms: u64,
+    /// When the complete list is read again; it lacks the second upstream.
     listed_ms: u64,
     kept: bool,
 }
@@ -73,14 +73,14 @@
 /// Guards against upstreams that are dropped after an outage before they can register again, and
 /// against upstreams that are kept although they are gone.
 #[rstest]
-#[case::short_outage(Outage { lost_ms: 1_000, back_ms: 1_500, listed_ms: 1_500, kept: false })]
-#[case::long_outage(Outage { lost_ms: 1_000, back_ms: 6_000, listed_ms: 6_000, kept: true })]
-#[case::long_after_outage(Outage { lost_ms: 1_000, back_ms: 6_000, listed_ms: 9_000, kept: false })]
+#[case::short_outage(Outage { from_ms: 1_000, to_ms: 1_500, listed_ms: 1_500, kept: false })]
+#[case::long_outage(Outage { from_ms: 1_000, to_ms: 6_000, listed_ms: 6_000, kept: true })]
+#[case::long_after_outage(Outage { from_ms: 1_000, to_ms: 6_000, listed_ms: 9_000, kept: false })]
 fn expired_registrations_have_grace_period(#[case] case: Outage) {
     let mut roster = Roster::default();
     roster.replace(500, snapshot(5, &["i-1", "i-2"]));
-    roster.mark_store_unavailable(case.lost_ms);
-    roster.mark_store_available(case.back_ms);
+    roster.mark_store_unavailable(case.from_ms);
+    roster.mark_store_available(case.to_ms);
     roster.replace(case.listed_ms, snapshot(9, &["i-1"]));
     let kept: &[&str] = if case.kept { &["i-1", "i-2"] } else { &["i-1"] };
     assert_eq!(names(&roster), kept);
@@ -92,8 +92,8 @@
     );
 }
 
-/// Guards against trust in registrations around an outage: during it, and until upstreams have had
-/// time to register again, entries do not show which upstreams are leaving.
+/// Guards against relying on registrations around an outage: during it, and until upstreams have
+/// had time to register again, entries do not show which upstreams are leaving.
 #[rstest]
 #[case::before(900, false)]
 #[case::during_outage(1_500, true)]
@@ -265,7 +265,7 @@
             gone: &[],
         },
         PeerCase {
-            what: "the peer has listed anew and cannot see what left and came back in between",
+            what: "the peer has listed again and cannot see what left and came back in between",
             update_peer: |peer| {
                 peer.replace(1, snapshot(20, &["i-1", "i-2"]));
             },
@@ -282,12 +282,16 @@
         let mut change = peer.change_since(at(case.since));
         change
             .put
-            .sort_by(|one, other| one.instance.cmp(&other.instance));
-        let put: Vec<&str> = change.put.iter().map(|one| one.instance.as_str()).collect();
+            .sort_by(|left, right| left.instance.cmp(&right.instance));
+        let put: Vec<&str> = change
+            .put
+            .iter()
+            .map(|registration| registration.instance.as_str())
+            .collect();
         let gone: Vec<&str> = change
             .gone
             .iter()
-            .map(|one| one.instance.as_str())
+            .map(|departure| departure.instance.as_str())
             .collect();
         assert_eq!(change.is_complete(), case.is_complete, "{}", case.what);
         assert_eq!(
@@ -309,8 +313,8 @@
     let all: Vec<String> = (0..3_000).map(|number| format!("i-{number}")).collect();
     let all: Vec<&str> = all.iter().map(String::as_str).collect();
     peer.replace(0, snapshot(10, &all));
-    for (place, name) in all.iter().take(2_900).enumerate() {
-        peer.apply(1, gone(11 + place as u64, name));
+    for (index, name) in all.iter().take(2_900).enumerate() {
+        peer.apply(1, gone(11 + index as u64, name));
     }
     let behind = peer.change_since(at(10));
     assert!(behind.is_complete());
@@ -323,7 +327,7 @@
 fn unusable(name: Option<&str>) -> UnusableEntry {
     UnusableEntry {
         name: name.map(str::to_owned),
-        reason: "not in our form".to_owned(),
+        reason: "malformed".to_owned(),
     }
 }
 
@@ -409,7 +413,9 @@
     put(&mut roster, 1, case.held_ms);
     put(&mut roster, 2, case.next_ms);
     let registrations = roster.directory().registrations;
-    let known = registrations.first().map(|one| one.started_at_ms);
+    let known = registrations
+        .first()
+        .map(|registration| registration.started_at_ms);
     assert_eq!(known, case.known);
 }
 
--- a/crates/gateway/tests/store_restores.rs
+++ b/crates/gateway/tests/store_restores.rs
@@ -79,8 +79,8 @@
 
 fn ready(roster: &Roster) -> Vec<String> {
     let all = roster.directory().registrations.into_iter();
-    let ready = all.filter(|one| one.state == RegisteredState::Ready);
-    let mut ready: Vec<String> = ready.map(|one| one.instance).collect();
+    let ready = all.filter(|registration| registration.state == RegisteredState::Ready);
+    let mut ready: Vec<String> = ready.map(|registration| registration.instance).collect();
     ready.sort();
     ready
 }
