--- a/crates/policy/src/backlog.rs
+++ b/crates/policy/src/backlog.rs
@@ -7,7 +7,7 @@
 /// Time over which the rate is averaged.
 const WINDOW_MS: f32 = 5_000.0;
 /// Minimum busy time before the rate is used.
-const LEAST_MS: f32 = 1_000.0;
+const MIN_BUSY_MS: f32 = 1_000.0;
 /// Factor by which each request that times out raises the wait correction.
 const WAIT_FACTOR_STEP: f32 = 1.05;
 const MAX_WAIT_FACTOR: f32 = 4.0;
@@ -62,7 +62,7 @@
     }
 
     fn tokens_per_ms(&self) -> Option<f32> {
-        (self.busy_ms >= LEAST_MS && self.tokens > 0.0).then(|| self.tokens / self.busy_ms)
+        (self.busy_ms >= MIN_BUSY_MS && self.tokens > 0.0).then(|| self.tokens / self.busy_ms)
     }
 
     /// The requests whose predicted wait exceeds `factor` times their remaining maximum wait.
@@ -80,7 +80,7 @@
             .iter()
             .map(|waiting| (waiting, rank(waiting, now_ms, order)))
             .collect();
-        ranked.sort_by(|(_, one), (_, other)| one.partial_cmp(other).expect("ranks are numbers"));
+        ranked.sort_by(|(_, a), (_, b)| a.partial_cmp(b).expect("ranks are numbers"));
         let mut ahead_tokens = 0.0;
         let mut unservable = Vec::new();
         for (waiting, _) in ranked {
@@ -98,10 +98,10 @@
 
     /// Estimated time to serve the current queue.
     pub(crate) fn drain_ms(&self, queue: &[Waiting]) -> Millis {
-        const LEAST_MS: f32 = 500.0;
-        const MOST_MS: f32 = 30_000.0;
-        let waiting: f32 = queue.iter().map(|one| one.footprint_tokens).sum();
+        const MIN_DRAIN_MS: f32 = 500.0;
+        const MAX_DRAIN_MS: f32 = 30_000.0;
+        let waiting: f32 = queue.iter().map(|waiting| waiting.footprint_tokens).sum();
         let rate = self.tokens_per_ms().unwrap_or(1.0);
-        (waiting / rate).clamp(LEAST_MS, MOST_MS) as Millis
+        (waiting / rate).clamp(MIN_DRAIN_MS, MAX_DRAIN_MS) as Millis
     }
 }
--- a/crates/policy/src/backpressure.rs
+++ b/crates/policy/src/backpressure.rs
@@ -42,11 +42,11 @@
         self.limit_per_s = signals.limit_per_s;
         self.updated_ms = now_ms;
         self.is_leaving |= signals.is_leaving;
-        if let Some(rest_ms) = signals.backoff_ms {
+        if let Some(backoff_ms) = signals.backoff_ms {
             if !self.is_backing_off(now_ms) {
                 self.continued = 0;
             }
-            self.backoff_until_ms = self.backoff_until_ms.max(now_ms.saturating_add(rest_ms));
+            self.backoff_until_ms = self.backoff_until_ms.max(now_ms.saturating_add(backoff_ms));
         }
         if self.limit_per_s.is_none() {
             self.throttled_until_ms = 0;
--- a/crates/policy/src/broadcast.rs
+++ b/crates/policy/src/broadcast.rs
@@ -2,7 +2,7 @@
 //!
 //! Each remote data centre receives an update once, through its first host, which relays it within
 //! the data centre, because traffic between data centres is billed by the byte. The order is the
-//! same each time, so the same hosts talk to each other and their connections are reused.
+//! same each time, so the same hosts communicate and their connections are reused.
 
 use std::collections::BTreeMap;
 
--- a/crates/policy/src/cell/answer_lengths.rs
+++ b/crates/policy/src/cell/answer_lengths.rs
@@ -1,4 +1,4 @@
-//! Estimates answer lengths for a cell from the answers that its home has seen end.
+//! Estimates answer lengths for a cell from the answers that ended at its home.
 //!
 //! A caller's hint is right on average but off by a factor of five in either direction in a tenth
 //! of the cases, so it is not used as a length. Instead, the home records the lengths of answers
--- a/crates/policy/src/cell/engine.rs
+++ b/crates/policy/src/cell/engine.rs
@@ -11,7 +11,7 @@
 const MIN_NOTICE_MS: Millis = 1_500;
 /// Maximum age of an engine's statement of its remaining time, including network delay.
 pub(crate) const REPORT_AGE_MS: Millis = 600;
-/// Lifetime of an orphaned copy as a multiple of the configured TTL, because engines only look for
+/// Lifetime of an orphaned copy as a multiple of the configured TTL, because engines only check for
 /// such copies occasionally.
 const ORPHANED_COPY_TTLS: f32 = 1.8;
 /// Backoff after an engine had no room for a transfer: about the time until one of its generations
@@ -186,7 +186,7 @@
     /// where they would wait in the engine's queue until the copy expires.
     pub(super) fn add_orphaned_copy(&mut self, now_ms: Millis, tokens: f32) {
         let lifetime_ms = self.entry.capacity.copy_ttl_ms as f32 * ORPHANED_COPY_TTLS;
-        self.orphaned_copies.retain(|one| one.until_ms > now_ms);
+        self.orphaned_copies.retain(|copy| copy.until_ms > now_ms);
         self.orphaned_copies.push(OrphanedCopy {
             tokens,
             until_ms: now_ms + lifetime_ms as Millis,
@@ -198,8 +198,8 @@
         let live = self
             .orphaned_copies
             .iter()
-            .filter(|one| one.until_ms > now_ms);
-        live.map(|one| one.tokens).sum()
+            .filter(|copy| copy.until_ms > now_ms);
+        live.map(|copy| copy.tokens).sum()
     }
 
     /// Adds a prompt whose prefill takes `prefill_ms`.
--- a/crates/policy/src/cell/forecast.rs
+++ b/crates/policy/src/cell/forecast.rs
@@ -70,7 +70,7 @@
         self.load(engine).running
     }
 
-    /// Reserves memory of an engine for a generation that goes first.
+    /// Reserves memory of an engine for a generation that takes precedence.
     pub(super) fn reserve(&mut self, engine: UpstreamKey, claim: Claim) {
         self.loads.entry(engine).or_default().add(claim);
     }
--- a/crates/policy/src/cell/migration.rs
+++ b/crates/policy/src/cell/migration.rs
@@ -20,8 +20,8 @@
 const RETRY_BACKOFF_MS: Millis = 150;
 /// Maximum share of a destination's memory that migrations may fill.
 const MAX_MEMORY_SHARE: f32 = 0.97;
-/// The same when little time is left: a full engine pauses a generation briefly, whereas a leaving
-/// engine cuts it permanently.
+/// Like [`MAX_MEMORY_SHARE`], but when little time is left: a full engine pauses a generation
+/// briefly, whereas a leaving engine cuts it permanently.
 const LATE_MAX_MEMORY_SHARE: f32 = 1.05;
 /// Little time is left when it is enough for fewer than this many transfers of a generation within
 /// its data centre: a first attempt and a retry. A larger value would cover most of the notice
@@ -88,7 +88,7 @@
         receiver.begin_receiving(now_ms, duration_ms);
         receiver.record_start(now_ms);
         let run = self.runs.get_mut(&key)?;
-        run.begin_move(to);
+        run.begin_migration(to);
         Some(Migration {
             run: key,
             host: run.host(),
@@ -102,31 +102,34 @@
         &mut self,
         now_ms: Millis,
         migration: Migration,
-        end: MigrationOutcome,
+        outcome: MigrationOutcome,
     ) {
         let held = self.runs.get(&migration.run);
         let held_tokens = held.map_or(0.0, |run| run.held_tokens(now_ms));
         if let Some(to) = self.engines.get_mut(&migration.to) {
             to.finish_receiving();
-            match end {
+            match outcome {
                 MigrationOutcome::Refused => to.refuse_transfers(now_ms),
                 MigrationOutcome::Orphaned => to.add_orphaned_copy(now_ms, held_tokens),
                 MigrationOutcome::Moved | MigrationOutcome::NotMoved | MigrationOutcome::Ended => {}
             }
         }
-        if end == MigrationOutcome::Ended {
+        if outcome == MigrationOutcome::Ended {
             self.runs.remove(&migration.run);
             return;
         }
         if let Some(run) = self.runs.get_mut(&migration.run) {
-            run.finish_move(end == MigrationOutcome::Moved);
-            if matches!(end, MigrationOutcome::NotMoved | MigrationOutcome::Orphaned) {
+            run.finish_migration(outcome == MigrationOutcome::Moved);
+            if matches!(
+                outcome,
+                MigrationOutcome::NotMoved | MigrationOutcome::Orphaned
+            ) {
                 run.backoff_until_ms = now_ms + RETRY_BACKOFF_MS;
             }
         }
     }
 
-    /// The destination with most room that a generation reaches before its engine ends, and the
+    /// The destination with the most room that a generation reaches before its engine ends, and the
     /// duration of the transfer. Engines in the same data centre are preferred, because a transfer
     /// between data centres takes twice as long.
     ///
@@ -160,7 +163,7 @@
             let cost_ms = duration_ms + busy_ms + MEMORY_COST_MS * share;
             (share <= max_share).then_some((cost_ms, engine.entry.key, duration_ms as Millis))
         });
-        let best = costs.min_by(|one, other| one.0.total_cmp(&other.0).then(one.1.cmp(&other.1)));
+        let best = costs.min_by(|a, b| a.0.total_cmp(&b.0).then(a.1.cmp(&b.1)));
         best.map(|(_, key, duration_ms)| (key, duration_ms))
     }
 
@@ -210,7 +213,7 @@
     fn by_loss_rate(&self, now_ms: Millis, engine: &Engine, left_ms: f32) -> Vec<(f32, RunKey)> {
         let waiting = self.runs.iter().filter(|(_, run)| {
             run.is_on(engine.entry.key)
-                && !run.is_moving()
+                && !run.is_migrating()
                 && run.has_first_token(now_ms)
                 && now_ms >= run.backoff_until_ms
         });
@@ -222,7 +225,7 @@
             })
             .filter(|(rate, _)| *rate > 0.0)
             .collect();
-        by_loss_rate.sort_by(|one, other| other.0.total_cmp(&one.0).then(one.1.cmp(&other.1)));
+        by_loss_rate.sort_by(|a, b| b.0.total_cmp(&a.0).then(a.1.cmp(&b.1)));
         by_loss_rate
     }
 }
--- a/crates/policy/src/cell/mod.rs
+++ b/crates/policy/src/cell/mod.rs
@@ -52,14 +52,15 @@
     /// Updates the registered engines. An engine that is missing but still has generations counts
     /// as leaving: some engines end their registration without notice and keep serving for a while.
     pub fn set_engines(&mut self, now_ms: Millis, registered: &[CellEngine]) {
-        for one in registered {
-            self.forget_earlier_start(one);
-            let known = self.engines.entry(one.key);
+        for entry in registered {
+            self.forget_earlier_start(entry);
+            let known = self.engines.entry(entry.key);
             known
-                .and_modify(|engine| engine.update(now_ms, *one))
-                .or_insert_with(|| Engine::new(now_ms, *one));
+                .and_modify(|engine| engine.update(now_ms, *entry))
+                .or_insert_with(|| Engine::new(now_ms, *entry));
         }
-        let registered_keys: BTreeSet<UpstreamKey> = registered.iter().map(|one| one.key).collect();
+        let registered_keys: BTreeSet<UpstreamKey> =
+            registered.iter().map(|entry| entry.key).collect();
         for (key, engine) in &mut self.engines {
             if !registered_keys.contains(key) {
                 engine.mark_leaving(now_ms);
@@ -79,10 +80,10 @@
     /// If the earlier start counted as leaving, each of its generations would be migrated and
     /// reported as missing, and the copy presumed orphaned would block room on a destination for
     /// seconds. The hosts that relay these generations continue them elsewhere and state where.
-    fn forget_earlier_start(&mut self, one: &CellEngine) {
+    fn forget_earlier_start(&mut self, registered: &CellEngine) {
         let is_earlier = |engine: &Engine| {
             let entry = engine.entry;
-            entry.name == one.name && entry.key != one.key
+            entry.name == registered.name && entry.key != registered.key
         };
         let mut engines = self.engines.values();
         let Some(earlier) = engines.find(|engine| is_earlier(engine)) else {
@@ -112,16 +113,16 @@
     ///
     /// At most half of the engines are closed, because this host may be the one that is partitioned.
     pub fn mark_unreachable(&mut self, engine: UpstreamKey) -> bool {
-        let gone = self
+        let unreachable = self
             .engines
             .values()
-            .filter(|one| one.is_unreachable)
+            .filter(|engine| engine.is_unreachable)
             .count();
         let most = (self.engines.len() as f32 * MAX_UNREACHABLE_SHARE) as usize;
         let Some(engine) = self.engines.get_mut(&engine) else {
             return false;
         };
-        if gone >= most {
+        if unreachable >= most {
             return false;
         }
         !std::mem::replace(&mut engine.is_unreachable, true)
@@ -133,7 +134,7 @@
         engine.is_some_and(|engine| std::mem::take(&mut engine.is_unreachable))
     }
 
-    /// Records that a generation did not start on an engine as expected, or broke off there.
+    /// Records that a generation did not start on an engine as expected, or was interrupted there.
     pub fn record_failure(&mut self, now_ms: Millis, engine: UpstreamKey, verdict: Verdict) {
         let Some(engine) = self.engines.get_mut(&engine) else {
             return;
@@ -173,16 +174,16 @@
         self.runs.retain(|key, run| {
             run.host() != host
                 || run.is_recent(now_ms)
-                || statements.iter().any(|one| one.run == *key)
+                || statements.iter().any(|statement| statement.run == *key)
         });
-        for one in statements {
-            let Some(run) = self.runs.get_mut(&one.run) else {
-                let run = Run::restored(now_ms, host, one);
-                self.runs.insert(one.run, run);
+        for statement in statements {
+            let Some(run) = self.runs.get_mut(&statement.run) else {
+                let run = Run::restored(now_ms, host, statement);
+                self.runs.insert(statement.run, run);
                 continue;
             };
             let relayed_tokens = run.relayed_tokens();
-            run.restate(now_ms, one);
+            run.restate(now_ms, statement);
             self.answer_lengths.advance(
                 now_ms,
                 run.stated_length(),
--- a/crates/policy/src/cell/placement.rs
+++ b/crates/policy/src/cell/placement.rs
@@ -18,7 +18,7 @@
 const REMOTE_COST_MS: f32 = 12.0;
 /// Cost of full memory against empty memory. It is applied to the square of the share, which treats
 /// half-full engines as nearly equal, so prompts go where prefill starts soonest, and weighs the
-/// last room heavily, because a full engine preempts generations.
+/// last free memory heavily, because a full engine preempts generations.
 const MEMORY_COST_MS: f32 = 500.0;
 /// Cost of an engine that fails all its generations, higher than any wait. A partly failing engine
 /// looks emptier than healthy ones and would attract every next generation without this cost.
@@ -31,11 +31,11 @@
 /// Length predictions are learned and leave little variance, so only a small reserve is kept; an
 /// overcommitted engine pauses generations.
 const FULL_SHARE: f32 = 0.98;
-/// The same for requests that cannot be on time or would be late there: they would delay others
-/// that can still be on time, and a late answer has a seventh of the value.
+/// Like [`FULL_SHARE`], but for requests that cannot be on time or would be late there: they would
+/// delay others that can still be on time, and a late answer has a seventh of the value.
 const LATE_FULL_SHARE: f32 = 0.75;
-/// A generation of at most this many tokens takes about a second and is exempt from
-/// [`LATE_FULL_SHARE`].
+/// A late retry of a generation of at most this many tokens, which takes about a second, is exempt
+/// from [`LATE_FULL_SHARE`], unless its prefill would end too late on the engine.
 const BRIEF_TOKENS: u32 = 64;
 /// A prompt is sent only to an engine where it waits no longer than this share of the time left for
 /// its first event; the rest is for its own prefill. Prefills of other prompts end soon, so waiting
@@ -63,7 +63,7 @@
     pub host: HostKey,
     /// The organisation that sent it.
     pub organisation: OrganisationKey,
-    /// Hash of that host's data centre.
+    /// Hash of the relaying host's data centre.
     pub data_centre: u64,
     /// Prompt tokens.
     pub prompt_tokens: u32,
@@ -215,9 +215,9 @@
             let cost = cost_ms(now_ms, &self.prefill_rate, &forecast, engine, &attempt)?;
             Some((cost, engine))
         });
-        let best = costs.min_by(|one, other| {
-            let by_key = one.1.entry.key.cmp(&other.1.entry.key);
-            one.0.total_cmp(&other.0).then(by_key)
+        let best = costs.min_by(|a, b| {
+            let by_key = a.1.entry.key.cmp(&b.1.entry.key);
+            a.0.total_cmp(&b.0).then(by_key)
         });
         let Some((_, engine)) = best else {
             match request.is_final_attempt {
@@ -278,8 +278,8 @@
             let share = forecast.peak_share(engine, attempt.claim);
             (share, engine.entry.key)
         });
-        let by_share = |one: &(f32, UpstreamKey), other: &(f32, UpstreamKey)| {
-            one.0.total_cmp(&other.0).then(one.1.cmp(&other.1))
+        let by_share = |a: &(f32, UpstreamKey), b: &(f32, UpstreamKey)| {
+            a.0.total_cmp(&b.0).then(a.1.cmp(&b.1))
         };
         let (share, key) = shares.min_by(by_share)?;
         // A backup copy starts with the transfer of the whole prompt. The final short copy of a
--- a/crates/policy/src/cell/run.rs
+++ b/crates/policy/src/cell/run.rs
@@ -11,7 +11,8 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct RunKey(pub u64);
 
-/// A placement younger than this may be missing from its host's statement, which was sent before.
+/// A placement younger than this may be missing from its host's statement, which may have been sent
+/// before it.
 const RECENT_MS: Millis = 1_500;
 
 /// A generation as stated by the host that relays it.
@@ -54,7 +55,7 @@
     engine: UpstreamKey,
     backup: Option<UpstreamKey>,
     /// The destination of a migration in progress.
-    moving_to: Option<UpstreamKey>,
+    migrating_to: Option<UpstreamKey>,
     pub(super) prompt_tokens: u32,
     limit_tokens: u32,
     hint_tokens: Option<u32>,
@@ -81,7 +82,7 @@
             organisation: request.organisation,
             engine,
             backup,
-            moving_to: None,
+            migrating_to: None,
             prompt_tokens: request.prompt_tokens,
             limit_tokens: request.limit_tokens,
             hint_tokens: request.hint_tokens,
@@ -99,7 +100,7 @@
             organisation: statement.organisation,
             engine: statement.engine,
             backup: statement.backup,
-            moving_to: None,
+            migrating_to: None,
             prompt_tokens: statement.prompt_tokens,
             limit_tokens: statement.limit_tokens,
             hint_tokens: statement.hint_tokens,
@@ -128,18 +129,18 @@
         self.host
     }
 
-    pub(super) fn is_moving(&self) -> bool {
-        self.moving_to.is_some()
+    pub(super) fn is_migrating(&self) -> bool {
+        self.migrating_to.is_some()
     }
 
-    pub(super) fn begin_move(&mut self, to: UpstreamKey) {
-        self.moving_to = Some(to);
+    pub(super) fn begin_migration(&mut self, to: UpstreamKey) {
+        self.migrating_to = Some(to);
     }
 
     /// Records the end of a migration, whether it succeeded or not.
-    pub(super) fn finish_move(&mut self, has_moved: bool) {
-        if let Some(to) = self.moving_to.take()
-            && has_moved
+    pub(super) fn finish_migration(&mut self, has_migrated: bool) {
+        if let Some(to) = self.migrating_to.take()
+            && has_migrated
         {
             self.engine = to;
         }
@@ -148,7 +149,7 @@
     /// Forgets the copies on an engine that has lost them.
     pub(super) fn forget_copies(&mut self, lost: UpstreamKey) {
         self.backup = self.backup.filter(|backup| *backup != lost);
-        self.moving_to = self.moving_to.filter(|to| *to != lost);
+        self.migrating_to = self.migrating_to.filter(|to| *to != lost);
     }
 
     pub(super) fn is_on(&self, engine: UpstreamKey) -> bool {
@@ -166,9 +167,9 @@
 
     /// The engines whose memory it uses, for itself or for a copy.
     pub(super) fn holders(&self) -> impl Iterator<Item = UpstreamKey> {
-        let copies = [self.backup, self.moving_to].into_iter().flatten();
-        let moving_to_backup = self.moving_to.is_some() && self.moving_to == self.backup;
-        let copies = copies.skip(usize::from(moving_to_backup));
+        let copies = [self.backup, self.migrating_to].into_iter().flatten();
+        let migrating_to_backup = self.migrating_to.is_some() && self.migrating_to == self.backup;
+        let copies = copies.skip(usize::from(migrating_to_backup));
         std::iter::once(self.engine).chain(copies)
     }
 
@@ -176,7 +177,7 @@
         now_ms.saturating_sub(self.placed_ms) < RECENT_MS
     }
 
-    /// Whether its first token is known or expected to be out. Before that there is nothing to
+    /// Whether its first token is known or expected to exist. Before that there is nothing to
     /// migrate.
     pub(super) fn has_first_token(&self, now_ms: Millis) -> bool {
         self.out_tokens > 0 || now_ms >= self.out_tokens_at_ms
--- a/crates/policy/src/cell/shares.rs
+++ b/crates/policy/src/cell/shares.rs
@@ -3,10 +3,10 @@
 //! When an organisation sends many times its usual load and the engines have no spare room,
 //! ordering by time alone favours whoever sends most: requests of other organisations are late or
 //! refused in proportion to the flood, although their load is normal. Every organisation may use
-//! what nobody else wants, and otherwise up to its share: the level at which all held and requested
-//! memory fits, where each organisation gets the smaller of its demand and the level (max-min
-//! fairness: Bertsekas and Gallager, "Data Networks", 1992, section 6.5.2). Only current holdings
-//! count, so idle times earn no credit and a flood leaves no debt.
+//! what no other one requests, and otherwise up to its share: the level at which all held and
+//! requested memory fits, where each organisation gets the smaller of its demand and the level
+//! (max-min fairness: Bertsekas and Gallager, "Data Networks", 1992, section 6.5.2). Only current
+//! holdings count, so idle times earn no credit and a flood leaves no debt.
 //!
 //! Running generations are never cut for fairness: some tens of answers end per second, and the
 //! memory they free goes first to organisations below their share.
@@ -43,37 +43,42 @@
 
 impl Cell {
     /// The current shares, counting the given request with those that wait.
-    pub(super) fn shares(&self, now_ms: Millis, asking: OrganisationKey, claim: Claim) -> Shares {
+    pub(super) fn shares(
+        &self,
+        now_ms: Millis,
+        requester: OrganisationKey,
+        claim: Claim,
+    ) -> Shares {
         let mut held: HashMap<OrganisationKey, f32> = HashMap::new();
         for run in self.runs.values() {
             let total_tokens = run.claim(now_ms, &self.answer_lengths).total_tokens();
             *held.entry(run.organisation).or_default() += total_tokens;
         }
-        let mut wanted = held.clone();
-        *wanted.entry(asking).or_default() += claim.total_tokens();
+        let mut demands = held.clone();
+        *demands.entry(requester).or_default() += claim.total_tokens();
         for (organisation, claim) in self.waiting.claims() {
-            *wanted.entry(organisation).or_default() += claim.total_tokens();
+            *demands.entry(organisation).or_default() += claim.total_tokens();
         }
         let open = self.engines.values().filter(|engine| engine.is_open());
         let room = open.map(|engine| engine.entry.capacity.memory_tokens as f32);
         Shares {
             held,
-            level: level(wanted.into_values().collect(), room.sum()),
+            level: level(demands.into_values().collect(), room.sum()),
         }
     }
 }
 
 /// The max-min fair level for these demands; `None` if all demands fit.
-fn level(mut wanted: Vec<f32>, room: f32) -> Option<f32> {
-    wanted.sort_by(f32::total_cmp);
+fn level(mut demands: Vec<f32>, room: f32) -> Option<f32> {
+    demands.sort_by(f32::total_cmp);
     let mut left = room;
-    let mut count = wanted.len();
-    for want in wanted {
+    let mut count = demands.len();
+    for demand in demands {
         let level = left / count as f32;
-        if want > level {
+        if demand > level {
             return Some(level);
         }
-        left -= want;
+        left -= demand;
         count -= 1;
     }
     None
--- a/crates/policy/src/cell/waiting.rs
+++ b/crates/policy/src/cell/waiting.rs
@@ -1,10 +1,10 @@
 //! The queue of requests that wait for room in a cell.
 //!
-//! Handles overload with requests whose sizes differ by a factor of six. Without an order, whoever
-//! asks next takes the memory that has just become free, and the largest requests are refused while
+//! Handles overload with requests whose sizes differ by a factor of six. Without an order, the next
+//! request takes the memory that has just become free, and the largest requests are refused while
 //! the smallest never are. Requests that fit are placed in queue order, before later ones. For the
-//! first one that does not fit, room is reserved on the engine with most room. Reserved memory is
-//! idle, so it is reserved for one request only.
+//! first one that does not fit, room is reserved on the engine with the most room. Reserved memory
+//! is idle, so it is reserved for one request only.
 
 use std::collections::HashMap;
 
@@ -17,7 +17,7 @@
 use super::{Cell, CellEngine};
 use crate::key::{Millis, OrganisationKey, UpstreamKey};
 
-/// A request that was not repeated for this long has been abandoned; it covers several of its
+/// A request that was not repeated for this long counts as abandoned. This covers several of its
 /// polling periods.
 const REQUEST_EXPIRY_MS: Millis = 250;
 /// Number of requests without room for which memory is reserved until it is enough.
@@ -105,7 +105,7 @@
             };
         }
         let trying_ms = self.refused.get(&request.retry_key);
-        let trying_ms = trying_ms.map_or(0, |one| now_ms.saturating_sub(one.first_ms));
+        let trying_ms = trying_ms.map_or(0, |refused| now_ms.saturating_sub(refused.first_ms));
         let delay_ms = request.max_wait_ms as f32
             * COST_DELAY_SHARE
             * self.average_cost.compare(prefill_rate, claim);
@@ -119,7 +119,9 @@
     }
 
     fn since_ms(&self, now_ms: Millis, run: RunKey) -> Millis {
-        self.requests.get(&run).map_or(now_ms, |one| one.since_ms)
+        self.requests
+            .get(&run)
+            .map_or(now_ms, |waiting| waiting.since_ms)
     }
 
     /// Queues a request that found no room and will be repeated.
@@ -154,9 +156,10 @@
 
     /// Drops abandoned requests and expired refusals.
     pub(super) fn expire(&mut self, now_ms: Millis) {
-        self.requests
-            .retain(|_, one| now_ms.saturating_sub(one.last_request_ms) < REQUEST_EXPIRY_MS);
-        self.refused.retain(|_, one| now_ms < one.until_ms);
+        self.requests.retain(|_, waiting| {
+            now_ms.saturating_sub(waiting.last_request_ms) < REQUEST_EXPIRY_MS
+        });
+        self.refused.retain(|_, refused| now_ms < refused.until_ms);
     }
 
     /// Whether no request is waiting.
@@ -167,30 +170,30 @@
     /// Memory demand and organisation of each waiting request.
     pub(super) fn claims(&self) -> impl Iterator<Item = (OrganisationKey, Claim)> {
         let all = self.requests.values();
-        all.map(|one| (one.organisation, one.claim))
+        all.map(|waiting| (waiting.organisation, waiting.claim))
     }
 
     /// Requests ordered before `order` by the current shares, since an organisation may have gone
     /// over or below its share after its request was queued.
     fn before(&self, order: QueueOrder, shares: &Shares) -> Vec<(QueueOrder, &Waiting)> {
-        let all = self.requests.values().map(|one| {
-            let is_over_share = shares.is_over(one.organisation, one.claim);
+        let all = self.requests.values().map(|waiting| {
+            let is_over_share = shares.is_over(waiting.organisation, waiting.claim);
             let order = QueueOrder {
                 is_over_share,
-                ..one.order
+                ..waiting.order
             };
-            (order, one)
+            (order, waiting)
         });
         let mut earlier: Vec<(QueueOrder, &Waiting)> =
-            all.filter(|(one, _)| *one < order).collect();
+            all.filter(|(other, _)| *other < order).collect();
         earlier.sort_by_key(|(order, _)| *order);
         earlier
     }
 }
 
 impl Cell {
-    /// Reserves room for the requests ordered before `order`, each on the engine with most room for
-    /// it, where it will fit first.
+    /// Reserves room for the requests ordered before `order`, each on the engine with the most room
+    /// for it, where it will fit first.
     pub(super) fn reserve_for_waiting(
         &self,
         order: QueueOrder,
@@ -198,25 +201,25 @@
         forecast: &mut Forecast,
     ) {
         let mut reserved = 0;
-        for (_, one) in self.waiting.before(order, shares) {
+        for (_, waiting) in self.waiting.before(order, shares) {
             let open = self.engines.values().filter(|engine| {
                 let CellEngine { key, .. } = engine.entry;
-                engine.is_open() && !one.excluded.contains(&key)
+                engine.is_open() && !waiting.excluded.contains(&key)
             });
             let shares = open.map(|engine| {
-                let share = forecast.peak_share(engine, one.claim);
+                let share = forecast.peak_share(engine, waiting.claim);
                 (share, engine.entry.key)
             });
             let best = shares.min_by(|a, b| a.0.total_cmp(&b.0).then(a.1.cmp(&b.1)));
             let Some((share, engine)) = best else {
                 continue;
             };
-            let fits = share <= one.full_share;
+            let fits = share <= waiting.full_share;
             if !fits {
                 reserved += 1;
             }
             if fits || reserved <= RESERVED_REQUESTS {
-                forecast.reserve(engine, one.claim);
+                forecast.reserve(engine, waiting.claim);
             }
         }
     }
--- a/crates/policy/src/cell_partitioning.rs
+++ b/crates/policy/src/cell_partitioning.rs
@@ -10,10 +10,11 @@
 /// Maximum number of engines in a cell. A home examines each engine and each generation of its cell
 /// for every arriving request and again for every waiting one.
 const MAX_CELL_ENGINES: usize = 64;
-/// The partitioning is kept until a partition would have less than this share of a full cell.
-/// Up to a sixth of the engines come and go within seconds, and after each change of the
-/// partitioning all homes must rebuild their state.
-const MIN_FILL_SHARE: f32 = 0.5;
+/// The partitions of a data centre become fewer only if half as many would each be filled to at
+/// most this share, and a service becomes one cell only if that cell would be. Up to a sixth of the
+/// engines come and go within seconds, and after each change of the partitioning all homes must
+/// rebuild their state.
+const MERGE_FILL_SHARE: f32 = 0.5;
 
 /// One data centre of a partitioned service.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -24,8 +25,8 @@
 }
 
 /// The partitioning of one service's engines; a single cell by default. Hosts with the same engine
-/// list and history compute the same partitioning. Others address a home that doesn't know the
-/// cell, and place requests without a home.
+/// list and history compute the same partitioning. A host with a different one calls a home that
+/// doesn't know the cell, and then places the request without a home.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct CellPartitioning {
     data_centres: BTreeMap<String, DataCentre>,
@@ -36,13 +37,13 @@
     pub fn updated(&self, counts: &BTreeMap<String, usize>) -> Self {
         let total: usize = counts.values().sum();
         let is_partitioned = !self.data_centres.is_empty();
-        let stays_partitioned = total as f32 > MAX_CELL_ENGINES as f32 * MIN_FILL_SHARE;
+        let stays_partitioned = total as f32 > MAX_CELL_ENGINES as f32 * MERGE_FILL_SHARE;
         if total <= MAX_CELL_ENGINES && !(is_partitioned && stays_partitioned) {
             return Self::default();
         }
         let mut data_centres = self.data_centres.clone();
-        for one in data_centres.values_mut() {
-            one.has_engines = false;
+        for data_centre in data_centres.values_mut() {
+            data_centre.has_engines = false;
         }
         for (name, count) in counts.iter().filter(|(_, count)| **count > 0) {
             let partitions = self.partitions_for(name, *count);
@@ -63,16 +64,16 @@
         let Some(before) = self.data_centres.get(name) else {
             return wanted;
         };
-        let least = MAX_CELL_ENGINES as f32 * MIN_FILL_SHARE * before.partitions as f32 / 2.0;
+        let least = MAX_CELL_ENGINES as f32 * MERGE_FILL_SHARE * before.partitions as f32 / 2.0;
         let stays = wanted < before.partitions && count as f32 > least;
         if stays { before.partitions } else { wanted }
     }
 
     /// Whether engines belong to the same cells as under `other`.
     pub fn has_same_cells(&self, other: &Self) -> bool {
-        let partitions = |one: &Self| -> Vec<(String, u64)> {
-            let all = one.data_centres.iter();
-            all.map(|(name, one)| (name.clone(), one.partitions))
+        let partitions = |partitioning: &Self| -> Vec<(String, u64)> {
+            let all = partitioning.data_centres.iter();
+            all.map(|(name, data_centre)| (name.clone(), data_centre.partitions))
                 .collect()
         };
         partitions(self) == partitions(other)
@@ -81,24 +82,27 @@
     /// The data centre and partition of an engine, or `None` if the service is a single cell.
     /// `draw` is a hash of the engine.
     pub fn partition_of_engine(&self, data_centre: &str, draw: u64) -> Option<(&str, u64)> {
-        let (name, one) = self.data_centres.get_key_value(data_centre)?;
-        Some((name, draw % one.partitions))
+        let (name, entry) = self.data_centres.get_key_value(data_centre)?;
+        Some((name, draw % entry.partitions))
     }
 
     /// The data centre and partition for a generation that arrives at a host in `data_centre`:
     /// local if there are engines, otherwise in any data centre with engines. `None` if the
     /// service is a single cell.
     pub fn partition_for_generation(&self, data_centre: &str, draw: u64) -> Option<(&str, u64)> {
-        let with_engines = self.data_centres.iter().filter(|(_, one)| one.has_engines);
+        let with_engines = self
+            .data_centres
+            .iter()
+            .filter(|(_, entry)| entry.has_engines);
         let local = with_engines.clone().find(|(name, _)| *name == data_centre);
         let any = || {
             with_engines
                 .clone()
                 .nth(draw as usize % with_engines.clone().count().max(1))
         };
-        let (name, one) = local.or_else(any)?;
+        let (name, entry) = local.or_else(any)?;
         // Uses other bits of the draw than the data centre, because the two would be correlated
         // otherwise.
-        Some((name, (draw >> 32) % one.partitions))
+        Some((name, (draw >> 32) % entry.partitions))
     }
 }
--- a/crates/policy/src/circuit/circuits.rs
+++ b/crates/policy/src/circuit/circuits.rs
@@ -100,7 +100,7 @@
     /// An order-independent hash of the circuits, to compare what two hosts know.
     pub fn digest(&mut self, now_ms: Millis) -> u64 {
         self.expire(now_ms);
-        let each = self.entries.values().map(|entry| {
+        let hashes = self.entries.values().map(|entry| {
             let Circuit {
                 content,
                 version,
@@ -112,7 +112,7 @@
             bytes.push(*state as u8);
             xxh3_64(&bytes)
         });
-        each.fold(0, |all, one| all ^ one)
+        hashes.fold(0, |digest, hash| digest ^ hash)
     }
 
     fn expire(&mut self, now_ms: Millis) {
--- a/crates/policy/src/circuit/record.rs
+++ b/crates/policy/src/circuit/record.rs
@@ -123,7 +123,7 @@
 
     /// Whether any reports have not been evaluated.
     pub fn has_unevaluated(&self) -> bool {
-        let crashes = self.suspects.values().flat_map(|one| &one.crashes);
+        let crashes = self.suspects.values().flat_map(|suspect| &suspect.crashes);
         crashes.into_iter().any(|crash| !crash.is_evaluated)
     }
 
@@ -152,7 +152,7 @@
             let known = circuits.find(**content);
             known.is_none_or(|known| known.state != CircuitState::Open)
         });
-        for crash in others.flat_map(|(_, one)| &mut one.crashes) {
+        for crash in others.flat_map(|(_, suspect)| &mut suspect.crashes) {
             crash.is_evaluated &= !upstreams.contains(&crash.upstream);
         }
     }
@@ -209,8 +209,8 @@
         }
     }
 
-    /// The settled, unexplained crashes of a content, including those of its circuit, which are all
-    /// that a new home has. `None` if none are left.
+    /// The settled, unexplained crashes of a content, including those of its circuit. A new home
+    /// has only the latter. `None` if none are left.
     fn crashes_of(
         &mut self,
         now_ms: Millis,
@@ -226,7 +226,10 @@
                 is_evaluated: true,
             });
         }
-        let settled = suspect.crashes.iter().filter(|one| one.is_settled(now_ms));
+        let settled = suspect
+            .crashes
+            .iter()
+            .filter(|crash| crash.is_settled(now_ms));
         Some(settled.map(|crash| crash.upstream).collect())
     }
 
@@ -289,8 +292,12 @@
         if self.suspects.len() < MAX_SUSPECTS {
             return;
         }
-        let oldest = self.suspects.iter().min_by_key(|(_, one)| one.reported_ms);
-        if let Some((content, _)) = oldest.map(|(content, one)| (*content, one.reported_ms)) {
+        let oldest = self
+            .suspects
+            .iter()
+            .min_by_key(|(_, suspect)| suspect.reported_ms);
+        if let Some((content, _)) = oldest.map(|(content, suspect)| (*content, suspect.reported_ms))
+        {
             self.suspects.remove(&content);
         }
     }
--- a/crates/policy/src/circuit/restoration.rs
+++ b/crates/policy/src/circuit/restoration.rs
@@ -1,16 +1,16 @@
-//! Repairs the stored circuits after the store was restored from a copy.
+//! Repairs the stored circuits after the store was restored from a backup.
 
 use std::collections::HashMap;
 
 use super::{Circuit, CircuitState};
 use crate::key::ContentKey;
 
-/// Differences between the known circuits and a store that was restored from a copy.
+/// Differences between the known circuits and a store that was restored from a backup.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Restoration {
     /// Circuits to write.
     pub write: Vec<Circuit>,
-    /// Contents whose entries to remove, because their circuits have closed since the copy.
+    /// Contents whose entries to remove, because their circuits have closed since the backup.
     pub remove: Vec<ContentKey>,
 }
 
--- a/crates/policy/src/failures.rs
+++ b/crates/policy/src/failures.rs
@@ -21,7 +21,8 @@
         self.share * (-passed_ms / DECAY_HALF_LIFE_MS).exp2()
     }
 
-    /// Records the end of a request; `failed` is 0 for a success and 1 for a failure.
+    /// Records the end of a request; `failed` is 0 for a success, 1 for a failure and 0.5 for a
+    /// request that the upstream did not run.
     pub(crate) fn record(&mut self, now_ms: Millis, failed: f32) {
         let share = self.share(now_ms);
         self.share = share + (failed - share) * GAIN;
--- a/crates/policy/src/handover.rs
+++ b/crates/policy/src/handover.rs
@@ -1,10 +1,10 @@
 //! Decides the next step for a stream whose generation may be migrating to another engine.
 //!
 //! Two processes run concurrently: the engine's stream continues, ends or breaks, and a migration
-//! copies the generation's memory, then stops the generation or fails to. Either may finish at any
-//! point of the other. Handled separately, a stream end during the stop would be left for the
-//! migration to explain; if the migration then had stopped nothing, there would be nothing left to
-//! read or to wait for, and the caller of a complete answer would never see its end.
+//! copies the generation's memory, then stops the generation or fails to do so. Either may finish
+//! at any stage of the other. If they were handled separately, the end of a stream during the stop
+//! would be attributed to the migration. If the migration had then stopped nothing, nothing would
+//! be left to read or to wait for, and the caller would never receive the end of a complete answer.
 //!
 //! So one state machine covers both, and a stream is always being read, waited for, or finished.
 
--- a/crates/policy/src/home.rs
+++ b/crates/policy/src/home.rs
@@ -189,8 +189,9 @@
 
     /// Takes in a load report of the engine, which lags behind this home's own count.
     pub fn report(&mut self, now_ms: Millis, load: EngineLoad) {
-        self.unaccounted.note(now_ms, self.held_tokens as f32);
-        self.unaccounted.report(load.used_tokens as f32);
+        self.unaccounted
+            .record_held(now_ms, self.held_tokens as f32);
+        self.unaccounted.record_report(load.used_tokens as f32);
         if load.memory_tokens > 0 {
             self.settings.memory_tokens = load.memory_tokens;
         }
@@ -209,7 +210,8 @@
     pub fn step(&mut self, now_ms: Millis, lengths: &Lengths, outcomes: &mut Vec<Outcome>) {
         self.expire_permits(now_ms);
         self.backlog.advance(now_ms, self.queue.is_empty());
-        self.unaccounted.note(now_ms, self.held_tokens as f32);
+        self.unaccounted
+            .record_held(now_ms, self.held_tokens as f32);
         self.refuse(now_ms, outcomes);
         if !self.queue.is_empty() {
             self.grant(now_ms, lengths, outcomes);
@@ -288,7 +290,10 @@
             self.settings.early_refusal_factor,
         );
         for request in unservable {
-            let position = self.queue.iter().position(|one| one.request.id == request);
+            let position = self
+                .queue
+                .iter()
+                .position(|waiting| waiting.request.id == request);
             if let Some(index) = position {
                 self.refuse_at(index, RefusalReason::TooLate, outcomes);
             }
@@ -296,7 +301,11 @@
     }
 
     fn refuse_unqueueable(&mut self, outcomes: &mut Vec<Outcome>) {
-        while let Some(index) = self.queue.iter().position(|one| one.request.only_now) {
+        while let Some(index) = self
+            .queue
+            .iter()
+            .position(|waiting| waiting.request.only_now)
+        {
             self.refuse_at(index, RefusalReason::NoRoomNow, outcomes);
         }
     }
@@ -413,9 +422,8 @@
                 .moved_at_ms
                 .is_none_or(|at_ms| now_ms.saturating_sub(at_ms) > MOVE_SAME_PERMIT_INTERVAL_MS)
         });
-        let best = candidates.min_by(|(_, one), (_, other)| {
-            one.move_loss(lengths).total_cmp(&other.move_loss(lengths))
-        });
+        let best = candidates
+            .min_by(|(_, a), (_, b)| a.move_loss(lengths).total_cmp(&b.move_loss(lengths)));
         let Some((permit, _)) = best else { return };
         let entry = &mut self.permits[permit];
         entry.moved_at_ms = Some(now_ms);
--- a/crates/policy/src/lengths.rs
+++ b/crates/policy/src/lengths.rs
@@ -79,10 +79,10 @@
 
     /// Builds the curve from the hazard of each bucket: the probability of ending in it, given that
     /// it was reached.
-    fn from_ends(chance: impl Fn(usize) -> f32) -> Self {
+    fn from_hazard(hazard: impl Fn(usize) -> f32) -> Self {
         let mut survival = [1.0; BUCKETS + 1];
         for index in 0..BUCKETS {
-            survival[index + 1] = survival[index] * (1.0 - chance(index));
+            survival[index + 1] = survival[index] * (1.0 - hazard(index));
         }
         survival[BUCKETS] = 0.0;
         Self::from_survival(survival)
@@ -121,8 +121,8 @@
         below + (self.remaining_tokens[index + 1] - below) * part
     }
 
-    /// The total length that a share `chance` of the outputs exceed, of those that have reached
-    /// `out_tokens`.
+    /// The total length that a share `chance` of the outputs exceed, counting only those that have
+    /// reached `out_tokens`.
     pub fn length_at(&self, out_tokens: f32, chance: f32) -> f32 {
         let target = self.survival(out_tokens) * chance;
         let start = position(out_tokens) as usize;
@@ -226,7 +226,7 @@
 
     fn refresh(&mut self, parent: &SurvivalCurve) {
         let of_parent = parent.density();
-        self.curve = SurvivalCurve::from_ends(|index| {
+        self.curve = SurvivalCurve::from_hazard(|index| {
             let ended = self.ended[index] + PARENT_WEIGHT * of_parent[index];
             let reached = self.reached[index] + PARENT_WEIGHT * parent.survival[index];
             (ended / reached.max(MIN_PROBABILITY)).min(1.0)
--- a/crates/policy/src/limits.rs
+++ b/crates/policy/src/limits.rs
@@ -62,10 +62,10 @@
         now_ms: Millis,
         organisation: OrganisationKey,
         host: HostKey,
-        bounds: RequestLimits,
+        limits: RequestLimits,
     ) -> Result<(), LimitExceeded> {
         let usage = self.usage.entry(organisation).or_insert(Usage {
-            allowance: bounds.requests_per_s,
+            allowance: limits.requests_per_s,
             refilled_at_ms: now_ms,
             held: HashMap::new(),
         });
@@ -76,15 +76,15 @@
             .retain(|_, held| now_ms.saturating_sub(held.updated_at_ms) < HELD_SLOTS_TTL_MS);
         let elapsed_s = now_ms.saturating_sub(usage.refilled_at_ms) as f32 / 1_000.0;
         usage.refilled_at_ms = now_ms;
-        let burst = bounds.requests_per_s.max(1.0);
-        usage.allowance = (usage.allowance + elapsed_s * bounds.requests_per_s).min(burst);
+        let burst = limits.requests_per_s.max(1.0);
+        usage.allowance = (usage.allowance + elapsed_s * limits.requests_per_s).min(burst);
         if usage.allowance < 1.0 {
-            let wait_s = (1.0 - usage.allowance) / bounds.requests_per_s.max(0.001);
+            let wait_s = (1.0 - usage.allowance) / limits.requests_per_s.max(0.001);
             let retry_after_ms = (wait_s * 1_000.0).ceil() as Millis;
             return Err(LimitExceeded::Rate { retry_after_ms });
         }
         let concurrent: u32 = usage.held.values().map(|held| held.slots).sum();
-        if concurrent >= bounds.concurrent {
+        if concurrent >= limits.concurrent {
             return Err(LimitExceeded::Concurrency {
                 retry_after_ms: CONCURRENCY_RETRY_MS,
             });
--- a/crates/policy/src/pick.rs
+++ b/crates/policy/src/pick.rs
@@ -35,26 +35,27 @@
 
 /// Picks the engines for a prompt whose first blocks hash to `prefix`.
 pub fn pick(prefix: u64, candidates: &[Candidate]) -> Option<Pick> {
-    let shares = candidates.iter().map(|one| share(one.load));
+    let shares = candidates.iter().map(|candidate| share(candidate.load));
     let total: f32 = shares.sum();
     let bound = (total / candidates.len().max(1) as f32 * BOUND_OVER_MEAN).max(0.1);
     let mut first: Option<First> = None;
     let mut least_loaded = LeastLoaded::default();
-    for one in candidates {
-        let share = share(one.load);
-        let is_local = one.is_local && share < LOCAL_SPILL_SHARE;
-        let class = u8::from(share <= bound) * 4 + u8::from(is_local) * 2 + u8::from(one.cached);
-        least_loaded.consider(one.upstream, share + f32::from(u8::from(!is_local)));
+    for candidate in candidates {
+        let share = share(candidate.load);
+        let is_local = candidate.is_local && share < LOCAL_SPILL_SHARE;
+        let class =
+            u8::from(share <= bound) * 4 + u8::from(is_local) * 2 + u8::from(candidate.cached);
+        least_loaded.consider(candidate.upstream, share + f32::from(u8::from(!is_local)));
         // Hashing is the most expensive step, so it is skipped where the class decides.
         if first.as_ref().is_some_and(|best| class < best.class) {
             continue;
         }
-        let rank = rank(prefix, one.upstream.0);
+        let rank = rank(prefix, candidate.upstream.0);
         if first
             .as_ref()
             .is_none_or(|best| (class, rank) > (best.class, best.rank))
         {
-            let upstream = one.upstream;
+            let upstream = candidate.upstream;
             first = Some(First {
                 class,
                 rank,
@@ -82,11 +83,11 @@
 
 impl LeastLoaded {
     fn consider(&mut self, upstream: UpstreamKey, cost: f32) {
-        let one = Some((upstream, cost));
+        let entry = Some((upstream, cost));
         if self.best.is_none_or(|(_, best)| cost < best) {
-            self.next = std::mem::replace(&mut self.best, one);
+            self.next = std::mem::replace(&mut self.best, entry);
         } else if self.next.is_none_or(|(_, next)| cost < next) {
-            self.next = one;
+            self.next = entry;
         }
     }
 
--- a/crates/policy/src/unaccounted_memory.rs
+++ b/crates/policy/src/unaccounted_memory.rs
@@ -10,8 +10,8 @@
 /// that a report may refer to.
 ///
 /// Another host that also acts as the home starts generations that this home can't count. They
-/// show as reported memory above everything that this home held recently. That excess is kept
-/// free.
+/// show as reported memory above the most that this home's permits held recently. That excess is
+/// subtracted from the memory that this home grants.
 #[derive(Debug, Default)]
 pub(crate) struct UnaccountedMemory {
     recent_holdings: VecDeque<(Millis, f32)>,
@@ -20,7 +20,7 @@
 
 impl UnaccountedMemory {
     /// Records the memory that the home's permits hold now.
-    pub(crate) fn note(&mut self, now_ms: Millis, held_tokens: f32) {
+    pub(crate) fn record_held(&mut self, now_ms: Millis, held_tokens: f32) {
         while let Some((at_ms, _)) = self.recent_holdings.front() {
             if now_ms.saturating_sub(*at_ms) <= WINDOW_MS {
                 break;
@@ -31,7 +31,7 @@
     }
 
     /// Takes in the engine's reported memory in use.
-    pub(crate) fn report(&mut self, used_tokens: f32) {
+    pub(crate) fn record_report(&mut self, used_tokens: f32) {
         let most = self
             .recent_holdings
             .iter()
--- a/crates/policy/src/upstream_stats.rs
+++ b/crates/policy/src/upstream_stats.rs
@@ -38,7 +38,7 @@
 pub enum Verdict {
     /// A complete response that is not a failure of the upstream.
     Good,
-    /// The upstream failed, broke off the response or did not answer.
+    /// The upstream failed, interrupted the response or did not answer.
     Failed,
     /// The upstream reported that it has not run the request.
     Shed,
@@ -82,8 +82,8 @@
     }
 
     /// Records that a request has ended.
-    pub fn end(&mut self, now_ms: Millis, flight: InFlightId, verdict: Verdict) {
-        let position = self.in_flight.iter().position(|(id, _)| *id == flight.0);
+    pub fn end(&mut self, now_ms: Millis, request: InFlightId, verdict: Verdict) {
+        let position = self.in_flight.iter().position(|(id, _)| *id == request.0);
         let Some(position) = position else { return };
         self.in_flight.swap_remove(position);
         if let Some(report) = &mut self.report {
