--- a/crates/policy/tests/backpressure.rs
+++ b/crates/policy/tests/backpressure.rs
@@ -59,9 +59,9 @@
     assert!(backpressure.is_blocked(600_000));
 }
 
-fn backoff(rest_ms: u64) -> Signals {
+fn backoff(backoff_ms: u64) -> Signals {
     Signals {
-        backoff_ms: Some(rest_ms),
+        backoff_ms: Some(backoff_ms),
         ..Signals::default()
     }
 }
@@ -81,8 +81,8 @@
 #[case::one_without_end(Backoffs { responses: &[(1_000, u64::MAX)], ends_ms: u64::MAX })]
 fn the_longest_backoff_wins(#[case] case: Backoffs) {
     let mut backpressure = Backpressure::default();
-    for (now_ms, rest_ms) in case.responses {
-        backpressure.update(*now_ms, backoff(*rest_ms));
+    for (now_ms, backoff_ms) in case.responses {
+        backpressure.update(*now_ms, backoff(*backoff_ms));
     }
     backpressure.update(1_200, Signals::default());
     assert!(backpressure.is_blocked(case.ends_ms - 1));
--- a/crates/policy/tests/broadcast.rs
+++ b/crates/policy/tests/broadcast.rs
@@ -48,7 +48,7 @@
             "{relay:?} receives the update twice"
         );
         assert!(
-            rest.iter().all(|one| one.0 == relay.0),
+            rest.iter().all(|address| address.0 == relay.0),
             "a second message to another data centre"
         );
         let onward = split_branch(rest);
--- a/crates/policy/tests/cell/answer_lengths.rs
+++ b/crates/policy/tests/cell/answer_lengths.rs
@@ -71,11 +71,11 @@
 fn room_follows_observed_lengths(#[case] observed: Observed) {
     let mut cell = cell(&[engine(1, LOCAL, false), engine(2, LOCAL, true)]);
     observe(&mut cell, &observed);
-    let asked = (1_000..1_024).map(|run| PlacementRequest {
+    let requests = (1_000..1_024).map(|run| PlacementRequest {
         max_wait_ms: 60_000,
         ..request(run, 1_500, LIMIT_TOKENS, HINT_TOKENS)
     });
-    let placed = asked.map(|request| cell.place(2_000, &request));
+    let placed = requests.map(|request| cell.place(2_000, &request));
     let placed_count = placed.filter_map(engine_of).count();
     assert!(observed.admitted.contains(&placed_count), "{placed_count}");
 }
--- a/crates/policy/tests/cell/evacuated_and_cold.rs
+++ b/crates/policy/tests/cell/evacuated_and_cold.rs
@@ -71,7 +71,10 @@
     }
     for from_ms in &started_ms {
         let second = *from_ms..*from_ms + 1_000;
-        let starts = started_ms.iter().filter(|one| second.contains(one)).count();
+        let starts = started_ms
+            .iter()
+            .filter(|start_ms| second.contains(start_ms))
+            .count();
         assert!(starts <= 3, "{starts} from {from_ms} ms on");
     }
     assert!(started_ms.len() >= 8);
--- a/crates/policy/tests/cell/fair_shares.rs
+++ b/crates/policy/tests/cell/fair_shares.rs
@@ -32,8 +32,8 @@
     before: (u64, u64),
     flood: PlacementRequest,
     other: PlacementRequest,
-    /// The organisation whose request gets the room that becomes free; the flooding one asked
-    /// first.
+    /// The organisation whose request gets the room that becomes free; the flooding one sent
+    /// its request first.
     expected: u64,
 }
 
@@ -98,8 +98,8 @@
     let mut cell = cell(&[engine(1, LOCAL, false)]);
     let mut placed = 0;
     for run in 0..20 {
-        let asked = of(FLOODING, request(run, 3_000, 500, 400));
-        placed += u32::from(engine_of(cell.place(1_000 + run * 400, &asked)).is_some());
+        let placement_request = of(FLOODING, request(run, 3_000, 500, 400));
+        placed += u32::from(engine_of(cell.place(1_000 + run * 400, &placement_request)).is_some());
     }
     assert!(placed >= 7, "{placed}");
     cell.restate(20_000, HOST, &[]);
@@ -114,10 +114,10 @@
 fn new_home_learns_holdings_from_statements() {
     let hosts = [HOST, HostKey(8)];
     let mut cell = cell(&[engine(1, LOCAL, false)]);
-    let (near, far): (Vec<RunStatement>, Vec<RunStatement>) = running(8, 0)
+    let (even, odd): (Vec<RunStatement>, Vec<RunStatement>) = running(8, 0)
         .into_iter()
-        .partition(|one| one.run.0 % 2 == 0);
-    for (host, runs) in hosts.into_iter().zip([near, far]) {
+        .partition(|statement| statement.run.0 % 2 == 0);
+    for (host, runs) in hosts.into_iter().zip([even, odd]) {
         cell.restate(0, host, &runs);
     }
     let flood = of(FLOODING, request(90, 3_000, 900, 100));
--- a/crates/policy/tests/cell/migration.rs
+++ b/crates/policy/tests/cell/migration.rs
@@ -25,7 +25,7 @@
 
 /// Guards against the wrong order of migrations after an engine gives notice. Generations that
 /// would be lost are migrated, the largest loss first. One that ends in time by itself stays, and
-/// one that has not started yet cannot be moved.
+/// one that has not started yet cannot be migrated.
 #[test]
 fn migrates_what_would_be_lost() {
     let mut cell = cell(&[engine(1, LOCAL, false), engine(2, LOCAL, false)]);
@@ -46,7 +46,7 @@
     assert_eq!(cell.leaving_engines(), [UpstreamKey(1)]);
     assert_eq!(migrate_one_by_one(&mut cell, 20, 1), [1, 2]);
     let later = migrate_one_by_one(&mut cell, 900, 1);
-    assert_eq!(later, [4], "its prompt has been read by now");
+    assert_eq!(later, [4], "its prompt is prefilled by now");
 }
 
 /// Selects destinations for the generations of a leaving engine: local engines first, then the one
@@ -214,7 +214,7 @@
     };
     let mut cell = cell(&three(false));
     cell.restate(0, HOST, &[statement(1, 1, 100, 900)]);
-    let asked = |run| PlacementRequest {
+    let placement_request = |run| PlacementRequest {
         can_back_up: true,
         ..request(run, 3_000, 900, 100)
     };
@@ -222,13 +222,13 @@
         Placement::On { backup, .. } => backup.is_some(),
         other => panic!("{other:?}"),
     };
-    assert!(has_backup(cell.place(10, &asked(10))));
+    assert!(has_backup(cell.place(10, &placement_request(10))));
     cell.set_engines(20, &three(true));
-    assert!(!has_backup(cell.place(30, &asked(11))));
+    assert!(!has_backup(cell.place(30, &placement_request(11))));
     for run in [1, 10, 11] {
         cell.end(35, RunKey(run), RunEnd::default());
     }
-    assert!(has_backup(cell.place(40, &asked(12))));
+    assert!(has_backup(cell.place(40, &placement_request(12))));
 }
 
 /// Guards against a migration that shares a link with a new backup copy. An engine gives notice
@@ -239,11 +239,11 @@
     let four = |leaves| [1, 2, 3, 4].map(|key| engine(key, LOCAL, leaves && key == 1));
     let mut cell = cell(&four(false));
     cell.restate(0, HOST, &[statement(1, 1, 100, 900)]);
-    let asked = PlacementRequest {
+    let placement_request = PlacementRequest {
         can_back_up: true,
         ..request(10, 3_000, 900, 100)
     };
-    let placed = cell.place(10, &asked);
+    let placed = cell.place(10, &placement_request);
     let Placement::On {
         engine: first,
         backup: Some(copy),
--- a/crates/policy/tests/cell/placement.rs
+++ b/crates/policy/tests/cell/placement.rs
@@ -103,11 +103,11 @@
         })
         .collect();
     cell.restate(0, HOST, &held);
-    let asked = PlacementRequest {
+    let placement_request = PlacementRequest {
         can_back_up: true,
         ..request(999, 3_000, 900, 800)
     };
-    let Placement::On { engine, backup, .. } = cell.place(10, &asked) else {
+    let Placement::On { engine, backup, .. } = cell.place(10, &placement_request) else {
         panic!("no engine for the generation itself");
     };
     assert_eq!(backup.is_some(), expected);
--- a/crates/policy/tests/cell/prefill_rate.rs
+++ b/crates/policy/tests/cell/prefill_rate.rs
@@ -16,10 +16,10 @@
     for pair in 0..400 {
         let mut waits_ms = [0; 2];
         for (place, wait_ms) in waits_ms.iter_mut().enumerate() {
-            let mut asked = request(2 * pair + place as u64, PROMPT_TOKENS, 16, 8);
+            let mut placement_request = request(2 * pair + place as u64, PROMPT_TOKENS, 16, 8);
             // Allows an engine of any speed.
-            asked.max_wait_ms = 60_000;
-            if let Placement::On { seen, .. } = cell.place(now_ms, &asked) {
+            placement_request.max_wait_ms = 60_000;
+            if let Placement::On { seen, .. } = cell.place(now_ms, &placement_request) {
                 *wait_ms = seen.prefill_wait_ms;
             }
         }
--- a/crates/policy/tests/cell/queueing.rs
+++ b/crates/policy/tests/cell/queueing.rs
@@ -13,9 +13,9 @@
 fn large_prompt_is_eventually_placed() {
     let mut cell = cell(&[engine(1, LOCAL, false), engine(2, REMOTE, false)]);
     let running = |left: u64| -> Vec<RunStatement> {
-        let near = (0..left).map(|run| statement(run, 1, 400, 500));
-        let far = (50..58).map(|run| statement(run, 2, 400, 500));
-        near.chain(far).collect()
+        let local = (0..left).map(|run| statement(run, 1, 400, 500));
+        let remote = (50..58).map(|run| statement(run, 2, 400, 500));
+        local.chain(remote).collect()
     };
     cell.restate(0, HOST, &running(7));
     let large = request(90, 6_000, 900, 100);
@@ -176,7 +176,7 @@
 }
 
 /// Guards against callers that are refused together and return together. Each gets its own retry
-/// delay of a fifth to a third of its remaining time, when most overloads are over.
+/// delay of a fifth to a third of its remaining time, after which most overloads are over.
 #[rstest]
 #[case::long_timeout(Refusal { retry_key: 0, left_ms: 38_000, after_ms: 7_600..7_601 })]
 #[case::long_timeout_late_in_range(Refusal { retry_key: 999, left_ms: 38_000, after_ms: 12_000..12_161 })]
@@ -214,17 +214,17 @@
 #[case::in_time(FinalAttempt { prompt_tokens: 2_000, max_wait_ms: 800, running: 7, starts: true })]
 #[case::too_late(FinalAttempt { prompt_tokens: 2_000, max_wait_ms: 200, running: 7, starts: false })]
 #[case::too_late_with_plenty(FinalAttempt { prompt_tokens: 2_000, max_wait_ms: 200, running: 3, starts: true })]
-#[case::too_long_to_read(FinalAttempt { prompt_tokens: 4_000, max_wait_ms: 400, running: 6, starts: false })]
+#[case::too_long_to_prefill(FinalAttempt { prompt_tokens: 4_000, max_wait_ms: 400, running: 6, starts: false })]
 fn late_requests_need_plenty_of_room(#[case] case: FinalAttempt) {
     let mut cell = cell(&[engine(1, LOCAL, false)]);
     let runs = 50..50 + case.running;
     let running: Vec<RunStatement> = runs.map(|run| statement(run, 1, 400, 500)).collect();
     cell.restate(0, HOST, &running);
-    let asked = PlacementRequest {
+    let placement_request = PlacementRequest {
         max_wait_ms: case.max_wait_ms,
         is_final_attempt: true,
         ..request(1, case.prompt_tokens, 900, 100)
     };
-    let placed = cell.place(2_000, &asked);
+    let placed = cell.place(2_000, &placement_request);
     assert_eq!(engine_of(placed).is_some(), case.starts, "{placed:?}");
 }
--- a/crates/policy/tests/cell_partitioning.rs
+++ b/crates/policy/tests/cell_partitioning.rs
@@ -55,6 +55,6 @@
     assert!(after.has_same_cells(&before));
     let (data_centre, _) = after
         .partition_for_generation("near", 12_345)
-        .expect("a part");
+        .expect("a partition");
     assert_eq!(data_centre, "far");
 }
--- a/crates/policy/tests/circuit.rs
+++ b/crates/policy/tests/circuit.rs
@@ -362,7 +362,7 @@
 }
 
 /// Guards against decisions of homes that are lost, or that return, when a store is restored from a
-/// copy.
+/// backup.
 #[rstest]
 #[case::lost(Repair { state: CircuitState::Open, openings: 1, stored: None, writes: true, removes: false })]
 #[case::stored(Repair { state: CircuitState::Open, openings: 1, stored: Some(1), writes: false, removes: false })]
--- a/crates/policy/tests/cold.rs
+++ b/crates/policy/tests/cold.rs
@@ -34,7 +34,13 @@
     }
     for from_ms in &at_ms {
         let second = *from_ms..*from_ms + 1_000;
-        assert!(at_ms.iter().filter(|one| second.contains(one)).count() <= 8);
+        assert!(
+            at_ms
+                .iter()
+                .filter(|start_ms| second.contains(start_ms))
+                .count()
+                <= 8
+        );
     }
     assert!(at_ms.len() >= 36, "{} in five seconds", at_ms.len());
 }
--- a/crates/policy/tests/evacuations.rs
+++ b/crates/policy/tests/evacuations.rs
@@ -78,8 +78,8 @@
 })]
 fn later_states_replace_earlier_ones(#[case] case: Case) {
     let mut evacuations = Evacuations::default();
-    for one in case.updates {
-        match one {
+    for update in case.updates {
+        match update {
             StoreList(revision, all) => evacuations.replace(0, revision, names(all)),
             StoreChanges(revision, changes) => evacuations.apply(0, revision, changes),
             PeerState(revision, all) => {
--- a/crates/policy/tests/home.rs
+++ b/crates/policy/tests/home.rs
@@ -80,9 +80,9 @@
 }
 
 /// Another host also acts as the home and fills the engine. The engine reports more memory than
-/// this home's permits hold, and the excess is kept free.
+/// this home's permits hold, and the excess is not granted.
 #[test]
-fn unaccounted_memory_is_kept_free() {
+fn unaccounted_memory_is_not_granted() {
     let (mut home, lengths) = (home(), Lengths::new());
     home.request_permit(1_000, request(1, 1, 100), &lengths);
     step(&mut home, 1_000);
@@ -201,21 +201,25 @@
         requests_per_s: 10.0,
         concurrent: 2,
     };
-    let (one, host) = (OrganisationKey(1), HostKey(1));
-    assert!(limits.acquire(1_000, one, host, bounds).is_ok());
-    assert!(limits.acquire(1_000, one, HostKey(2), bounds).is_ok());
-    let over = limits.acquire(1_100, one, host, bounds);
+    let (organisation, host) = (OrganisationKey(1), HostKey(1));
+    assert!(limits.acquire(1_000, organisation, host, bounds).is_ok());
+    assert!(
+        limits
+            .acquire(1_000, organisation, HostKey(2), bounds)
+            .is_ok()
+    );
+    let over = limits.acquire(1_100, organisation, host, bounds);
     assert!(matches!(over, Err(LimitExceeded::Concurrency { .. })));
     // The first host reports that nothing runs there; the second has died.
-    limits.set_held(4_000, one, host, 0);
-    assert!(limits.acquire(8_000, one, host, bounds).is_ok());
+    limits.set_held(4_000, organisation, host, 0);
+    assert!(limits.acquire(8_000, organisation, host, bounds).is_ok());
     let rate_limited = RequestLimits {
         requests_per_s: 1.0,
         concurrent: 100,
     };
-    let two = OrganisationKey(2);
-    assert!(limits.acquire(1_000, two, host, rate_limited).is_ok());
-    let over = limits.acquire(1_250, two, host, rate_limited);
+    let other = OrganisationKey(2);
+    assert!(limits.acquire(1_000, other, host, rate_limited).is_ok());
+    let over = limits.acquire(1_250, other, host, rate_limited);
     assert_eq!(
         over,
         Err(LimitExceeded::Rate {
--- a/crates/policy/tests/upstreams.rs
+++ b/crates/policy/tests/upstreams.rs
@@ -28,12 +28,12 @@
     let mut healthy = UpstreamStats::default();
     for (index, verdict) in case.verdicts.iter().enumerate() {
         let now_ms = 1_000 + index as u64 * 50;
-        let flight = failing.start(now_ms);
+        let request = failing.start(now_ms);
         failing.record_latency(case.latency_ms);
-        failing.end(now_ms + 40, flight, *verdict);
-        let flight = healthy.start(now_ms);
+        failing.end(now_ms + 40, request, *verdict);
+        let request = healthy.start(now_ms);
         healthy.record_latency(30);
-        healthy.end(now_ms + 30, flight, Verdict::Good);
+        healthy.end(now_ms + 30, request, Verdict::Good);
     }
     healthy.start(1_500);
     healthy.start(1_500);
--- a/crates/policy/tests/watchers.rs
+++ b/crates/policy/tests/watchers.rs
@@ -12,7 +12,7 @@
         store_unreadable: unreadable.contains(&rank),
     };
     let watches = |rank: &u64| {
-        let others = (1..=10).filter(|one| one != rank);
+        let others = (1..=10).filter(|other| other != rank);
         area.is_watcher(*rank, others.map(host))
     };
     (1..=10).rev().filter(watches).collect()
@@ -71,8 +71,8 @@
         .collect();
     let mut seen = 0;
     for (data_centres, watchers) in layout.areas {
-        for one in *data_centres {
-            let area = WatchArea::of(one, &hosts);
+        for data_centre in *data_centres {
+            let area = WatchArea::of(data_centre, &hosts);
             assert_eq!(area.data_centres, *data_centres);
             assert_eq!(area.watchers, *watchers);
             seen += 1;
