--- a/crates/cluster/src/claims.rs
+++ b/crates/cluster/src/claims.rs
@@ -92,7 +92,8 @@
 
 #[derive(Debug, Default, Serialize, Deserialize)]
 struct Fold {
-    /// Segments up to this number are in chunks, and their objects may have been deleted.
+    /// Number of the last segment that is in a chunk. Its object and those of earlier segments may
+    /// have been deleted.
     upto: u64,
     chunks: Vec<Chunk>,
 }
@@ -260,7 +261,7 @@
                     return Ok(());
                 }
                 // The segment exists already. It may be this writer's own, if the write took effect
-                // and the answer was lost. The generations in it tell which after reading it back.
+                // and the answer was lost. Reading it back shows which generations hold the claims.
                 Err(PlatformError::Conflict { .. }) => {
                     let existing = self.read_segment(number).await;
                     let Ok(Some(existing)) = existing else {
--- a/crates/cluster/src/clock.rs
+++ b/crates/cluster/src/clock.rs
@@ -1,11 +1,11 @@
-//! The clock, the only place that reads the current time.
+//! The clock: the monotonic time of the process, and the wall time.
 
 use std::time::SystemTime;
 
 use fulmarpath_policy::Millis;
 use tokio::time::Instant;
 
-/// Milliseconds since this process started; stops while tokio's time is paused.
+/// A monotonic clock in milliseconds; it stops while tokio's time is paused.
 #[derive(Debug, Clone, Copy)]
 pub struct Clock {
     start: Instant,
@@ -19,7 +19,7 @@
         }
     }
 
-    /// The current time, offset by one second so that it is never 0.
+    /// Time since the start of the clock, offset by one second so that it is never 0.
     pub fn now_ms(&self) -> Millis {
         self.start.elapsed().as_millis() as Millis + 1_000
     }
--- a/crates/cluster/src/configuration.rs
+++ b/crates/cluster/src/configuration.rs
@@ -55,7 +55,7 @@
 pub struct HistoryEntry {
     /// Revision that the change created.
     pub revision: u64,
-    /// Id of the change, by which its writer finds it after a lost answer.
+    /// Id of the change, by which its writer finds it if the answer to the update was lost.
     pub change: String,
     /// Kind of the change.
     pub kind: ChangeKind,
@@ -189,7 +189,9 @@
     pub(crate) fn new(root: Root, part_values: HashMap<String, Vec<u8>>) -> Option<Self> {
         let declarations = join(&root.parts, &part_values)?;
         let presets = &declarations.presets;
-        let preset = presets.iter().position(|one| one.name == root.preset)?;
+        let preset = presets
+            .iter()
+            .position(|preset| preset.name == root.preset)?;
         let mut by_key_hash = HashMap::new();
         for (index, organisation) in declarations.organisations.iter().enumerate() {
             for hash in &organisation.key_sha256 {
@@ -203,7 +205,7 @@
         let total_weight = declarations
             .organisations
             .iter()
-            .map(|one| one.weight)
+            .map(|organisation| organisation.weight)
             .sum();
         Some(Self {
             root,
--- a/crates/cluster/src/documents.rs
+++ b/crates/cluster/src/documents.rs
@@ -104,7 +104,7 @@
     pub(crate) fn versions(&self) -> Versions {
         let root = self.active.load();
         Versions {
-            root: root.as_ref().map_or(0, |held| held.root.revision),
+            root: root.as_ref().map_or(0, |active| active.root.revision),
             host_list: self.listing.load().document.version,
             ..Versions::default()
         }
--- a/crates/cluster/src/members.rs
+++ b/crates/cluster/src/members.rs
@@ -131,7 +131,7 @@
         })
     }
 
-    /// Marks a member as suspect that answered neither direct nor indirect pings.
+    /// Marks a member that answered neither direct nor indirect pings as suspect.
     pub fn suspect(&mut self, now_ms: Millis, key: HostKey) {
         let Some(record) = self.records.get(&key) else {
             return;
@@ -167,7 +167,7 @@
         }
     }
 
-    /// Marks suspects that did not refute in time as dead, and forgets members dead for 60 s.
+    /// Marks suspects that did not refute in time as dead, and removes members dead for 60 s.
     pub fn expire(&mut self, now_ms: Millis) {
         let overdue: Vec<Rumour> = self
             .records
@@ -280,7 +280,7 @@
         keys.fold(0, u64::wrapping_add)
     }
 
-    /// Members to send an indirect ping of `target` through.
+    /// Members through which to ping `target` indirectly.
     pub fn probe_relays(&self, target: HostKey, draw: u64, count: usize) -> Vec<MemberInfo> {
         let mut others: Vec<(HostKey, &MemberRecord)> = self
             .others()
--- a/crates/cluster/src/node.rs
+++ b/crates/cluster/src/node.rs
@@ -74,15 +74,15 @@
 
 /// The cluster node of one entry host.
 ///
-/// Lock order: members, loads, held, homeless permits, limits, slots, fetched, then the home
-/// tables; none is held across an await.
+/// Lock order: members, loads, held permits, homeless permits, limits, slots, fetched, then the
+/// home tables; none is held across an await.
 pub struct Node {
     pub(crate) settings: NodeSettings,
     pub(crate) clock: Clock,
     pub(crate) key: HostKey,
     pub(crate) members: Mutex<Members>,
     pub(crate) loads: Mutex<HashMap<UpstreamKey, EngineLoad>>,
-    pub(crate) held: Mutex<HashMap<PermitRequestId, Arc<HeldPermit>>>,
+    pub(crate) held_permits: Mutex<HashMap<PermitRequestId, Arc<HeldPermit>>>,
     pub(crate) homeless_permits: Mutex<HashMap<UpstreamKey, u32>>,
     pub(crate) limits: Mutex<LimitTable>,
     slots: Mutex<HashMap<OrganisationKey, u32>>,
@@ -123,7 +123,7 @@
             key: HostKey::of(&settings.host),
             members: Mutex::new(Members::new(info, incarnation)),
             loads: Mutex::default(),
-            held: Mutex::default(),
+            held_permits: Mutex::default(),
             homeless_permits: Mutex::default(),
             limits: Mutex::default(),
             slots: Mutex::default(),
@@ -376,10 +376,10 @@
     /// [`PublishError`]
     pub async fn publish(self: &Arc<Self>, change: &Change) -> Result<u64, PublishError> {
         let publisher = Publisher::new(self.object_api.clone());
-        let in_force = publisher.publish(change).await?;
-        let revision = in_force.root.revision;
+        let configuration = publisher.publish(change).await?;
+        let revision = configuration.root.revision;
         self.documents.record_contact(self.clock.now_ms());
-        self.adopt_root(None, in_force, true);
+        self.adopt_root(None, configuration, true);
         Ok(revision)
     }
 
--- a/crates/cluster/src/orders.rs
+++ b/crates/cluster/src/orders.rs
@@ -123,8 +123,8 @@
             version: desired.version.clone(),
         },
     };
-    let bound = Duration::from_millis(ORDER_TIMEOUT_MS);
-    let answer = tokio::time::timeout(bound, desired.client.order(&order)).await;
+    let time_limit = Duration::from_millis(ORDER_TIMEOUT_MS);
+    let answer = tokio::time::timeout(time_limit, desired.client.order(&order)).await;
     match answer {
         Ok(Ok(true)) => {
             info!(
--- a/crates/cluster/src/permits.rs
+++ b/crates/cluster/src/permits.rs
@@ -1,5 +1,5 @@
-//! Permits as an entry host acquires them: it requests one from up to two homes, takes the first
-//! grant, and reports progress.
+//! Permits as an entry host acquires them: it requests one for up to two engines at their homes,
+//! and takes the first grant.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, AtomicU32, Ordering};
@@ -22,7 +22,7 @@
 use crate::homes::EngineStats;
 use crate::node::Node;
 
-/// Delay without a grant after which a hedged request goes to the second home.
+/// Delay without a grant after which a hedged request goes to the second engine's home.
 const HEDGE_DELAY: Duration = Duration::from_millis(10);
 const RETRY_PAUSE: Duration = Duration::from_millis(20);
 /// Homes tried for one engine: the best and the next, since hosts may disagree on who is alive.
@@ -65,7 +65,7 @@
     /// No engine of the model takes work.
     #[error("could not find a live engine of the model")]
     NoEngine,
-    /// All requested engines refused.
+    /// All engines that were tried refused.
     #[error("could not start within the time allowed")]
     Refused {
         /// Reason of the last refusal.
@@ -73,7 +73,7 @@
         /// When to retry.
         retry_after_ms: Millis,
     },
-    /// No home answers, and this host's share of starts without a home is in use.
+    /// No home answers, and this host's share of starts without a home is used up.
     #[error("could not reach the engine's home")]
     NoHome,
 }
@@ -147,7 +147,7 @@
         }
         let node = self.node.clone();
         let held = self.held.clone();
-        node.held.lock().remove(&held.engine_request.id);
+        node.held_permits.lock().remove(&held.engine_request.id);
         let Some(permit) = *held.id.lock() else {
             node.release_without_home(held.upstream);
             return;
@@ -217,7 +217,7 @@
             )
         };
         let mut first = request_from(choice.first);
-        // Most requests are granted at once; only the others add load on a second home.
+        // Most requests are granted at once; only the others add load on a second engine's home.
         let granted = match (timeout(HEDGE_DELAY, &mut first).await, choice.second) {
             (Ok(Ok(grant)), _) => Ok(grant),
             (Ok(Err(error)), None) => Err(error),
@@ -247,7 +247,7 @@
             out_tokens: AtomicU32::new(grant.engine_request.out_tokens),
             move_requested: AtomicBool::new(false),
         });
-        self.held
+        self.held_permits
             .lock()
             .insert(grant.engine_request.id, held.clone());
         Ok(Permit {
@@ -265,7 +265,7 @@
         let configuration = self.documents.active();
         let closed = configuration
             .as_ref()
-            .map(|held| held.preset().closed_data_centres.as_slice())
+            .map(|active| active.preset().closed_data_centres.as_slice())
             .unwrap_or_default();
         let loads = self.loads.lock();
         listing
--- a/crates/cluster/src/progress.rs
+++ b/crates/cluster/src/progress.rs
@@ -28,8 +28,11 @@
         loop {
             tokio::time::sleep(self.progress_period()).await;
             let running: Vec<Progress> = {
-                let held = self.held.lock();
-                held.values().filter_map(|held| held.progress()).collect()
+                let held_permits = self.held_permits.lock();
+                held_permits
+                    .values()
+                    .filter_map(|held| held.progress())
+                    .collect()
             };
             let mut by_home: HashMap<HostKey, (SocketAddr, Vec<Progress>)> = HashMap::new();
             for progress in running {
@@ -76,7 +79,7 @@
     }
 
     fn apply_move_requests(&self, moves: &[PermitId]) {
-        let held = self.held.lock();
+        let held = self.held_permits.lock();
         for permit in held.values() {
             if permit.id.lock().is_some_and(|id| moves.contains(&id)) {
                 permit.move_requested.store(true, Ordering::Relaxed);
@@ -87,7 +90,7 @@
     /// Restores at a new home a permit that an earlier home granted.
     async fn restore(&self, home: HostKey, address: SocketAddr, permit: PermitId) {
         let held = {
-            let all = self.held.lock();
+            let all = self.held_permits.lock();
             let mut all = all.values();
             all.find(|held| *held.id.lock() == Some(permit)).cloned()
         };
--- a/crates/cluster/src/publish.rs
+++ b/crates/cluster/src/publish.rs
@@ -110,7 +110,7 @@
 
     /// Makes a change; it is accepted once the update of the root takes effect.
     ///
-    /// An update whose answer is lost is searched by its id in the root's history. The update is
+    /// An update whose answer is lost is looked up by its id in the root's history. The update is
     /// conditional on the version that was read, so a retry can't apply it twice.
     ///
     /// # Errors
--- a/crates/cluster/src/server.rs
+++ b/crates/cluster/src/server.rs
@@ -63,8 +63,8 @@
     async fn document(self, _: Context, document: Document) -> Vec<u8> {
         match document {
             Document::Root => {
-                let held = self.node.documents.active();
-                held.and_then(|held| serde_json::to_vec(&held.root).ok())
+                let active = self.node.documents.active();
+                active.and_then(|active| serde_json::to_vec(&active.root).ok())
             }
             Document::HostList => serde_json::to_vec(&self.node.documents.listing().document).ok(),
         }
@@ -78,8 +78,9 @@
     }
 
     async fn part(self, _: Context, hash: String) -> Vec<u8> {
-        let held = self.node.documents.active();
-        held.and_then(|held| held.part_values.get(&hash).cloned())
+        let active = self.node.documents.active();
+        active
+            .and_then(|active| active.part_values.get(&hash).cloned())
             .unwrap_or_default()
     }
 
@@ -156,7 +157,7 @@
         from: u32,
     ) -> FetchAnswer {
         match self.node.generations.get() {
-            Some(held) => held.fetch(organisation, &generation, from).await,
+            Some(generations) => generations.fetch(organisation, &generation, from).await,
             None => FetchAnswer::Unknown,
         }
     }
--- a/crates/cluster/src/spread.rs
+++ b/crates/cluster/src/spread.rs
@@ -96,7 +96,8 @@
         tokio::time::sleep(Duration::from_millis(wait_ms)).await;
     }
 
-    /// Adopts a document from the platform (`holder` is `None`) or a peer, and announces it.
+    /// Adopts a document from the platform (`holder` is `None`) or a peer, if it is newer. A new
+    /// root is announced; a new host list is not.
     pub(crate) async fn adopt_document(
         self: &Arc<Self>,
         holder: Option<SocketAddr>,
@@ -180,8 +181,8 @@
 
     /// Returns a part from memory, from the peer that holds the root, or from the platform.
     async fn part(&self, holder: Option<SocketAddr>, hash: &str) -> Option<Vec<u8>> {
-        if let Some(held) = self.documents.active()
-            && let Some(value) = held.part_values.get(hash)
+        if let Some(active) = self.documents.active()
+            && let Some(value) = active.part_values.get(hash)
         {
             return Some(value.clone());
         }
@@ -272,7 +273,8 @@
         true
     }
 
-    /// Fetches the documents that a peer holds in a newer version.
+    /// Fetches the documents of which a peer has a newer version, and exchanges circuits with it if
+    /// theirs differ.
     pub(crate) async fn compare(self: &Arc<Self>, peer: SocketAddr, theirs: Versions) {
         if !self.has(Safeguard::Spread) {
             return;
--- a/crates/cluster/tests/members.rs
+++ b/crates/cluster/tests/members.rs
@@ -258,7 +258,11 @@
         let sample = members.sample(&joining, draw, 3);
         assert_eq!(sample[0].member.name, "zrh-b/1");
         assert_eq!(sample.len(), 3);
-        assert!(sample.iter().all(|one| one.state == MemberState::Alive));
+        assert!(
+            sample
+                .iter()
+                .all(|rumour| rumour.state == MemberState::Alive)
+        );
     }
 }
 
@@ -275,7 +279,10 @@
     let joining = info_at("zrh-a/again", 9);
     for draw in 0..20 {
         let sample = members.sample(&joining, draw, 3);
-        let names: Vec<&str> = sample.iter().map(|one| one.member.name.as_str()).collect();
+        let names: Vec<&str> = sample
+            .iter()
+            .map(|rumour| rumour.member.name.as_str())
+            .collect();
         assert_eq!(names, ["zrh-a/me"]);
     }
 }
--- a/crates/entry/src/attach.rs
+++ b/crates/entry/src/attach.rs
@@ -25,7 +25,7 @@
 /// Whether a generation ran, according to its holder.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum RunStatus {
-    /// It runs, has run, or its holder could not be asked.
+    /// It runs, has run, or its holder could not be reached.
     MayHaveRun,
     /// The host that holds it states that it never ran it and never will.
     NeverRan,
--- a/crates/entry/src/crash.rs
+++ b/crates/entry/src/crash.rs
@@ -12,10 +12,10 @@
 use crate::driver::Driver;
 use crate::outcome::{End, NotRun, NotRunReason, Unsent};
 
-/// Time limit of the probe whether an engine is still running.
+/// Timeout of the probe that checks whether an engine is still running.
 const PROBE_TIMEOUT: Duration = Duration::from_millis(250);
-/// Engine crashes after which a generation is abandoned. Without a limit, its host would send it to
-/// every engine in turn, and each would crash with everything that runs there.
+/// Engine crashes after which a generation is not continued. Without a limit, its host would send
+/// it to every engine in turn, and each would crash with everything that runs there.
 const MAX_CRASHED_ENGINES: u32 = 3;
 /// Wait before the last attempt, for the homes' decision on quarantine, which is made some 400 ms
 /// after the crash reports. The delay is acceptable to a caller whose response has not begun.
--- a/crates/entry/src/driver.rs
+++ b/crates/entry/src/driver.rs
@@ -18,7 +18,7 @@
 use crate::relay::RelayOutcome;
 use crate::trace::RequestTrace;
 
-/// How long a generation that was sent to an engine seeks another one after a failure.
+/// How long a generation that was sent to an engine retries to get a permit after a failure.
 const RECOVERY_TIMEOUT_MS: Millis = 60_000;
 const RECOVERY_RETRY_PAUSE: Duration = Duration::from_millis(200);
 const RETRY_RATIO: f32 = 0.1;
@@ -299,7 +299,7 @@
     }
 
     /// Resolves once the caller has abandoned the generation. A keyed generation is never
-    /// abandoned, since a repeat of its key may still ask for it.
+    /// abandoned, since a repeated submission with its key may still request it.
     pub(crate) async fn caller_left(&self) {
         const POLL_PERIOD: Duration = Duration::from_millis(250);
         if self.job.generation.is_keyed() {
--- a/crates/entry/src/generation.rs
+++ b/crates/entry/src/generation.rs
@@ -89,8 +89,8 @@
     /// Appends the token at `index`.
     ///
     /// # Panics
-    /// If `index` isn't the next one, or the generation has ended: a token would reach its caller
-    /// twice, out of order or not at all.
+    /// If `index` isn't the next one, or the generation has ended: otherwise a token would reach
+    /// its caller twice, out of order or not at all.
     pub(crate) fn push(&self, index: u32, text: &str) {
         {
             let mut buffer = self.buffer.lock();
--- a/crates/entry/src/identity.rs
+++ b/crates/entry/src/identity.rs
@@ -1,7 +1,8 @@
 //! Names of generations: the host that holds the generation, its organisation and a unique number.
 //!
 //! Engines know no organisations. With the organisation in the name, generations of different
-//! organisations never share a name, so an engine can't return one organisation's to another.
+//! organisations never share a name, so an engine can't return one organisation's generation to
+//! another.
 
 use fulmarpath_policy::{HostKey, OrganisationKey};
 use uuid::Uuid;
--- a/crates/entry/src/outcome.rs
+++ b/crates/entry/src/outcome.rs
@@ -7,8 +7,9 @@
 /// Proof that nothing of a request has been sent to any upstream.
 ///
 /// A request starts with one, and the first dispatch consumes it. A caller that gets "not run"
-/// while an engine runs the request would submit it again and get two findings under one reference.
-/// Since [`NotRun`] can't be built without this proof, no code path can report that wrongly.
+/// while an engine runs the request would submit it again and get two different answers to one
+/// request. Since [`NotRun`] can't be built without this proof, no code path can report that
+/// wrongly.
 #[derive(Debug)]
 pub struct Unsent(());
 
--- a/crates/entry/src/plain.rs
+++ b/crates/entry/src/plain.rs
@@ -18,7 +18,7 @@
 use crate::problem::Problem;
 use crate::server::Entry;
 
-/// Instances tried if none was reached, or for a call that may be repeated.
+/// Limit on the instances tried when none was reached, or for a call that may be repeated.
 const MAX_ATTEMPTS: usize = 3;
 
 /// A caller's call to a plain service.
--- a/crates/entry/src/request.rs
+++ b/crates/entry/src/request.rs
@@ -7,7 +7,7 @@
 
 /// Bytes of text counted as one token, as an estimate without a tokenizer.
 const BYTES_PER_TOKEN: usize = 4;
-/// Bytes of a prompt's beginning that identify the prefix that engines cache in common.
+/// Leading bytes of a prompt that identify its prefix, whose KV cache prompts can share.
 const PREFIX_BYTES: usize = 1_024;
 
 /// The API format of a request and its response.
--- a/crates/entry/src/server.rs
+++ b/crates/entry/src/server.rs
@@ -149,7 +149,7 @@
     /// Shuts down gracefully: becomes unready, announces to its peers that it leaves, accepts no
     /// new requests and waits for the running ones.
     ///
-    /// The load balancer and the peers are informed while connections are still accepted, so that
+    /// The load balancer and the peers are notified while connections are still accepted, so that
     /// no request is refused a connection. Generations that still run after `drain_timeout`, or
     /// once `force` resolves, are interrupted and counted.
     pub async fn stop(self, force: impl Future<Output = ()>) -> Stopped {
--- a/crates/wire/src/gateway.rs
+++ b/crates/wire/src/gateway.rs
@@ -84,7 +84,8 @@
     pub age_ms: Millis,
 }
 
-/// Asks for a start at a throttled upstream, and says why the host throttles it.
+/// A request for permission to start a request at a throttled upstream, with the reason why the
+/// host throttles it.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Serialize, Deserialize)]
 pub struct StartRequest {
     /// Whether the upstream is cold.
@@ -93,7 +94,7 @@
     pub limit: Option<AdvertisedLimit>,
 }
 
-/// The answer to a request for a start at a throttled upstream.
+/// The answer to a [`StartRequest`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum StartAnswer {
     /// The request may start at once.
@@ -126,7 +127,8 @@
     async fn place(cell: CellKey, request: PlacementRequest) -> Option<Placement>;
     /// Reports that a generation has ended.
     async fn ended(cell: CellKey, run: RunKey, end: RunEnd);
-    /// States all generations that the sender relays; those it named before and omits have ended.
+    /// States all generations of a cell that the sender relays; those in its previous statement
+    /// that this one lacks have ended.
     async fn restate(relayed: RelayedRuns);
     /// Reports to the home of a cell that an engine may be failing, with the outcome of what the
     /// sender had sent there.
--- a/crates/wire/src/message.rs
+++ b/crates/wire/src/message.rs
@@ -32,7 +32,7 @@
     pub address: SocketAddr,
 }
 
-/// The state of a member, passed on between hosts.
+/// The state of a member, gossiped between hosts.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Rumour {
     /// The member.
