--- a/crates/bench/tests/soak.rs
+++ b/crates/bench/tests/soak.rs
@@ -153,3 +153,30 @@
     assert!(!passed, "{text}");
     assert_eq!(verdict[case.violation], 1, "{text}");
 }
+
+/// Guards against a host that crashes on its own and is not reported: the soak takes a child process
+/// that it has not stopped for one that still runs, and never logs that it exited.
+///
+/// The host's program is killed 5 s after its start by a script in its place, and no fault is
+/// injected.
+#[test]
+fn a_host_that_exits_on_its_own_is_reported() {
+    let script = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join("short-lived-host");
+    let text = format!(
+        "#!/bin/sh\nexec timeout -s KILL 5 {} \"$@\"\n",
+        binary().display()
+    );
+    std::fs::write(&script, text).expect("write the script");
+    let executable = std::os::unix::fs::PermissionsExt::from_mode(0o755);
+    std::fs::set_permissions(&script, executable).expect("make the script executable");
+    let output = Command::new(env!("CARGO_BIN_EXE_fulmarpath-bench"))
+        .args(["soak", "--seed", "7411", "--seeds", "1", "--hosts", "1"])
+        .args(["--callers", "2", "--faults", "0", "--binary"])
+        .arg(&script)
+        .output()
+        .expect("run fulmarpath-bench");
+    let [text, log] = [output.stdout, output.stderr].map(|bytes| String::from_utf8(bytes).unwrap());
+    assert!(text.contains("\"not_served_again\":1"), "{text}{log}");
+    let line = "host-0 exited without being stopped";
+    assert!(log.contains(line) || text.contains(line), "{text}{log}");
+}
