--- a/crates/gateway/src/backpressure.rs
+++ b/crates/gateway/src/backpressure.rs
@@ -118,9 +118,9 @@
     pub(crate) fn available_at_ms(&self, now_ms: Millis, service: &str) -> Option<Millis> {
         let table = self.table.lock();
         let keys = table.by_service.get(service)?;
-        let open = keys.iter().map(|key| &table.arena[*key]);
-        let open = open.filter(|instance| table.takes_work(instance));
-        let first_ms = open
+        let instances = keys.iter().map(|key| &table.arena[*key]);
+        let accepting = instances.filter(|instance| table.takes_work(instance));
+        let first_ms = accepting
             .map(|instance| table.available_at_ms(instance.upstream))
             .min()?;
         (first_ms > now_ms).then_some(first_ms)
--- a/crates/gateway/src/cells.rs
+++ b/crates/gateway/src/cells.rs
@@ -221,7 +221,7 @@
         let tables = self.tables.lock();
         let all = tables.iter().flat_map(|(cell, table)| {
             let engines = table.cell.engines();
-            engines.map(|(engine, is_gone)| (*cell, engine, is_gone))
+            engines.map(|(engine, is_unreachable)| (*cell, engine, is_unreachable))
         });
         all.collect()
     }
--- a/crates/gateway/src/forward.rs
+++ b/crates/gateway/src/forward.rs
@@ -24,7 +24,7 @@
 
 /// Maximum number of dispatches of one request that were not run, in addition to the attempts that
 /// the route allows. Each costs a round trip; after three the service is full or gone.
-const MAX_UNRUN_DISPATCHES: u32 = 3;
+const MAX_NOT_RUN_DISPATCHES: u32 = 3;
 /// Fraction of the route's target after which an idempotent request is retried on another upstream:
 /// an upstream that hangs returns no error, and the remaining time suffices for another one.
 const ATTEMPT_FRACTION: f32 = 0.6;
@@ -106,8 +106,8 @@
     ) -> Result<CompleteAnswer, Problem> {
         let mut tried = Vec::new();
         let mut runs = 0;
-        let mut unrun = 0;
-        let mut failed_answer = None;
+        let mut not_run_count = 0;
+        let mut failed_response = None;
         let mut is_admitted = false;
         let mut problem = Problem::NoUpstream;
         loop {
@@ -148,7 +148,7 @@
             let outcome = self.try_once(inbound, tracker, chosen, until_ms).await;
             let failure = match outcome {
                 Ok(complete) if complete.status.is_server_error() && may_run_again => {
-                    failed_answer = Some(complete);
+                    failed_response = Some(complete);
                     runs += 1;
                     is_admitted = false;
                     continue;
@@ -157,9 +157,9 @@
                 Err(failure) => failure,
             };
             if failure.is_not_run() {
-                unrun += 1;
+                not_run_count += 1;
                 problem = failure.problem();
-                if unrun >= MAX_UNRUN_DISPATCHES {
+                if not_run_count >= MAX_NOT_RUN_DISPATCHES {
                     break;
                 }
                 continue;
@@ -171,7 +171,7 @@
                 break;
             }
         }
-        match failed_answer {
+        match failed_response {
             Some(complete) => Ok(complete),
             // The response must never claim that a request has not run if it may have run.
             None if runs > 0 && problem.guarantees_not_run() => Err(Problem::Broken),
--- a/crates/gateway/src/homes.rs
+++ b/crates/gateway/src/homes.rs
@@ -167,13 +167,13 @@
         let call = |client: GatewayPeerClient, context| async move {
             client.restate(context, relayed_runs).await
         };
-        let stated = self.fleet.peers.call(member.address, call).await;
+        let sent = self.fleet.peers.call(member.address, call).await;
         let mut unreachable_homes = self.cell_duties.unreachable_homes.lock();
-        let changed = match stated {
+        let changed = match sent {
             Ok(()) => unreachable_homes.remove(&cell),
             Err(_) => unreachable_homes.insert(cell),
         };
-        if changed && stated.is_err() {
+        if changed && sent.is_err() {
             warn!(
                 "cells: {} is home of a cell and does not answer",
                 member.name
--- a/crates/gateway/src/instances.rs
+++ b/crates/gateway/src/instances.rs
@@ -102,12 +102,12 @@
         let mut table = self.table.lock();
         let keys = table.by_service.get(service).map_or(&[][..], Vec::as_slice);
         let keys = keys.iter().filter(|key| !excluded.contains(key));
-        let open = keys.filter(|key| table.takes_work(&table.arena[**key]));
+        let accepting = keys.filter(|key| table.takes_work(&table.arena[**key]));
         let available_at_ms = |key: &InstanceKey| table.available_at_ms(table.arena[*key].upstream);
-        let first_available_ms = open.clone().map(available_at_ms).min();
-        let open = open.filter(|key| available_at_ms(key) <= now_ms);
+        let first_available_ms = accepting.clone().map(available_at_ms).min();
+        let accepting = accepting.filter(|key| available_at_ms(key) <= now_ms);
         let (cold, warm): (Vec<InstanceKey>, Vec<InstanceKey>) =
-            open.partition(|key| table.arena[**key].cold(now_ms).is_some());
+            accepting.partition(|key| table.arena[**key].cold(now_ms).is_some());
         let choices: Vec<Choice<InstanceKey>> = warm
             .into_iter()
             .map(|key| (key, &table.arena[key]))
--- a/crates/gateway/src/presence_log.rs
+++ b/crates/gateway/src/presence_log.rs
@@ -72,9 +72,9 @@
     }
 }
 
-fn names<'a>(these: &'a PresentHosts, without: &PresentHosts) -> Vec<&'a str> {
-    let those = these.iter().filter(|(key, _)| !without.contains_key(key));
-    those.map(|(_, name)| name.as_str()).collect()
+fn names<'a>(hosts: &'a PresentHosts, excluded: &PresentHosts) -> Vec<&'a str> {
+    let remaining = hosts.iter().filter(|(key, _)| !excluded.contains_key(key));
+    remaining.map(|(_, name)| name.as_str()).collect()
 }
 
 fn list(names: &[&str]) -> String {
--- a/crates/gateway/src/probe.rs
+++ b/crates/gateway/src/probe.rs
@@ -132,8 +132,8 @@
         loop {
             sleep(PROBE_ROUND_PERIOD).await;
             let is_uncertain = self.roster.lock().is_uncertain(self.clock.now_ms());
-            for (cell, engine, is_gone) in self.cells.engines() {
-                if (is_uncertain || is_gone) && self.is_home(cell) {
+            for (cell, engine, is_unreachable) in self.cells.engines() {
+                if (is_uncertain || is_unreachable) && self.is_home(cell) {
                     tokio::spawn(self.clone().probe_engine(cell, engine));
                 }
             }
--- a/crates/gateway/src/roster.rs
+++ b/crates/gateway/src/roster.rs
@@ -294,8 +294,8 @@
         true
     }
 
-    fn mark_missing(&mut self, now_ms: Millis, lapsed: &[String]) {
-        for name in lapsed {
+    fn mark_missing(&mut self, now_ms: Millis, names: &[String]) {
+        for name in names {
             if let Some(entry) = self.entries.get_mut(name) {
                 entry.is_missing = true;
                 self.grace_until_ms = self.grace_until_ms.max(now_ms + REREGISTRATION_GRACE_MS);
