--- a/crates/gateway/src/homes.rs
+++ b/crates/gateway/src/homes.rs
@@ -77,7 +77,7 @@
         }
         let placement = self.place_locally(cell, request);
         // A cell's home counts its starts at a cold engine; a host that places in its stead has to
-        // ask.
+        // request each start from the engine's home.
         if let Placement::On { engine, .. } = placement
             && !self.is_home(cell)
             && let Err(retry_after_ms) = self.request_start_if_cold(engine).await
@@ -137,7 +137,7 @@
         });
     }
 
-    /// States to each cell's home which generations this host relays, periodically and on request.
+    /// Reports to each cell's home which generations this host relays, periodically and on request.
     pub(crate) async fn restate_runs(self: Arc<Self>) {
         loop {
             let notified = self.cell_duties.restate_now.notified();
@@ -167,13 +167,13 @@
         let call = |client: GatewayPeerClient, context| async move {
             client.restate(context, relayed_runs).await
         };
-        let stated = self.fleet.peers.call(member.address, call).await;
+        let sent = self.fleet.peers.call(member.address, call).await;
         let mut unreachable_homes = self.cell_duties.unreachable_homes.lock();
-        let changed = match stated {
+        let changed = match sent {
             Ok(()) => unreachable_homes.remove(&cell),
             Err(_) => unreachable_homes.insert(cell),
         };
-        if changed && stated.is_err() {
+        if changed && sent.is_err() {
             warn!(
                 "cells: {} is home of a cell and does not answer",
                 member.name
