--- a/crates/bench/src/soak/deployment.rs
+++ b/crates/bench/src/soak/deployment.rs
@@ -90,8 +90,21 @@
         }
     }
 
-    pub(crate) fn is_running(&self) -> bool {
-        self.child.is_some()
+    /// Whether the process was started and has not exited, also not on its own.
+    pub(crate) fn is_running(&mut self) -> bool {
+        let Some(child) = &mut self.child else {
+            return false;
+        };
+        match child.try_wait() {
+            Ok(status) => status.is_none(),
+            Err(error) => {
+                spdlog::warn!(
+                    "soak: could not query the process of {}: {error}",
+                    self.name
+                );
+                true
+            }
+        }
     }
 }
 
--- a/crates/bench/src/soak/mod.rs
+++ b/crates/bench/src/soak/mod.rs
@@ -154,12 +154,12 @@
     for outcome in &outcomes {
         verdict.check(outcome, &starts);
     }
-    let exited = (0..deployment.hosts.len()).filter(|index| !deployment.hosts[*index].is_running());
-    for index in exited {
-        spdlog::warn!(
-            "soak: {} exited without being stopped",
-            deployment.host_name(index)
-        );
+    for index in 0..deployment.hosts.len() {
+        if deployment.hosts[index].is_running() {
+            continue;
+        }
+        let name = deployment.host_name(index);
+        spdlog::warn!("soak: {name} exited without being stopped");
     }
     if verdict.violations() == 0 {
         let _ = std::fs::remove_dir_all(&deployment.folder);
--- a/crates/bench/tests/soak.rs
+++ b/crates/bench/tests/soak.rs
@@ -157,13 +157,17 @@
 /// Guards against a host that crashes on its own and is not reported: the soak takes a child process
 /// that it has not stopped for one that still runs, and never logs that it exited.
 ///
-/// The host's program is killed 5 s after its start by a script in its place, and no fault is
-/// injected.
+/// A script in place of the host's program kills the host as soon as its log shows a caller's
+/// request, and no fault is injected.
 #[test]
 fn a_host_that_exits_on_its_own_is_reported() {
     let script = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join("short-lived-host");
+    // Callers' requests are named by the seed, 7411 in hexadecimal.
     let text = format!(
-        "#!/bin/sh\nexec timeout -s KILL 5 {} \"$@\"\n",
+        "#!/bin/sh\n\
+        (while kill -0 $$ && ! grep -qs 1cf3- \"${{2%.yaml}}.log\"; do sleep 0.1; done\n\
+        kill -KILL $$) &\n\
+        exec {} \"$@\"\n",
         binary().display()
     );
     std::fs::write(&script, text).expect("write the script");
