--- a/crates/policy/tests/cell/prefill_rate.rs
+++ b/crates/policy/tests/cell/prefill_rate.rs
@@ -57,3 +57,27 @@
         "{wait_ms} ms instead of {prefill_ms}"
     );
 }
+
+/// Guards against a home that has run for days and no longer sees the prompts queued at an engine:
+/// the time when they will be prefilled grows with the uptime, and a rounded time loses the wait.
+#[rstest]
+#[case::at_the_start(0)]
+#[case::after_a_day(1)]
+#[case::after_ten_days(10)]
+#[case::after_thirty_days(30)]
+fn prefill_queue_is_known_at_any_uptime(#[case] uptime_days: u64) {
+    let mut cell = cell(&[engine(1, LOCAL, false)]);
+    let now_ms = uptime_days * 24 * 3_600_000;
+    let mut wait_ms = 0;
+    for run in 0..6 {
+        // 700 tokens are prefilled in 100 ms.
+        let Placement::On { seen, .. } = cell.place(now_ms, &request(run, 700, 16, 8)) else {
+            panic!("request {run} is not placed");
+        };
+        wait_ms = seen.prefill_wait_ms;
+    }
+    assert!(
+        (450..=550).contains(&wait_ms),
+        "{wait_ms} ms instead of 500"
+    );
+}
--- a/crates/policy/tests/circuit.rs
+++ b/crates/policy/tests/circuit.rs
@@ -327,6 +327,15 @@
     assert!(!successes.contains(75_000, X));
 }
 
+/// Guards against an old success that clears a content of a crash: the sets are only rotated when
+/// they are used, so on a host without requests a success outlives its expiry of 60 s.
+#[test]
+fn success_expires_on_an_idle_host() {
+    let mut successes = RecentSuccesses::default();
+    successes.record(0, P);
+    assert!(!successes.contains(1_000_000, P));
+}
+
 /// Guards against a circuit that opens again for crashes it was already opened for, when another
 /// content that was on the same upstream completes.
 #[test]
