--- a/crates/policy/src/cell/cost.rs
+++ b/crates/policy/src/cell/cost.rs
@@ -7,7 +7,7 @@
 //! a deployment.
 
 use super::engine::TOKEN_MS;
-use super::forecast::Claim;
+use super::forecast::MemoryDemand;
 use super::prefill_rate::PrefillRate;
 
 /// Weight of a new request in the moving averages: about the last fifty requests count, which is
@@ -30,22 +30,22 @@
 impl AverageCost {
     /// Adds a request to the averages and returns its cost as a multiple of the average, up to
     /// [`MAX_RELATIVE_COST`].
-    pub(super) fn compare(&mut self, prefill_rate: &PrefillRate, claim: Claim) -> f32 {
-        let size_tokens = claim.held_tokens + OUTPUT_TOKEN_WEIGHT * claim.remaining_tokens;
+    pub(super) fn compare(&mut self, prefill_rate: &PrefillRate, demand: MemoryDemand) -> f32 {
+        let size_tokens = demand.held_tokens + OUTPUT_TOKEN_WEIGHT * demand.remaining_tokens;
         update_average(&mut self.size_tokens, size_tokens);
         let relative_size = size_tokens / self.size_tokens.max(1.0);
         let benefit = MIN_BENEFIT + (1.0 - MIN_BENEFIT) * relative_size;
-        let cost = held_token_ms(prefill_rate, claim) / benefit;
+        let cost = held_token_ms(prefill_rate, demand) / benefit;
         update_average(&mut self.cost, cost);
         (cost / self.cost.max(1.0)).min(MAX_RELATIVE_COST)
     }
 }
 
 /// Memory times time: the prompt during prefill, then one more token per decode step.
-fn held_token_ms(prefill_rate: &PrefillRate, claim: Claim) -> f32 {
-    let prefill_ms = prefill_rate.ms(claim.held_tokens);
-    let decode_ms = claim.remaining_tokens * TOKEN_MS;
-    (claim.held_tokens + claim.remaining_tokens / 2.0) * (prefill_ms + decode_ms)
+fn held_token_ms(prefill_rate: &PrefillRate, demand: MemoryDemand) -> f32 {
+    let prefill_ms = prefill_rate.ms(demand.held_tokens);
+    let decode_ms = demand.remaining_tokens * TOKEN_MS;
+    (demand.held_tokens + demand.remaining_tokens / 2.0) * (prefill_ms + decode_ms)
 }
 
 fn update_average(average: &mut f32, new: f32) {
--- a/crates/policy/src/cell/forecast.rs
+++ b/crates/policy/src/cell/forecast.rs
@@ -12,12 +12,12 @@
 
 /// Memory demand of a generation: the tokens it holds now and those it is expected to add.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub(super) struct Claim {
+pub(super) struct MemoryDemand {
     pub(super) held_tokens: f32,
     pub(super) remaining_tokens: f32,
 }
 
-impl Claim {
+impl MemoryDemand {
     /// Memory held `ahead_tokens` later.
     fn at(self, ahead_tokens: f32) -> f32 {
         match ahead_tokens <= self.remaining_tokens {
@@ -37,15 +37,15 @@
 }
 
 impl Load {
-    fn add(&mut self, claim: Claim) {
+    fn add(&mut self, demand: MemoryDemand) {
         for (held, ahead) in self.held_tokens.iter_mut().zip(HORIZONS_TOKENS) {
-            *held += claim.at(ahead);
+            *held += demand.at(ahead);
         }
     }
 
-    fn peak_with(&self, claim: Claim) -> f32 {
+    fn peak_with(&self, demand: MemoryDemand) -> f32 {
         let held = self.held_tokens.iter().zip(HORIZONS_TOKENS);
-        let peaks = held.map(|(held, ahead)| held + claim.at(ahead));
+        let peaks = held.map(|(held, ahead)| held + demand.at(ahead));
         peaks.fold(0.0, f32::max)
     }
 }
@@ -59,9 +59,9 @@
 
 impl Forecast {
     /// Peak share of an engine's memory that is predicted with one more generation on it.
-    pub(super) fn peak_share(&self, engine: &Engine, claim: Claim) -> f32 {
+    pub(super) fn peak_share(&self, engine: &Engine, demand: MemoryDemand) -> f32 {
         let load = self.load(engine.entry.key);
-        let peak = load.peak_with(claim) + engine.orphaned_tokens(self.now_ms);
+        let peak = load.peak_with(demand) + engine.orphaned_tokens(self.now_ms);
         peak / engine.entry.capacity.memory_tokens.max(1) as f32
     }
 
@@ -71,8 +71,8 @@
     }
 
     /// Reserves memory of an engine for a generation that takes precedence.
-    pub(super) fn reserve(&mut self, engine: UpstreamKey, claim: Claim) {
-        self.loads.entry(engine).or_default().add(claim);
+    pub(super) fn reserve(&mut self, engine: UpstreamKey, demand: MemoryDemand) {
+        self.loads.entry(engine).or_default().add(demand);
     }
 
     fn load(&self, engine: UpstreamKey) -> Load {
@@ -84,9 +84,9 @@
     pub(super) fn forecast(&self, now_ms: Millis) -> Forecast {
         let mut loads: HashMap<UpstreamKey, Load> = HashMap::new();
         for run in self.runs.values() {
-            let claim = run.claim(now_ms, &self.answer_lengths);
+            let demand = run.demand(now_ms, &self.answer_lengths);
             for engine in run.holders() {
-                loads.entry(engine).or_default().add(claim);
+                loads.entry(engine).or_default().add(demand);
             }
             loads.entry(run.engine()).or_default().running += 1;
         }
@@ -95,8 +95,8 @@
 }
 
 impl Run {
-    pub(super) fn claim(&self, now_ms: Millis, answer_lengths: &AnswerLengths) -> Claim {
-        Claim {
+    pub(super) fn demand(&self, now_ms: Millis, answer_lengths: &AnswerLengths) -> MemoryDemand {
+        MemoryDemand {
             held_tokens: self.held_tokens(now_ms),
             remaining_tokens: self.remaining_tokens(now_ms, answer_lengths),
         }
--- a/crates/policy/src/cell/migration.rs
+++ b/crates/policy/src/cell/migration.rs
@@ -145,8 +145,8 @@
         is_open: impl Fn(&Engine) -> bool,
     ) -> Option<(UpstreamKey, Millis)> {
         let source = self.engines.get(&run.engine())?;
-        let claim = run.claim(now_ms, &self.answer_lengths);
-        let local_ms = source.transfer_ms(claim.held_tokens as u32, true) + SETUP_MS;
+        let demand = run.demand(now_ms, &self.answer_lengths);
+        let local_ms = source.transfer_ms(demand.held_tokens as u32, true) + SETUP_MS;
         let max_share = match left_ms < local_ms * LATE_TRANSFERS {
             true => LATE_MAX_MEMORY_SHARE,
             false => MAX_MEMORY_SHARE,
@@ -154,11 +154,11 @@
         let open = self.engines.values().filter(|engine| is_open(engine));
         let costs = open.filter_map(|engine| {
             let is_local = engine.entry.data_centre == source.entry.data_centre;
-            let duration_ms = source.transfer_ms(claim.held_tokens as u32, is_local) + SETUP_MS;
+            let duration_ms = source.transfer_ms(demand.held_tokens as u32, is_local) + SETUP_MS;
             if duration_ms > left_ms {
                 return None;
             }
-            let share = forecast.peak_share(engine, claim);
+            let share = forecast.peak_share(engine, demand);
             let busy_ms = copy_ms.get(&engine.entry.key).copied().unwrap_or_default();
             let cost_ms = duration_ms + busy_ms + MEMORY_COST_MS * share;
             (share <= max_share).then_some((cost_ms, engine.entry.key, duration_ms as Millis))
@@ -204,7 +204,7 @@
             let copy_ms = BTreeMap::new();
             let to = self.destination(now_ms, forecast, &copy_ms, run, left_ms, is_open);
             if let Some((to, _)) = to {
-                forecast.reserve(to, run.claim(now_ms, &self.answer_lengths));
+                forecast.reserve(to, run.demand(now_ms, &self.answer_lengths));
             }
         }
     }
--- a/crates/policy/src/cell/placement.rs
+++ b/crates/policy/src/cell/placement.rs
@@ -5,7 +5,7 @@
 use super::Cell;
 use super::answer_lengths::{AnswerLengths, StatedLength};
 use super::engine::Engine;
-use super::forecast::{Claim, Forecast};
+use super::forecast::{Forecast, MemoryDemand};
 use super::prefill_rate::PrefillRate;
 use super::run::{Run, RunKey};
 use super::shares::Shares;
@@ -160,8 +160,8 @@
         }
     }
 
-    pub(super) fn claim(&self, answer_lengths: &AnswerLengths) -> Claim {
-        Claim {
+    pub(super) fn demand(&self, answer_lengths: &AnswerLengths) -> MemoryDemand {
+        MemoryDemand {
             held_tokens: self.prompt_tokens as f32,
             remaining_tokens: answer_lengths.remaining_tokens(self.stated_length(), 0.0),
         }
@@ -172,7 +172,7 @@
 #[derive(Debug)]
 pub(super) struct PlacementAttempt<'a> {
     pub(super) request: &'a PlacementRequest,
-    pub(super) claim: Claim,
+    pub(super) demand: MemoryDemand,
     pub(super) order: QueueOrder,
     /// Maximum share of an engine's memory at which it may start there.
     pub(super) full_share: f32,
@@ -182,14 +182,14 @@
     /// Places a generation and counts it, or queues it.
     pub fn place(&mut self, now_ms: Millis, request: &PlacementRequest) -> Placement {
         self.waiting.expire(now_ms);
-        let claim = request.claim(&self.answer_lengths);
+        let demand = request.demand(&self.answer_lengths);
         // If nothing is waiting, there is no order to decide.
         let shares = match self.waiting.is_empty() {
             true => Shares::default(),
-            false => self.shares(now_ms, request.organisation, claim),
+            false => self.shares(now_ms, request.organisation, demand),
         };
-        let is_over_share = shares.is_over(request.organisation, claim);
-        let attempt = self.attempt(now_ms, request, claim, is_over_share);
+        let is_over_share = shares.is_over(request.organisation, demand);
+        let attempt = self.attempt(now_ms, request, demand, is_over_share);
         let open: Vec<&Engine> = self
             .engines
             .values()
@@ -244,15 +244,15 @@
         &mut self,
         now_ms: Millis,
         request: &'a PlacementRequest,
-        claim: Claim,
+        demand: MemoryDemand,
         is_over_share: bool,
     ) -> PlacementAttempt<'a> {
         let order = self
             .waiting
-            .order(now_ms, &self.prefill_rate, request, claim, is_over_share);
+            .order(now_ms, &self.prefill_rate, request, demand, is_over_share);
         PlacementAttempt {
             request,
-            claim,
+            demand,
             order,
             full_share: request.full_share(order.is_late),
         }
@@ -275,7 +275,7 @@
             .filter(|engine| engine.entry.key != main && engine.is_open())
             .filter(|engine| !engine.is_cold(now_ms));
         let shares = others.map(|engine| {
-            let share = forecast.peak_share(engine, attempt.claim);
+            let share = forecast.peak_share(engine, attempt.demand);
             (share, engine.entry.key)
         });
         let by_share = |a: &(f32, UpstreamKey), b: &(f32, UpstreamKey)| {
@@ -316,7 +316,7 @@
     attempt: &PlacementAttempt<'_>,
 ) -> Option<f32> {
     let request = attempt.request;
-    let share = forecast.peak_share(engine, attempt.claim);
+    let share = forecast.peak_share(engine, attempt.demand);
     let running = forecast.running(engine.entry.key);
     let wait_ms = engine.prefill_wait_ms(now_ms);
     let max_wait_ms = request.max_wait_ms as f32;
@@ -347,7 +347,7 @@
     engine: &Engine,
     attempt: &PlacementAttempt<'_>,
 ) -> EngineSnapshot {
-    let share = forecast.peak_share(engine, attempt.claim);
+    let share = forecast.peak_share(engine, attempt.demand);
     EngineSnapshot {
         running: forecast.running(engine.entry.key),
         peak_permille: (share * 1_000.0) as u32,
--- a/crates/policy/src/cell/shares.rs
+++ b/crates/policy/src/cell/shares.rs
@@ -14,7 +14,7 @@
 use std::collections::HashMap;
 
 use super::Cell;
-use super::forecast::Claim;
+use super::forecast::MemoryDemand;
 use crate::key::{Millis, OrganisationKey};
 
 /// Memory held by each organisation of a cell and their fair share, in tokens.
@@ -27,14 +27,14 @@
 impl Shares {
     /// Whether an organisation would exceed its share with one more generation. An organisation
     /// that holds nothing never does, however large the generation is.
-    pub(super) fn is_over(&self, organisation: OrganisationKey, claim: Claim) -> bool {
+    pub(super) fn is_over(&self, organisation: OrganisationKey, demand: MemoryDemand) -> bool {
         let held = self.held.get(&organisation).copied().unwrap_or_default();
         self.level
-            .is_some_and(|level| held > 0.0 && held + claim.total_tokens() > level)
+            .is_some_and(|level| held > 0.0 && held + demand.total_tokens() > level)
     }
 }
 
-impl Claim {
+impl MemoryDemand {
     /// Memory held at the end of the generation.
     fn total_tokens(self) -> f32 {
         self.held_tokens + self.remaining_tokens
@@ -47,17 +47,17 @@
         &self,
         now_ms: Millis,
         requester: OrganisationKey,
-        claim: Claim,
+        demand: MemoryDemand,
     ) -> Shares {
         let mut held: HashMap<OrganisationKey, f32> = HashMap::new();
         for run in self.runs.values() {
-            let total_tokens = run.claim(now_ms, &self.answer_lengths).total_tokens();
+            let total_tokens = run.demand(now_ms, &self.answer_lengths).total_tokens();
             *held.entry(run.organisation).or_default() += total_tokens;
         }
         let mut demands = held.clone();
-        *demands.entry(requester).or_default() += claim.total_tokens();
-        for (organisation, claim) in self.waiting.claims() {
-            *demands.entry(organisation).or_default() += claim.total_tokens();
+        *demands.entry(requester).or_default() += demand.total_tokens();
+        for (organisation, demand) in self.waiting.demands() {
+            *demands.entry(organisation).or_default() += demand.total_tokens();
         }
         let open = self.engines.values().filter(|engine| engine.is_open());
         let room = open.map(|engine| engine.entry.capacity.memory_tokens as f32);
--- a/crates/policy/src/cell/waiting.rs
+++ b/crates/policy/src/cell/waiting.rs
@@ -9,7 +9,7 @@
 use std::collections::HashMap;
 
 use super::cost::AverageCost;
-use super::forecast::{Claim, Forecast};
+use super::forecast::{Forecast, MemoryDemand};
 use super::placement::{PlacementAttempt, PlacementRequest};
 use super::prefill_rate::PrefillRate;
 use super::run::RunKey;
@@ -60,7 +60,7 @@
     organisation: OrganisationKey,
     order: QueueOrder,
     since_ms: Millis,
-    claim: Claim,
+    demand: MemoryDemand,
     full_share: f32,
     excluded: Vec<UpstreamKey>,
     last_request_ms: Millis,
@@ -95,7 +95,7 @@
         now_ms: Millis,
         prefill_rate: &PrefillRate,
         request: &PlacementRequest,
-        claim: Claim,
+        demand: MemoryDemand,
         is_over_share: bool,
     ) -> QueueOrder {
         if let Some(known) = self.requests.get(&request.run) {
@@ -108,7 +108,7 @@
         let trying_ms = trying_ms.map_or(0, |refused| now_ms.saturating_sub(refused.first_ms));
         let delay_ms = request.max_wait_ms as f32
             * COST_DELAY_SHARE
-            * self.average_cost.compare(prefill_rate, claim);
+            * self.average_cost.compare(prefill_rate, demand);
         QueueOrder {
             is_late: trying_ms >= request.max_wait_ms,
             is_over_share,
@@ -131,7 +131,7 @@
             organisation: request.organisation,
             order: attempt.order,
             since_ms: self.since_ms(now_ms, request.run),
-            claim: attempt.claim,
+            demand: attempt.demand,
             full_share: attempt.full_share,
             excluded: request.excluded.clone(),
             last_request_ms: now_ms,
@@ -168,16 +168,16 @@
     }
 
     /// Memory demand and organisation of each waiting request.
-    pub(super) fn claims(&self) -> impl Iterator<Item = (OrganisationKey, Claim)> {
+    pub(super) fn demands(&self) -> impl Iterator<Item = (OrganisationKey, MemoryDemand)> {
         let all = self.requests.values();
-        all.map(|waiting| (waiting.organisation, waiting.claim))
+        all.map(|waiting| (waiting.organisation, waiting.demand))
     }
 
     /// Requests ordered before `order` by the current shares, since an organisation may have gone
     /// over or below its share after its request was queued.
     fn before(&self, order: QueueOrder, shares: &Shares) -> Vec<(QueueOrder, &Waiting)> {
         let all = self.requests.values().map(|waiting| {
-            let is_over_share = shares.is_over(waiting.organisation, waiting.claim);
+            let is_over_share = shares.is_over(waiting.organisation, waiting.demand);
             let order = QueueOrder {
                 is_over_share,
                 ..waiting.order
@@ -207,7 +207,7 @@
                 engine.is_open() && !waiting.excluded.contains(&key)
             });
             let shares = open.map(|engine| {
-                let share = forecast.peak_share(engine, waiting.claim);
+                let share = forecast.peak_share(engine, waiting.demand);
                 (share, engine.entry.key)
             });
             let best = shares.min_by(|a, b| a.0.total_cmp(&b.0).then(a.1.cmp(&b.1)));
@@ -219,7 +219,7 @@
                 reserved += 1;
             }
             if fits || reserved <= RESERVED_REQUESTS {
-                forecast.reserve(engine, waiting.claim);
+                forecast.reserve(engine, waiting.demand);
             }
         }
     }
