--- a/crates/policy/src/cell/answer_lengths.rs
+++ b/crates/policy/src/cell/answer_lengths.rs
@@ -51,7 +51,7 @@
     fn default() -> Self {
         Self {
             by_limit: BTreeMap::new(),
-            prior: SurvivalCurve::unknown(),
+            prior: SurvivalCurve::prior(),
         }
     }
 }
--- a/crates/policy/src/cell/cost.rs
+++ b/crates/policy/src/cell/cost.rs
@@ -30,7 +30,11 @@
 impl AverageCost {
     /// Adds a request to the averages and returns its cost as a multiple of the average, up to
     /// [`MAX_RELATIVE_COST`].
-    pub(super) fn compare(&mut self, prefill_rate: &PrefillRate, demand: MemoryDemand) -> f32 {
+    pub(super) fn record_and_compare(
+        &mut self,
+        prefill_rate: &PrefillRate,
+        demand: MemoryDemand,
+    ) -> f32 {
         let size_tokens = demand.held_tokens + OUTPUT_TOKEN_WEIGHT * demand.remaining_tokens;
         update_average(&mut self.size_tokens, size_tokens);
         let relative_size = size_tokens / self.size_tokens.max(1.0);
--- a/crates/policy/src/cell/engine.rs
+++ b/crates/policy/src/cell/engine.rs
@@ -10,10 +10,10 @@
 /// Minimum notice period of an engine, used until the engine states its remaining time.
 const MIN_NOTICE_MS: Millis = 1_500;
 /// Maximum age of an engine's statement of its remaining time, including network delay.
-pub(crate) const REPORT_AGE_MS: Millis = 600;
+pub(crate) const MAX_REPORT_AGE_MS: Millis = 600;
 /// Lifetime of an orphaned copy as a multiple of the configured TTL, because engines only check for
 /// such copies occasionally.
-const ORPHANED_COPY_TTLS: f32 = 1.8;
+const ORPHANED_COPY_TTL_FACTOR: f32 = 1.8;
 /// Backoff after an engine had no room for a transfer: about the time until one of its generations
 /// ends.
 const REFUSAL_BACKOFF_MS: Millis = 250;
@@ -128,7 +128,7 @@
     /// Sets the remaining time that the engine has stated; true if it was not known before.
     pub(super) fn set_time_left(&mut self, now_ms: Millis, left_ms: Millis) -> bool {
         self.mark_leaving(now_ms);
-        let end_ms = (now_ms + left_ms).saturating_sub(REPORT_AGE_MS);
+        let end_ms = (now_ms + left_ms).saturating_sub(MAX_REPORT_AGE_MS);
         self.stated_end_ms.replace(end_ms).is_none()
     }
 
@@ -185,7 +185,7 @@
     /// If it were not counted, the home would place generations on engines that hold such a copy,
     /// where they would wait in the engine's queue until the copy expires.
     pub(super) fn add_orphaned_copy(&mut self, now_ms: Millis, tokens: f32) {
-        let lifetime_ms = self.entry.capacity.copy_ttl_ms as f32 * ORPHANED_COPY_TTLS;
+        let lifetime_ms = self.entry.capacity.copy_ttl_ms as f32 * ORPHANED_COPY_TTL_FACTOR;
         self.orphaned_copies.retain(|copy| copy.until_ms > now_ms);
         self.orphaned_copies.push(OrphanedCopy {
             tokens,
--- a/crates/policy/src/cell/migration.rs
+++ b/crates/policy/src/cell/migration.rs
@@ -211,13 +211,13 @@
 
     /// The generations that may leave an engine now, largest loss rate first.
     fn by_loss_rate(&self, now_ms: Millis, engine: &Engine, left_ms: f32) -> Vec<(f32, RunKey)> {
-        let waiting = self.runs.iter().filter(|(_, run)| {
+        let movable = self.runs.iter().filter(|(_, run)| {
             run.is_on(engine.entry.key)
                 && !run.is_migrating()
                 && run.has_first_token(now_ms)
                 && now_ms >= run.backoff_until_ms
         });
-        let mut by_loss_rate: Vec<(f32, RunKey)> = waiting
+        let mut by_loss_rate: Vec<(f32, RunKey)> = movable
             .map(|(key, run)| {
                 let loss_probability =
                     run.running_probability(now_ms, left_ms, &self.answer_lengths);
--- a/crates/policy/src/cell/mod.rs
+++ b/crates/policy/src/cell/mod.rs
@@ -53,7 +53,7 @@
     /// as leaving: some engines end their registration without notice and keep serving for a while.
     pub fn set_engines(&mut self, now_ms: Millis, registered: &[CellEngine]) {
         for entry in registered {
-            self.forget_earlier_start(entry);
+            self.remove_previous_process(entry);
             let known = self.engines.entry(entry.key);
             known
                 .and_modify(|engine| engine.update(now_ms, *entry))
@@ -80,7 +80,7 @@
     /// If the earlier start counted as leaving, each of its generations would be migrated and
     /// reported as missing, and the copy presumed orphaned would block room on a destination for
     /// seconds. The hosts that relay these generations continue them elsewhere and state where.
-    fn forget_earlier_start(&mut self, registered: &CellEngine) {
+    fn remove_previous_process(&mut self, registered: &CellEngine) {
         let is_earlier = |engine: &Engine| {
             let entry = engine.entry;
             entry.name == registered.name && entry.key != registered.key
--- a/crates/policy/src/cell/placement.rs
+++ b/crates/policy/src/cell/placement.rs
@@ -222,7 +222,7 @@
         let Some((_, engine)) = best else {
             match request.is_final_attempt {
                 true => self.waiting.refuse(now_ms, request),
-                false => self.waiting.wait(now_ms, &attempt),
+                false => self.waiting.enqueue(now_ms, &attempt),
             }
             return Placement::Full {
                 retry_after_ms: request.retry_after_ms(),
--- a/crates/policy/src/cell/waiting.rs
+++ b/crates/policy/src/cell/waiting.rs
@@ -108,7 +108,7 @@
         let trying_ms = trying_ms.map_or(0, |refused| now_ms.saturating_sub(refused.first_ms));
         let delay_ms = request.max_wait_ms as f32
             * COST_DELAY_SHARE
-            * self.average_cost.compare(prefill_rate, demand);
+            * self.average_cost.record_and_compare(prefill_rate, demand);
         QueueOrder {
             is_late: trying_ms >= request.max_wait_ms,
             is_over_share,
@@ -125,7 +125,7 @@
     }
 
     /// Queues a request that found no room and will be repeated.
-    pub(super) fn wait(&mut self, now_ms: Millis, attempt: &PlacementAttempt<'_>) {
+    pub(super) fn enqueue(&mut self, now_ms: Millis, attempt: &PlacementAttempt<'_>) {
         let request = attempt.request;
         let waiting = Waiting {
             organisation: request.organisation,
--- a/crates/policy/src/cell_partitioning.rs
+++ b/crates/policy/src/cell_partitioning.rs
@@ -64,8 +64,9 @@
         let Some(before) = self.data_centres.get(name) else {
             return wanted;
         };
-        let least = MAX_CELL_ENGINES as f32 * MERGE_FILL_SHARE * before.partitions as f32 / 2.0;
-        let stays = wanted < before.partitions && count as f32 > least;
+        let merge_limit =
+            MAX_CELL_ENGINES as f32 * MERGE_FILL_SHARE * before.partitions as f32 / 2.0;
+        let stays = wanted < before.partitions && count as f32 > merge_limit;
         if stays { before.partitions } else { wanted }
     }
 
--- a/crates/policy/src/evacuations.rs
+++ b/crates/policy/src/evacuations.rs
@@ -135,15 +135,15 @@
             self.keep_missing(now_ms, &data_centres);
         }
         self.known = revision;
-        let is_new = self.set(now_ms, data_centres);
+        let has_changed = self.set(now_ms, data_centres);
         // Announce an empty first list too, since a peer that was partitioned may hold older
         // entries. The same applies to the first list of an era, because revisions of different
         // eras are not comparable, and to an entry that was written again, because peers would
         // let it expire.
-        if is_new || is_first || is_restore || is_confirmed {
+        if has_changed || is_first || is_restore || is_confirmed {
             self.changed = revision;
         }
-        is_new
+        has_changed
     }
 
     /// Applies the store's changes up to a revision, in order. Returns whether the evacuated data
@@ -168,11 +168,11 @@
                 EvacuationChange::Ends(name) => data_centres.remove(&name),
             };
         }
-        let is_new = self.set(now_ms, data_centres);
-        if is_new || is_confirmed {
+        let has_changed = self.set(now_ms, data_centres);
+        if has_changed || is_confirmed {
             self.changed = revision;
         }
-        is_new
+        has_changed
     }
 
     /// Merges a peer's state. Returns whether the evacuated data centres changed.
@@ -240,7 +240,7 @@
             .filter(|name| !data_centres.contains(*name))
             .cloned()
             .collect();
-        let mut is_new = !ended.is_empty();
+        let mut has_changed = !ended.is_empty();
         for name in ended {
             self.evacuated.remove(&name);
             self.ended_ms.insert(name, now_ms);
@@ -249,9 +249,9 @@
             if !self.evacuated.contains_key(&name) {
                 self.ended_ms.remove(&name);
                 self.evacuated.insert(name, now_ms);
-                is_new = true;
+                has_changed = true;
             }
         }
-        is_new
+        has_changed
     }
 }
--- a/crates/policy/src/fit.rs
+++ b/crates/policy/src/fit.rs
@@ -55,13 +55,13 @@
 
 impl Footprint<'_> {
     /// Probability of an output at least as long as what has been produced.
-    fn reached(&self) -> f32 {
+    fn reached_probability(&self) -> f32 {
         self.curve.survival(self.out_tokens).max(1e-6)
     }
 
     /// Probability of still running `ahead_tokens` later, given the probability `reached` of the
     /// output so far.
-    fn still_runs(&self, ahead_tokens: f32, reached: f32) -> f32 {
+    fn running_probability(&self, ahead_tokens: f32, reached: f32) -> f32 {
         let then = self.out_tokens + ahead_tokens;
         if then > self.limit_tokens {
             return 0.0;
@@ -97,7 +97,7 @@
         match rule {
             FitRule::Open | FitRule::Cap { .. } => {}
             FitRule::Normal { .. } => {
-                let reached = footprint.reached();
+                let reached = footprint.reached_probability();
                 for (index, ahead) in HORIZONS_TOKENS.into_iter().enumerate() {
                     let (mean, variance) = moments(footprint, ahead, reached);
                     self.mean[index] += mean;
@@ -135,7 +135,7 @@
 
     fn peak_with(&self, footprint: &Footprint<'_>, z: f32) -> f32 {
         let mut peak = 0.0f32;
-        let reached = footprint.reached();
+        let reached = footprint.reached_probability();
         for (index, ahead) in HORIZONS_TOKENS.into_iter().enumerate() {
             let (mean, variance) = moments(footprint, ahead, reached);
             let spread = (self.variance[index] + variance).sqrt();
@@ -146,7 +146,7 @@
 }
 
 fn moments(footprint: &Footprint<'_>, ahead_tokens: f32, reached: f32) -> (f32, f32) {
-    let chance = footprint.still_runs(ahead_tokens, reached);
+    let chance = footprint.running_probability(ahead_tokens, reached);
     let size = footprint.prompt_tokens + footprint.out_tokens + ahead_tokens;
     (chance * size, chance * (1.0 - chance) * size * size)
 }
--- a/crates/policy/src/home.rs
+++ b/crates/policy/src/home.rs
@@ -221,7 +221,11 @@
         if self.settings.moves {
             self.choose_move(now_ms, lengths, outcomes);
         }
-        debug_assert!(self.is_consistent(), "held tokens don't add up");
+        debug_assert_eq!(
+            self.held_tokens,
+            self.permit_tokens(),
+            "held tokens differ from the sum over the permits"
+        );
     }
 
     /// When to call [`Home::step`] next if no event comes before.
@@ -339,7 +343,7 @@
             );
             let Some(index) = chosen else { break };
             let request = self.queue[index].request;
-            if !self.is_paced(now_ms, &request) {
+            if !self.pacing_allows(now_ms, &request) {
                 break;
             }
             let borrows = self.borrows(&request);
@@ -360,7 +364,7 @@
         }
     }
 
-    fn is_paced(&self, now_ms: Millis, request: &EnginePermitRequest) -> bool {
+    fn pacing_allows(&self, now_ms: Millis, request: &EnginePermitRequest) -> bool {
         let tokens = request.prompt_tokens + request.out_tokens;
         self.settings.prompt_ms_per_token <= 0.0
             || tokens < UNPACED_TOKENS
@@ -423,7 +427,7 @@
                 .is_none_or(|at_ms| now_ms.saturating_sub(at_ms) > MOVE_SAME_PERMIT_INTERVAL_MS)
         });
         let best = candidates
-            .min_by(|(_, a), (_, b)| a.move_loss(lengths).total_cmp(&b.move_loss(lengths)));
+            .min_by(|(_, a), (_, b)| a.move_cost(lengths).total_cmp(&b.move_cost(lengths)));
         let Some((permit, _)) = best else { return };
         let entry = &mut self.permits[permit];
         entry.moved_at_ms = Some(now_ms);
@@ -448,12 +452,11 @@
         Some(entry)
     }
 
-    fn is_consistent(&self) -> bool {
-        let sum: u64 = self
-            .permits
+    /// The sum of the tokens that the permits hold, to check `held_tokens`.
+    fn permit_tokens(&self) -> u64 {
+        self.permits
             .values()
             .map(|permit| u64::from(permit.held_tokens()))
-            .sum();
-        sum == self.held_tokens
+            .sum()
     }
 }
--- a/crates/policy/src/lengths.rs
+++ b/crates/policy/src/lengths.rs
@@ -60,7 +60,7 @@
 
 impl SurvivalCurve {
     /// The prior without observations: each doubling from 4 to 4,096 tokens is equally likely.
-    pub(crate) fn unknown() -> Self {
+    pub(crate) fn prior() -> Self {
         Self::from_density(&std::array::from_fn(|index| {
             if (8..48).contains(&index) { 1.0 } else { 0.001 }
         }))
@@ -218,8 +218,8 @@
         self.ended[last] += 1.0;
         self.weight += 1.0;
         self.since_refresh += 1;
-        let due = (self.weight / 32.0) as u32;
-        if self.since_refresh > due {
+        let refresh_interval = (self.weight / 32.0) as u32;
+        if self.since_refresh > refresh_interval {
             self.refresh(parent);
         }
     }
@@ -254,7 +254,7 @@
 impl Lengths {
     /// Creates an empty history.
     pub fn new() -> Self {
-        let prior = SurvivalCurve::unknown();
+        let prior = SurvivalCurve::prior();
         Self {
             all: Histogram::new(0, &prior),
             by_service: HashMap::new(),
--- a/crates/policy/src/permit.rs
+++ b/crates/policy/src/permit.rs
@@ -32,7 +32,7 @@
     }
 
     /// Cost of a move: tokens to recompute for each token of future memory that it frees.
-    pub(crate) fn move_loss(&self, lengths: &Lengths) -> f32 {
+    pub(crate) fn move_cost(&self, lengths: &Lengths) -> f32 {
         let footprint = self.footprint(self.out_tokens, lengths);
         let expected = footprint.curve.expected(footprint.out_tokens);
         let remaining = (expected - footprint.out_tokens).max(1.0);
--- a/crates/policy/src/upstream_stats.rs
+++ b/crates/policy/src/upstream_stats.rs
@@ -51,7 +51,7 @@
     load: ReportedLoad,
     at_ms: Millis,
     /// Requests of this host since the report: started minus ended.
-    since: i32,
+    net_started: i32,
 }
 
 /// Statistics that one host keeps of one upstream.
@@ -76,7 +76,7 @@
         self.next_id += 1;
         self.in_flight.push((id, now_ms));
         if let Some(report) = &mut self.report {
-            report.since += 1;
+            report.net_started += 1;
         }
         InFlightId(id)
     }
@@ -87,7 +87,7 @@
         let Some(position) = position else { return };
         self.in_flight.swap_remove(position);
         if let Some(report) = &mut self.report {
-            report.since -= 1;
+            report.net_started -= 1;
         }
         match verdict {
             Verdict::Good => self.failures.record(now_ms, 0.0),
@@ -115,7 +115,7 @@
         self.report = Some(LoadReport {
             load,
             at_ms: now_ms,
-            since: 0,
+            net_started: 0,
         });
     }
 
@@ -161,7 +161,7 @@
             return own;
         }
         let reported = (report.load.running + report.load.waiting) as f32;
-        let estimated = (reported + report.since as f32).max(own);
+        let estimated = (reported + report.net_started as f32).max(own);
         let weight = 1.0 - age_ms as f32 / REPORT_TTL_MS as f32;
         own + (estimated - own) * weight
     }
--- a/crates/policy/src/watchers.rs
+++ b/crates/policy/src/watchers.rs
@@ -73,9 +73,9 @@
 
     /// Whether a host of this rank watches, given the other hosts of its area.
     pub fn is_watcher(&self, rank: u64, others: impl IntoIterator<Item = WatchCandidate>) -> bool {
-        let better = others.into_iter().filter(|other| other.rank > rank);
+        let higher_ranked = others.into_iter().filter(|other| other.rank > rank);
         let (unreadable, readable): (Vec<_>, Vec<_>) =
-            better.partition(|other| other.store_unreadable);
+            higher_ranked.partition(|other| other.store_unreadable);
         let wanted = match unreadable.is_empty() {
             true => self.watchers,
             false => SUBSTITUTES,
