--- a/crates/policy/src/backlog.rs
+++ b/crates/policy/src/backlog.rs
@@ -16,7 +16,9 @@
 /// Rate at which requests are served while the queue is not empty.
 #[derive(Debug)]
 pub(crate) struct Backlog {
+    /// Footprints of the requests served, decaying over [`WINDOW_MS`].
     tokens: f32,
+    /// Time with a non-empty queue, decaying over [`WINDOW_MS`].
     busy_ms: f32,
     at_ms: Millis,
     /// Factor on predicted waits, because small requests that arrive later overtake large ones. It
--- a/crates/policy/src/backpressure.rs
+++ b/crates/policy/src/backpressure.rs
@@ -1,7 +1,7 @@
 //! Backpressure that an upstream signals in its response heads.
 //!
-//! An overloaded upstream knows its capacity sooner than the hosts do. Its signals apply to this
-//! start of the upstream, whatever happens to its registration.
+//! An overloaded upstream knows its capacity sooner than the hosts do. Its signals apply until the
+//! upstream restarts, even if its registration changes.
 
 use crate::key::Millis;
 
@@ -36,7 +36,7 @@
 }
 
 impl Backpressure {
-    /// Takes in the signals of a response. A limit that is missing from them ends. An upstream that
+    /// Applies the signals of a response. A limit that is missing from them ends. An upstream that
     /// is leaving stays so.
     pub fn update(&mut self, now_ms: Millis, signals: Signals) {
         self.limit_per_s = signals.limit_per_s;
@@ -53,7 +53,7 @@
         }
     }
 
-    /// Takes in a limit that another host received at `updated_ms`, unless a later one is known.
+    /// Adopts a limit that another host received at `updated_ms`, unless a later one is known.
     pub fn merge_limit(&mut self, per_s: f32, updated_ms: Millis) {
         if updated_ms > self.updated_ms {
             self.limit_per_s = Some(per_s);
@@ -61,7 +61,7 @@
         }
     }
 
-    /// Sends the upstream nothing before `until_ms`, because of its limit.
+    /// Blocks new requests to the upstream until `until_ms`, because of its limit.
     pub fn throttle_until(&mut self, until_ms: Millis) {
         self.throttled_until_ms = until_ms;
     }
--- a/crates/policy/src/cell/cost.rs
+++ b/crates/policy/src/cell/cost.rs
@@ -13,9 +13,10 @@
 /// Weight of a new request in the moving averages: about the last fifty requests count, which is
 /// one or two seconds on an overloaded cell.
 const AVERAGE_GAIN: f32 = 0.02;
-/// Weight of an output token in prompt tokens, as users value generations.
+/// Benefit of an output token to the caller, relative to that of a prompt token.
 const OUTPUT_TOKEN_WEIGHT: f32 = 10.0;
-/// Share of a generation's benefit that does not grow with its size, as users value generations.
+/// Part of a generation's benefit that does not depend on its size, relative to the benefit of an
+/// average generation.
 const MIN_BENEFIT: f32 = 0.3;
 /// Upper bound on the relative cost, which limits how far any request is delayed behind others.
 const MAX_RELATIVE_COST: f32 = 4.0;
--- a/crates/policy/src/cell/engine.rs
+++ b/crates/policy/src/cell/engine.rs
@@ -21,7 +21,7 @@
 /// host that performs it may be frozen.
 const OVERDUE_FACTOR: Millis = 3;
 
-/// Capacity of an engine's build.
+/// Capacity of an engine.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct EngineCapacity {
     /// Memory for prompts and answers.
@@ -39,7 +39,7 @@
 /// An engine as registered.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct CellEngine {
-    /// The key of this start of the engine.
+    /// The key of the engine's current process; a restart changes it.
     pub key: UpstreamKey,
     /// Hash of the engine's name, which is the same after a restart.
     pub name: u64,
--- a/crates/policy/src/cell/forecast.rs
+++ b/crates/policy/src/cell/forecast.rs
@@ -5,9 +5,9 @@
 use super::{Cell, answer_lengths::AnswerLengths, engine::Engine, run::Run};
 use crate::key::{Millis, UpstreamKey};
 
-/// Offsets, in tokens, at which memory use is predicted. Generations of one batch advance together,
-/// so the memory of those still running at an offset adds up. (Peak of predicted memory: Gong et
-/// al., "Past-Future Scheduler for LLM Serving under SLA Guarantees", ASPLOS 2025.)
+/// Horizons, in output tokens, at which memory use is predicted. Generations of one batch advance
+/// together, so the memory of those still running at a horizon adds up. (Peak of predicted memory:
+/// Gong et al., "Past-Future Scheduler for LLM Serving under SLA Guarantees", ASPLOS 2025.)
 const HORIZONS_TOKENS: [f32; 5] = [0.0, 64.0, 160.0, 320.0, 640.0];
 
 /// Memory demand of a generation: the tokens it holds now and those it is expected to add.
@@ -32,7 +32,7 @@
 struct Load {
     /// Running generations.
     running: u32,
-    /// Memory at each offset.
+    /// Memory at each of [`HORIZONS_TOKENS`].
     held_tokens: [f32; HORIZONS_TOKENS.len()],
 }
 
--- a/crates/policy/src/cell/migration.rs
+++ b/crates/policy/src/cell/migration.rs
@@ -134,7 +134,7 @@
     /// between data centres takes twice as long.
     ///
     /// A transfer cut by the end of its engine saves nothing, and its partial copy holds memory on
-    /// the destination for another 9 s.
+    /// the destination until it expires, 9 s later with a copy TTL of 5 s.
     fn destination(
         &self,
         now_ms: Millis,
--- a/crates/policy/src/cell/mod.rs
+++ b/crates/policy/src/cell/mod.rs
@@ -74,22 +74,22 @@
         });
     }
 
-    /// Removes the state of an earlier start of an engine: its generations and the copies on it are
-    /// lost.
+    /// Removes the state of an engine's previous process after a restart: its generations and the
+    /// copies on it are lost.
     ///
-    /// If the earlier start counted as leaving, each of its generations would be migrated and
+    /// If the previous process counted as leaving, each of its generations would be migrated and
     /// reported as missing, and the copy presumed orphaned would block room on a destination for
     /// seconds. The hosts that relay these generations continue them elsewhere and state where.
     fn remove_previous_process(&mut self, registered: &CellEngine) {
-        let is_earlier = |engine: &Engine| {
+        let is_previous = |engine: &Engine| {
             let entry = engine.entry;
             entry.name == registered.name && entry.key != registered.key
         };
         let mut engines = self.engines.values();
-        let Some(earlier) = engines.find(|engine| is_earlier(engine)) else {
+        let Some(previous) = engines.find(|engine| is_previous(engine)) else {
             return;
         };
-        let lost = earlier.entry.key;
+        let lost = previous.entry.key;
         self.engines.remove(&lost);
         self.runs.retain(|_, run| !run.is_on(lost));
         for run in self.runs.values_mut() {
--- a/crates/policy/src/cell/prefill_rate.rs
+++ b/crates/policy/src/cell/prefill_rate.rs
@@ -1,8 +1,8 @@
 //! Prefill rate of a cell's engines, estimated by the home from the times of first events.
 //!
-//! Matters for many short requests with long prompts. A prompt is prefilled in chunks that share
-//! steps with the decoding of the batch, so its rate depends on both the engine's build and the
-//! batch. Overestimating the rate sends prompts to queues that are longer than they look;
+//! Matters for many requests with long prompts and short answers. A prompt is prefilled in chunks
+//! that share steps with the decoding of the batch, so its rate depends on both the engine's build
+//! and the batch. Overestimating the rate sends prompts to queues that are longer than they look;
 //! underestimating it leaves engines idle.
 
 /// Initial estimate: about half of what an engine prefills on its own, because each chunk shares a
--- a/crates/policy/src/cell/waiting.rs
+++ b/crates/policy/src/cell/waiting.rs
@@ -1,10 +1,10 @@
 //! The queue of requests that wait for room in a cell.
 //!
-//! Handles overload with requests whose sizes differ by a factor of six. Without an order, the next
-//! request takes the memory that has just become free, and the largest requests are refused while
-//! the smallest never are. Requests that fit are placed in queue order, before later ones. For the
-//! first one that does not fit, room is reserved on the engine with the most room. Reserved memory
-//! is idle, so it is reserved for one request only.
+//! An overloaded cell gets requests whose sizes differ by a factor of six. Without an order, the
+//! next request takes the memory that has just become free, and the largest requests are refused
+//! while the smallest never are. Requests that fit are placed in queue order, before later ones.
+//! For the first one that does not fit, room is reserved on the engine with the most room. Reserved
+//! memory is idle, so it is reserved for one request only.
 
 use std::collections::HashMap;
 
@@ -33,14 +33,14 @@
 /// organisations below their share, then the more urgent, then those with the earliest latest start
 /// (least laxity), delayed by their cost to others.
 ///
-/// The share precedes the priority, which organisations assign to their own requests: a flood of
-/// urgent requests would block all other organisations as long as it lasts. Lateness precedes the
-/// share, because a late answer has little value for any caller.
+/// The share precedes the priority, which organisations assign to their own requests. Otherwise a
+/// flood of urgent requests would block all other organisations as long as it lasts. Lateness
+/// precedes the share, because a late answer has little value for any caller.
 ///
 /// Ordered by arrival alone, large requests wait as long as small ones and then have longer prompts
 /// to prefill. Cheap requests fit where expensive ones do not, and end sooner: see
-/// [`COST_DELAY_SHARE`]. The delay is limited to a share of the maximum wait, so requests that
-/// arrive later than that never overtake.
+/// [`COST_DELAY_SHARE`]. The delay is at most twice the maximum wait, because the relative cost is
+/// bounded, so a request that arrives later than that with the same maximum wait never overtakes.
 ///
 /// A late answer takes as much memory as one on time. Served in turn with the others, it would make
 /// one of them late too.
@@ -68,11 +68,12 @@
 
 /// A refused request, whose caller may retry.
 ///
-/// If it were forgotten before its caller's timeout, a retry that respects the retry delay, up to a
-/// third of that time, would count as new and take the room of requests that can still be on time.
+/// It is kept until its caller's timeout expires. Otherwise a retry after the retry delay, which is
+/// up to a third of the timeout, would count as new and take the room of requests that can still be
+/// on time.
 #[derive(Debug, Clone, Copy)]
 struct Refused {
-    /// When the first attempt arrived.
+    /// When its first attempt arrived.
     first_ms: Millis,
     /// When its caller's timeout expires.
     until_ms: Millis,
--- a/crates/policy/src/cell_partitioning.rs
+++ b/crates/policy/src/cell_partitioning.rs
@@ -10,10 +10,10 @@
 /// Maximum number of engines in a cell. A home examines each engine and each generation of its cell
 /// for every arriving request and again for every waiting one.
 const MAX_CELL_ENGINES: usize = 64;
-/// The partitions of a data centre become fewer only if half as many would each be filled to at
-/// most this share, and a service becomes one cell only if that cell would be. Up to a sixth of the
-/// engines come and go within seconds, and after each change of the partitioning all homes must
-/// rebuild their state.
+/// Partitions are merged only if the merged ones would each have at most this share of
+/// [`MAX_CELL_ENGINES`]. This applies to halving the partitions of a data centre and to making a
+/// service a single cell. Up to a sixth of the engines come and go within seconds, and after each
+/// change of the partitioning all homes must rebuild their state.
 const MERGE_FILL_SHARE: f32 = 0.5;
 
 /// One data centre of a partitioned service.
--- a/crates/policy/src/circuit/circuits.rs
+++ b/crates/policy/src/circuit/circuits.rs
@@ -8,8 +8,8 @@
 use crate::key::{ContentKey, Millis};
 
 /// Maximum number of circuits kept by a host: less than 200 kB. Contents that crash upstreams are
-/// rare; a caller that crafts more of them than this still needs three attempts with each to crash
-/// an upstream.
+/// rare. To evict open circuits, a caller would have to craft more of them than this and crash
+/// three upstreams with each.
 const MAX_CIRCUITS: usize = 1_024;
 
 #[derive(Debug, Clone)]
--- a/crates/policy/src/circuit/mod.rs
+++ b/crates/policy/src/circuit/mod.rs
@@ -56,7 +56,8 @@
     pub version: u32,
     /// How its requests may run.
     pub state: CircuitState,
-    /// How often the circuit has opened; kept when it closes.
+    /// How often the circuit has opened since it was last closed. A closed circuit keeps the number
+    /// from before.
     pub openings: u32,
     /// The latest upstreams that crashed with this content.
     pub crashes: Vec<UpstreamKey>,
--- a/crates/policy/src/circuit/recent_successes.rs
+++ b/crates/policy/src/circuit/recent_successes.rs
@@ -4,7 +4,8 @@
 
 use crate::key::{ContentKey, Millis};
 
-/// How long a success counts: longer than a caller keeps retrying.
+/// How long a success counts: longer than a caller keeps retrying. The sets are rotated when they
+/// are used, so it may count for only half as long, or for longer on a host that is idle.
 const SUCCESS_EXPIRY_MS: Millis = 60_000;
 /// Maximum number of contents in each of the two sets: about 64 kB per host. A content that
 /// is requested so rarely that it is rotated out is not on many upstreams at once either.
--- a/crates/policy/src/circuit/record.rs
+++ b/crates/policy/src/circuit/record.rs
@@ -8,15 +8,16 @@
 use crate::key::{ContentKey, Millis, UpstreamKey};
 
 /// Delay between the first report of a crash and the decision on it. The reports of one crash come
-/// from several hosts, some after a connection that times out (250 ms) instead of being refused.
-/// Decided at the first report, the first content reported would be taken for the cause of the
-/// others. Each crash settles independently; otherwise a caller that retries faster than this could
+/// from several hosts, some after a connection that times out (250 ms) instead of being refused. A
+/// decision at the first report could take a content for the cause only because it was reported
+/// first. Each crash settles independently; otherwise a caller that retries faster than this could
 /// postpone the decision indefinitely.
 const SETTLE_MS: Millis = 300;
 /// How long a probe blocks other requests of its content: time for its first token on an overloaded
-/// engine. If it ends earlier, the next one may run.
+/// engine. If it completes earlier, the next one may run.
 const PROBE_TIMEOUT_MS: Millis = 5_000;
-/// How long a crash counts. A caller that returns later is treated as new.
+/// How long the crashes of a content count after the latest report of one. A caller that returns
+/// later is treated as new.
 const CRASH_EXPIRY_MS: Millis = 600_000;
 /// Maximum number of suspected contents: about 1 MB. The oldest reports are evicted.
 const MAX_SUSPECTS: usize = 4_096;
@@ -209,8 +210,8 @@
         }
     }
 
-    /// The settled, unexplained crashes of a content, including those of its circuit. A new home
-    /// has only the latter. `None` if none are left.
+    /// The settled crashes of a suspected content, including those listed in its circuit, from
+    /// which a new home learns of earlier ones. `None` if the content is no longer a suspect.
     fn crashes_of(
         &mut self,
         now_ms: Millis,
--- a/crates/policy/src/evacuations.rs
+++ b/crates/policy/src/evacuations.rs
@@ -15,8 +15,9 @@
 use crate::key::Millis;
 use crate::revision::Revision;
 
-/// How long the end of an evacuation is remembered. Its upstreams are cold only for seconds, and
-/// other writers may leave an unbounded number of names in the store.
+/// How long the end of an evacuation is remembered. It is needed only for the seconds in which the
+/// upstreams are cold. Without a limit, names that other writers add to and remove from the store
+/// would accumulate.
 const ENDED_RETENTION_MS: Millis = 600_000;
 /// How long an evacuation is kept that is missing from a restored store. An operator who still
 /// wants it writes it again sooner. If it had been ended meanwhile, its data centre gets no work
@@ -230,6 +231,7 @@
         }
     }
 
+    /// Sets the evacuated data centres and adds the unconfirmed ones. Returns whether any changed.
     fn set(&mut self, now_ms: Millis, mut data_centres: BTreeSet<String>) -> bool {
         data_centres.extend(self.unconfirmed.keys().cloned());
         self.ended_ms
--- a/crates/policy/src/fair.rs
+++ b/crates/policy/src/fair.rs
@@ -22,6 +22,8 @@
 #[derive(Debug, Default)]
 pub struct Fairness {
     accounts: HashMap<OrganisationKey, Account>,
+    /// Charge at which idle organisations start: the highest value that the lowest charge of the
+    /// busy ones has reached.
     floor: f64,
 }
 
@@ -117,8 +119,9 @@
     }
 
     fn raise_floor(&mut self) {
-        let busy = self.accounts.values();
-        let least = busy
+        let least = self
+            .accounts
+            .values()
             .filter(|account| account.queued + account.running > 0)
             .map(|account| account.charged)
             .fold(f64::INFINITY, f64::min);
--- a/crates/policy/src/fit.rs
+++ b/crates/policy/src/fit.rs
@@ -59,8 +59,8 @@
         self.curve.survival(self.out_tokens).max(1e-6)
     }
 
-    /// Probability of still running `ahead_tokens` later, given the probability `reached` of the
-    /// output so far.
+    /// Probability of still running `ahead_tokens` later, where `reached` is
+    /// [`Self::reached_probability`].
     fn running_probability(&self, ahead_tokens: f32, reached: f32) -> f32 {
         let then = self.out_tokens + ahead_tokens;
         if then > self.limit_tokens {
@@ -86,6 +86,7 @@
 pub(crate) struct Forecast {
     mean: [f32; HORIZONS_TOKENS.len()],
     variance: [f32; HORIZONS_TOKENS.len()],
+    /// Sampled remaining tokens and final memory of each generation, longest remaining first.
     remaining: Vec<(f32, f32)>,
     count: u32,
 }
--- a/crates/policy/src/home.rs
+++ b/crates/policy/src/home.rs
@@ -187,7 +187,7 @@
         self.release(permit);
     }
 
-    /// Takes in a load report of the engine, which lags behind this home's own count.
+    /// Records a load report of the engine, which lags behind this home's own count.
     pub fn report(&mut self, now_ms: Millis, load: EngineLoad) {
         self.unaccounted
             .record_held(now_ms, self.held_tokens as f32);
@@ -364,6 +364,7 @@
         }
     }
 
+    /// Whether prefill pacing lets the request start now.
     fn pacing_allows(&self, now_ms: Millis, request: &EnginePermitRequest) -> bool {
         let tokens = request.prompt_tokens + request.out_tokens;
         self.settings.prompt_ms_per_token <= 0.0
@@ -403,8 +404,8 @@
         self.permits.insert(Permit::new(now_ms, request, priority))
     }
 
-    /// Moves the generation that is cheapest to recompute if the engine would run out of memory
-    /// within a few steps.
+    /// Moves the generation that is cheapest to recompute for the memory it would still take, if
+    /// the engine would run out of memory within a few steps.
     ///
     /// A full engine preempts a generation and recomputes it later, which its caller sees as a
     /// stall. A move recomputes it at once on an engine that has room.
--- a/crates/policy/src/lag.rs
+++ b/crates/policy/src/lag.rs
@@ -22,7 +22,7 @@
 }
 
 impl Lag {
-    /// Takes in a peer's revision and returns whether to fetch its complete list, at most once per
+    /// Records a peer's revision and returns whether to fetch its complete list, at most once per
     /// `bound_ms`. Up to the revision `provisional` this host has no reliable state and fetches at
     /// once.
     pub fn should_fetch(
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -1,5 +1,9 @@
 //! Pure decision logic: engine selection, admission, queue order, retries and membership rules.
 //!
+//! The home of an upstream, organisation, service or cell is the host that decides about it. Each
+//! host computes the home by rendezvous hashing over the live members that it knows, so two hosts
+//! may briefly act as the home of one item.
+//!
 //! Nothing here performs I/O or reads a clock. The current time is an argument, in milliseconds
 //! since an epoch that the caller chooses.
 
--- a/crates/policy/src/queue.rs
+++ b/crates/policy/src/queue.rs
@@ -29,6 +29,8 @@
 /// Organisations within their guaranteed share follow, then those that borrow. No organisation
 /// may be ahead of the least served waiting one by more than `lead_bound_tokens`. Without this
 /// bound an organisation with many small requests would starve all others.
+///
+/// `borrows` tells whether a request takes its organisation beyond its guaranteed share.
 pub(crate) fn next(
     queue: &[Waiting],
     now_ms: Millis,
--- a/crates/policy/src/unaccounted_memory.rs
+++ b/crates/policy/src/unaccounted_memory.rs
@@ -30,7 +30,7 @@
         self.recent_holdings.push_back((now_ms, held_tokens));
     }
 
-    /// Takes in the engine's reported memory in use.
+    /// Records the memory in use that the engine reports.
     pub(crate) fn record_report(&mut self, used_tokens: f32) {
         let most = self
             .recent_holdings
--- a/crates/policy/src/watchers.rs
+++ b/crates/policy/src/watchers.rs
@@ -6,15 +6,17 @@
 //! The store may reject just the hosts that watch it. All others would then keep stale state, and a
 //! revoked key would stay valid for that long. A watcher that can't read the store therefore
 //! announces this, and the next hosts watch in its place. If the store is unavailable to all, each
-//! of those announces it in turn. Without a limit the whole fleet would end up calling the store.
+//! substitute announces the same and is replaced in turn. Without a limit the whole fleet would end
+//! up calling the store.
 
 use std::collections::BTreeMap;
 
 /// Minimum number of hosts per area. A host relays to three others, so a few dozen hosts are
 /// reached within three hops. With fewer hosts a watcher costs more than their pings.
 const MIN_AREA_HOSTS: usize = 24;
-/// Minimum number of watchers in the fleet. Each area has one. If it dies, pings from other areas
-/// bring the changes within a second. A single area has no other source.
+/// Minimum number of watchers in the fleet. One per area suffices if there are several areas: when
+/// it dies, pings from other areas bring the changes within a second. A single area has no other
+/// source and gets two.
 const MIN_WATCHERS: usize = 2;
 /// Substitutes for a watcher that can't read the store, since the store may reject them as well.
 const SUBSTITUTES: usize = 2;
@@ -35,8 +37,8 @@
 impl WatchArea {
     /// The area of a data centre, given the number of live hosts in each.
     ///
-    /// Hosts may briefly disagree on which hosts are live. Ranks are the same in every area, so for
-    /// any areas that they compute, each has a host that considers itself the first.
+    /// Hosts may briefly disagree on which hosts are live and therefore on the areas. A host's rank
+    /// does not depend on its area, so every area still has a host that considers itself the first.
     pub fn of(data_centre: &str, hosts: &BTreeMap<String, usize>) -> Self {
         let mut areas: Vec<Vec<String>> = Vec::new();
         let mut area_hosts = MIN_AREA_HOSTS;
