--- a/crates/policy/tests/cell/engines.rs
+++ b/crates/policy/tests/cell/engines.rs
@@ -80,7 +80,7 @@
 
 /// Guards against state that survives the restart of an engine under the same name. Its generations
 /// are lost, and so are the backup copies of others on it. The home neither migrates nor counts
-/// them, and the new start is empty. A late message that a lost generation has ended changes
+/// them, and the restarted engine is empty. A late message that a lost generation has ended changes
 /// nothing.
 #[test]
 fn state_of_an_earlier_start_is_dropped() {
--- a/crates/policy/tests/cell/migration.rs
+++ b/crates/policy/tests/cell/migration.rs
@@ -264,7 +264,7 @@
 
 /// Guards against new prompts that take the last room for a migration. An engine gives notice while
 /// the only other one has room for one more generation. That room is reserved for the leaving
-/// generation, whose prompt was already prefilled; a new one waits until then.
+/// generation, whose prompt was already prefilled; a new one waits meanwhile.
 #[test]
 fn room_is_reserved_for_migration() {
     let mut cell = cell(&[engine(1, LOCAL, false), engine(2, LOCAL, false)]);
@@ -304,7 +304,7 @@
     };
     let stays = (50..58).map(|run| statement(run, 2, 490, 500));
     let held: Vec<RunStatement> = stays.chain([leaves]).collect();
-    // Stated at the same time, so no further output tokens are expected.
+    // Stated at the time of the migration, so no output since then is extrapolated.
     cell.restate(case.now_ms, HOST, &held);
     let migration = cell.next_migration(case.now_ms, UpstreamKey(1));
     assert_eq!(migration.is_some(), case.is_migrated, "{migration:?}");
--- a/crates/policy/tests/cell/prefill_rate.rs
+++ b/crates/policy/tests/cell/prefill_rate.rs
@@ -1,4 +1,5 @@
-//! Many short requests with long prompts, on engines that prefill faster or slower than assumed.
+//! Many requests with long prompts and short answers, on engines that prefill faster or slower than
+//! assumed.
 
 use fulmarpath_policy::{Placement, RunEnd, RunKey};
 use rstest::rstest;
--- a/crates/policy/tests/cell/queueing.rs
+++ b/crates/policy/tests/cell/queueing.rs
@@ -6,9 +6,9 @@
 use crate::fixtures::{HOST, LOCAL, REMOTE, cell, engine, engine_of, request, statement};
 
 /// Guards against a large prompt that never gets room. It finds none and polls, as its host does.
-/// Cheaper requests that come soon after it go first, but not one that comes later than its maximum
-/// delay: that one gets room on another engine that the large one cannot use, not the reserved
-/// room. Once enough memory is free, the large one is placed.
+/// Room is reserved for it on the emptier of two engines. A cheaper request that comes too late to
+/// overtake it finds the other engine full and does not get the reserved room. Once enough memory
+/// is free, the large one is placed.
 #[test]
 fn large_prompt_is_eventually_placed() {
     let mut cell = cell(&[engine(1, LOCAL, false), engine(2, REMOTE, false)]);
@@ -37,11 +37,11 @@
     expected: u64,
 }
 
-/// Two requests wait and there is room for one of them. It goes to the more urgent one, otherwise
-/// to the one with the earliest latest start, whichever polls first: the one that came first, or
-/// one that came a little later and costs others less, by its prompt or its expected length. A
-/// request that came earlier by more than its maximum delay is not overtaken, so its wait does not
-/// grow with later arrivals.
+/// Two requests wait and there is room for one of them, whichever polls first. It goes to the more
+/// urgent one, otherwise to the one whose latest start, delayed by its cost, is earlier. A cheaper
+/// request, with a smaller prompt or a shorter expected answer, overtakes one that came a little
+/// earlier, but not one that came much earlier, whose wait therefore does not grow with later
+/// arrivals.
 #[rstest]
 #[case::by_arrival(QueuedPair {
     first: request(1, 3_000, 900, 100),
--- a/crates/policy/tests/circuit.rs
+++ b/crates/policy/tests/circuit.rs
@@ -9,7 +9,9 @@
 /// Time until the reports of a crash have settled.
 const SETTLED_MS: Millis = 300;
 const FIRST_OPEN_MS: Millis = 300_000;
+/// The content of poison requests.
 const P: ContentKey = ContentKey(1);
+/// Another content; harmless unless a case says otherwise.
 const X: ContentKey = ContentKey(2);
 
 /// A home with its circuits.
@@ -55,9 +57,10 @@
     x: CircuitState,
 }
 
-/// Guards against blocking harmless contents together with a poison request. It crashes one
-/// upstream after another while other requests start on the same ones, some more than once, and
-/// each crash makes all of them suspects. The home must find the cause and let the others run.
+/// Guards against blocking harmless contents together with a poison request. The poison request
+/// crashes one upstream after another while other requests start on the same ones, some more than
+/// once, and each crash makes all of them suspects. The home must find the cause and let the others
+/// run.
 #[rstest]
 #[case::one_crash(Case { crashes: &[&[P, X]], p: CircuitState::Closed, x: CircuitState::Closed })]
 #[case::two_crashes(Case { crashes: &[&[P], &[P, X]], p: CircuitState::HalfOpen, x: CircuitState::Closed })]
--- a/crates/policy/tests/lag.rs
+++ b/crates/policy/tests/lag.rs
@@ -17,7 +17,8 @@
 
 /// Guards against fetching the complete list at each ping of a peer that is slightly ahead. A
 /// starting host fetches at once. One that follows a steady flow of updates with a short delay
-/// never does. One that has missed an update fetches after the bound, and again only after another.
+/// never does. One that has missed an update fetches after the bound, and again only when the bound
+/// has passed once more.
 #[rstest]
 #[case::starts(Case { pings: &[(0, 0, 9)], fetches: true })]
 #[case::holds_a_provisional_revision(Case { pings: &[(0, 1, 9)], fetches: true })]
--- a/crates/policy/tests/upstreams.rs
+++ b/crates/policy/tests/upstreams.rs
@@ -24,20 +24,20 @@
 #[case::sheds(Health { verdicts: &[Verdict::Shed; 8], latency_ms: 30, costs_more: true })]
 #[case::slow(Health { verdicts: &[Verdict::Good; 8], latency_ms: 240, costs_more: true })]
 fn failing_and_slow_upstreams_cost_more(#[case] case: Health) {
-    let mut failing = UpstreamStats::default();
+    let mut tested = UpstreamStats::default();
     let mut healthy = UpstreamStats::default();
     for (index, verdict) in case.verdicts.iter().enumerate() {
         let now_ms = 1_000 + index as u64 * 50;
-        let request = failing.start(now_ms);
-        failing.record_latency(case.latency_ms);
-        failing.end(now_ms + 40, request, *verdict);
+        let request = tested.start(now_ms);
+        tested.record_latency(case.latency_ms);
+        tested.end(now_ms + 40, request, *verdict);
         let request = healthy.start(now_ms);
         healthy.record_latency(30);
         healthy.end(now_ms + 30, request, Verdict::Good);
     }
     healthy.start(1_500);
     healthy.start(1_500);
-    assert_eq!(failing.cost(1_510) > healthy.cost(1_510), case.costs_more);
+    assert_eq!(tested.cost(1_510) > healthy.cost(1_510), case.costs_more);
 }
 
 /// Guards against preferring an upstream that hangs and sends no response: the age of its oldest
