--- a/crates/policy/src/cell/cost.rs
+++ b/crates/policy/src/cell/cost.rs
@@ -7,15 +7,16 @@
 //! a deployment.
 
 use super::engine::TOKEN_MS;
-use super::forecast::Claim;
+use super::forecast::MemoryDemand;
 use super::prefill_rate::PrefillRate;
 
 /// Weight of a new request in the moving averages: about the last fifty requests count, which is
 /// one or two seconds on an overloaded cell.
 const AVERAGE_GAIN: f32 = 0.02;
-/// Weight of an output token in prompt tokens, as users value generations.
+/// Benefit of an output token to the caller, relative to that of a prompt token.
 const OUTPUT_TOKEN_WEIGHT: f32 = 10.0;
-/// Share of a generation's benefit that does not grow with its size, as users value generations.
+/// Part of a generation's benefit that does not depend on its size, relative to the benefit of an
+/// average generation.
 const MIN_BENEFIT: f32 = 0.3;
 /// Upper bound on the relative cost, which limits how far any request is delayed behind others.
 const MAX_RELATIVE_COST: f32 = 4.0;
@@ -30,22 +31,26 @@
 impl AverageCost {
     /// Adds a request to the averages and returns its cost as a multiple of the average, up to
     /// [`MAX_RELATIVE_COST`].
-    pub(super) fn compare(&mut self, prefill_rate: &PrefillRate, claim: Claim) -> f32 {
-        let size_tokens = claim.held_tokens + OUTPUT_TOKEN_WEIGHT * claim.remaining_tokens;
+    pub(super) fn record_and_compare(
+        &mut self,
+        prefill_rate: &PrefillRate,
+        demand: MemoryDemand,
+    ) -> f32 {
+        let size_tokens = demand.held_tokens + OUTPUT_TOKEN_WEIGHT * demand.remaining_tokens;
         update_average(&mut self.size_tokens, size_tokens);
         let relative_size = size_tokens / self.size_tokens.max(1.0);
         let benefit = MIN_BENEFIT + (1.0 - MIN_BENEFIT) * relative_size;
-        let cost = held_token_ms(prefill_rate, claim) / benefit;
+        let cost = held_token_ms(prefill_rate, demand) / benefit;
         update_average(&mut self.cost, cost);
         (cost / self.cost.max(1.0)).min(MAX_RELATIVE_COST)
     }
 }
 
 /// Memory times time: the prompt during prefill, then one more token per decode step.
-fn held_token_ms(prefill_rate: &PrefillRate, claim: Claim) -> f32 {
-    let prefill_ms = prefill_rate.ms(claim.held_tokens);
-    let decode_ms = claim.remaining_tokens * TOKEN_MS;
-    (claim.held_tokens + claim.remaining_tokens / 2.0) * (prefill_ms + decode_ms)
+fn held_token_ms(prefill_rate: &PrefillRate, demand: MemoryDemand) -> f32 {
+    let prefill_ms = prefill_rate.ms(demand.held_tokens);
+    let decode_ms = demand.remaining_tokens * TOKEN_MS;
+    (demand.held_tokens + demand.remaining_tokens / 2.0) * (prefill_ms + decode_ms)
 }
 
 fn update_average(average: &mut f32, new: f32) {
--- a/crates/policy/src/cell/waiting.rs
+++ b/crates/policy/src/cell/waiting.rs
@@ -1,15 +1,15 @@
 //! The queue of requests that wait for room in a cell.
 //!
-//! Handles overload with requests whose sizes differ by a factor of six. Without an order, the next
-//! request takes the memory that has just become free, and the largest requests are refused while
-//! the smallest never are. Requests that fit are placed in queue order, before later ones. For the
-//! first one that does not fit, room is reserved on the engine with the most room. Reserved memory
-//! is idle, so it is reserved for one request only.
+//! An overloaded cell gets requests whose sizes differ by a factor of six. Without an order, the
+//! next request takes the memory that has just become free, and the largest requests are refused
+//! while the smallest never are. Requests that fit are placed in queue order, before later ones.
+//! For the first one that does not fit, room is reserved on the engine with the most room. Reserved
+//! memory is idle, so it is reserved for one request only.
 
 use std::collections::HashMap;
 
 use super::cost::AverageCost;
-use super::forecast::{Claim, Forecast};
+use super::forecast::{Forecast, MemoryDemand};
 use super::placement::{PlacementAttempt, PlacementRequest};
 use super::prefill_rate::PrefillRate;
 use super::run::RunKey;
@@ -33,14 +33,14 @@
 /// organisations below their share, then the more urgent, then those with the earliest latest start
 /// (least laxity), delayed by their cost to others.
 ///
-/// The share precedes the priority, which organisations assign to their own requests: a flood of
-/// urgent requests would block all other organisations as long as it lasts. Lateness precedes the
-/// share, because a late answer has little value for any caller.
+/// The share precedes the priority, which organisations assign to their own requests. Otherwise a
+/// flood of urgent requests would block all other organisations as long as it lasts. Lateness
+/// precedes the share, because a late answer has little value for any caller.
 ///
 /// Ordered by arrival alone, large requests wait as long as small ones and then have longer prompts
 /// to prefill. Cheap requests fit where expensive ones do not, and end sooner: see
-/// [`COST_DELAY_SHARE`]. The delay is limited to a share of the maximum wait, so requests that
-/// arrive later than that never overtake.
+/// [`COST_DELAY_SHARE`]. The delay is at most twice the maximum wait, because the relative cost is
+/// bounded, so a request that arrives later than that with the same maximum wait never overtakes.
 ///
 /// A late answer takes as much memory as one on time. Served in turn with the others, it would make
 /// one of them late too.
@@ -60,7 +60,7 @@
     organisation: OrganisationKey,
     order: QueueOrder,
     since_ms: Millis,
-    claim: Claim,
+    demand: MemoryDemand,
     full_share: f32,
     excluded: Vec<UpstreamKey>,
     last_request_ms: Millis,
@@ -68,11 +68,12 @@
 
 /// A refused request, whose caller may retry.
 ///
-/// If it were forgotten before its caller's timeout, a retry that respects the retry delay, up to a
-/// third of that time, would count as new and take the room of requests that can still be on time.
+/// It is kept until its caller's timeout expires. Otherwise a retry after the retry delay, which is
+/// up to a third of the timeout, would count as new and take the room of requests that can still be
+/// on time.
 #[derive(Debug, Clone, Copy)]
 struct Refused {
-    /// When the first attempt arrived.
+    /// When its first attempt arrived.
     first_ms: Millis,
     /// When its caller's timeout expires.
     until_ms: Millis,
@@ -95,7 +96,7 @@
         now_ms: Millis,
         prefill_rate: &PrefillRate,
         request: &PlacementRequest,
-        claim: Claim,
+        demand: MemoryDemand,
         is_over_share: bool,
     ) -> QueueOrder {
         if let Some(known) = self.requests.get(&request.run) {
@@ -108,7 +109,7 @@
         let trying_ms = trying_ms.map_or(0, |refused| now_ms.saturating_sub(refused.first_ms));
         let delay_ms = request.max_wait_ms as f32
             * COST_DELAY_SHARE
-            * self.average_cost.compare(prefill_rate, claim);
+            * self.average_cost.record_and_compare(prefill_rate, demand);
         QueueOrder {
             is_late: trying_ms >= request.max_wait_ms,
             is_over_share,
@@ -125,13 +126,13 @@
     }
 
     /// Queues a request that found no room and will be repeated.
-    pub(super) fn wait(&mut self, now_ms: Millis, attempt: &PlacementAttempt<'_>) {
+    pub(super) fn enqueue(&mut self, now_ms: Millis, attempt: &PlacementAttempt<'_>) {
         let request = attempt.request;
         let waiting = Waiting {
             organisation: request.organisation,
             order: attempt.order,
             since_ms: self.since_ms(now_ms, request.run),
-            claim: attempt.claim,
+            demand: attempt.demand,
             full_share: attempt.full_share,
             excluded: request.excluded.clone(),
             last_request_ms: now_ms,
@@ -168,16 +169,16 @@
     }
 
     /// Memory demand and organisation of each waiting request.
-    pub(super) fn claims(&self) -> impl Iterator<Item = (OrganisationKey, Claim)> {
+    pub(super) fn demands(&self) -> impl Iterator<Item = (OrganisationKey, MemoryDemand)> {
         let all = self.requests.values();
-        all.map(|waiting| (waiting.organisation, waiting.claim))
+        all.map(|waiting| (waiting.organisation, waiting.demand))
     }
 
     /// Requests ordered before `order` by the current shares, since an organisation may have gone
     /// over or below its share after its request was queued.
     fn before(&self, order: QueueOrder, shares: &Shares) -> Vec<(QueueOrder, &Waiting)> {
         let all = self.requests.values().map(|waiting| {
-            let is_over_share = shares.is_over(waiting.organisation, waiting.claim);
+            let is_over_share = shares.is_over(waiting.organisation, waiting.demand);
             let order = QueueOrder {
                 is_over_share,
                 ..waiting.order
@@ -207,7 +208,7 @@
                 engine.is_open() && !waiting.excluded.contains(&key)
             });
             let shares = open.map(|engine| {
-                let share = forecast.peak_share(engine, waiting.claim);
+                let share = forecast.peak_share(engine, waiting.demand);
                 (share, engine.entry.key)
             });
             let best = shares.min_by(|a, b| a.0.total_cmp(&b.0).then(a.1.cmp(&b.1)));
@@ -219,7 +220,7 @@
                 reserved += 1;
             }
             if fits || reserved <= RESERVED_REQUESTS {
-                forecast.reserve(engine, waiting.claim);
+                forecast.reserve(engine, waiting.demand);
             }
         }
     }
--- a/crates/policy/src/home.rs
+++ b/crates/policy/src/home.rs
@@ -187,7 +187,7 @@
         self.release(permit);
     }
 
-    /// Takes in a load report of the engine, which lags behind this home's own count.
+    /// Records a load report of the engine, which lags behind this home's own count.
     pub fn report(&mut self, now_ms: Millis, load: EngineLoad) {
         self.unaccounted
             .record_held(now_ms, self.held_tokens as f32);
@@ -221,7 +221,11 @@
         if self.settings.moves {
             self.choose_move(now_ms, lengths, outcomes);
         }
-        debug_assert!(self.is_consistent(), "held tokens don't add up");
+        debug_assert_eq!(
+            self.held_tokens,
+            self.permit_tokens(),
+            "held tokens differ from the sum over the permits"
+        );
     }
 
     /// When to call [`Home::step`] next if no event comes before.
@@ -339,7 +343,7 @@
             );
             let Some(index) = chosen else { break };
             let request = self.queue[index].request;
-            if !self.is_paced(now_ms, &request) {
+            if !self.pacing_allows(now_ms, &request) {
                 break;
             }
             let borrows = self.borrows(&request);
@@ -360,7 +364,8 @@
         }
     }
 
-    fn is_paced(&self, now_ms: Millis, request: &EnginePermitRequest) -> bool {
+    /// Whether prefill pacing lets the request start now.
+    fn pacing_allows(&self, now_ms: Millis, request: &EnginePermitRequest) -> bool {
         let tokens = request.prompt_tokens + request.out_tokens;
         self.settings.prompt_ms_per_token <= 0.0
             || tokens < UNPACED_TOKENS
@@ -399,8 +404,8 @@
         self.permits.insert(Permit::new(now_ms, request, priority))
     }
 
-    /// Moves the generation that is cheapest to recompute if the engine would run out of memory
-    /// within a few steps.
+    /// Moves the generation that is cheapest to recompute for the memory it would still take, if
+    /// the engine would run out of memory within a few steps.
     ///
     /// A full engine preempts a generation and recomputes it later, which its caller sees as a
     /// stall. A move recomputes it at once on an engine that has room.
@@ -423,7 +428,7 @@
                 .is_none_or(|at_ms| now_ms.saturating_sub(at_ms) > MOVE_SAME_PERMIT_INTERVAL_MS)
         });
         let best = candidates
-            .min_by(|(_, a), (_, b)| a.move_loss(lengths).total_cmp(&b.move_loss(lengths)));
+            .min_by(|(_, a), (_, b)| a.move_cost(lengths).total_cmp(&b.move_cost(lengths)));
         let Some((permit, _)) = best else { return };
         let entry = &mut self.permits[permit];
         entry.moved_at_ms = Some(now_ms);
@@ -448,12 +453,11 @@
         Some(entry)
     }
 
-    fn is_consistent(&self) -> bool {
-        let sum: u64 = self
-            .permits
+    /// The sum of the tokens that the permits hold, to check `held_tokens`.
+    fn permit_tokens(&self) -> u64 {
+        self.permits
             .values()
             .map(|permit| u64::from(permit.held_tokens()))
-            .sum();
-        sum == self.held_tokens
+            .sum()
     }
 }
