--- a/crates/gateway/src/backpressure.rs
+++ b/crates/gateway/src/backpressure.rs
@@ -22,10 +22,10 @@
             (_, Some(limit)) => {
                 info!("backpressure: {instance} takes {limit} requests a second from all hosts")
             }
-            (_, None) => info!("backpressure: {instance} names no limit any more"),
+            (_, None) => info!("backpressure: {instance} no longer advertises a limit"),
         }
         if let Some(backoff_ms) = signals.backoff_ms {
-            info!("backpressure: {instance} wants nothing from this host for {backoff_ms} ms");
+            info!("backpressure: {instance} asks this host to back off for {backoff_ms} ms");
         }
         if after.is_leaving() && !before.is_leaving() {
             info!("backpressure: {instance} says that it leaves");
--- a/crates/gateway/src/crashes.rs
+++ b/crates/gateway/src/crashes.rs
@@ -94,8 +94,8 @@
         let is_suspect = run.is_suspect();
         self.metrics.crash(is_suspect);
         let progress = match run.ran_ms {
-            Some(ran_ms) => format!("after {ran_ms} ms of its answer"),
-            None => "before its answer began".to_owned(),
+            Some(ran_ms) => format!("after {ran_ms} ms of its response"),
+            None => "before its response began".to_owned(),
         };
         info!(
             "crashes: {} ended without notice under request {}, content {:016x}, {progress}",
--- a/crates/gateway/src/dissemination.rs
+++ b/crates/gateway/src/dissemination.rs
@@ -182,7 +182,7 @@
     ) {
         match encode(kind, update) {
             Ok(value) => self.send_to_branches(kind, &value, audience),
-            Err(error) => warn!("spread: could not encode an update: {error}"),
+            Err(error) => warn!("spread: could not encode an update of {kind:?}: {error}"),
         }
     }
 
@@ -249,7 +249,9 @@
         };
         if let Err(error) = self.fleet.peers.call(host, call).await {
             warn!(
-                "spread: a host does not answer, its branch is sent the update directly: {error}"
+                "spread: could not forward an update of {kind:?}, sending it directly to the other \
+                 {} hosts of the branch: {error}",
+                rest.len()
             );
             self.send_to_branches(kind, &value, split_branch(&rest));
         }
@@ -271,7 +273,7 @@
             ReplicatedState::Evacuations => self.handle_evacuations(&value),
         };
         if let Err(error) = applied {
-            warn!("spread: could not decode an update: {error}");
+            warn!("spread: could not decode an update of {kind:?}: {error}");
             return;
         }
         self.send_to_branches(kind, &value, split_branch(&audience));
--- a/crates/gateway/src/evacuations.rs
+++ b/crates/gateway/src/evacuations.rs
@@ -61,7 +61,7 @@
                     data_centres: names(&all),
                     ..EvacuationState::default()
                 };
-                self.apply_evacuations(state, "the store, maybe old");
+                self.apply_evacuations(state, "a possibly stale list of the store");
             }
             Err(error) => warn!("store: {WHAT} can't be read: {error}"),
         }
@@ -104,7 +104,7 @@
     /// Ends evacuations that the operator has not written again since the store's restore from a
     /// backup.
     pub(crate) fn expire_evacuations(&self) {
-        self.change_evacuations("time", |evacuations, now_ms| evacuations.expire(now_ms));
+        self.change_evacuations("expiry", |evacuations, now_ms| evacuations.expire(now_ms));
     }
 
     fn change_evacuations(
--- a/crates/gateway/src/fleet.rs
+++ b/crates/gateway/src/fleet.rs
@@ -383,7 +383,7 @@
         match decode(kind, &value.ok()?) {
             Ok(held) => Some(held),
             Err(error) => {
-                warn!("fleet: could not decode the state of {peer}: {error}");
+                warn!("fleet: could not decode {kind:?} from {peer}: {error}");
                 None
             }
         }
--- a/crates/gateway/src/homes.rs
+++ b/crates/gateway/src/homes.rs
@@ -124,15 +124,12 @@
             let call = |client: GatewayPeerClient, context| async move {
                 client.ended(context, cell, run, end).await
             };
-            if gateway
-                .fleet
-                .peers
-                .call(member.address, call)
-                .await
-                .is_err()
-            {
+            if let Err(error) = gateway.fleet.peers.call(member.address, call).await {
                 // The next statement conveys the end as well.
-                warn!("cells: could not report the end of a generation to the home");
+                warn!(
+                    "cells: could not report the end of {:016x} to its home: {error}",
+                    run.0
+                );
             }
         });
     }
@@ -175,8 +172,8 @@
         };
         if changed && sent.is_err() {
             warn!(
-                "cells: {} is home of a cell and does not answer",
-                member.name
+                "cells: {} does not answer as the home of cell {:016x}",
+                member.name, cell.0
             );
         }
     }
@@ -256,7 +253,10 @@
         {
             Ok(answer) => migration_outcome(answer),
             Err(error) => {
-                warn!("cells: could not confirm a migration: {error}");
+                warn!(
+                    "cells: could not confirm the migration of {:016x} to {:016x}: {error}",
+                    run.0, to.0
+                );
                 MigrationOutcome::Orphaned
             }
         }
--- a/crates/gateway/src/metadata.rs
+++ b/crates/gateway/src/metadata.rs
@@ -25,9 +25,7 @@
     },
     /// A watch from a revision was answered in another era: list again. The answer does not include
     /// the changes between the eras.
-    #[error(
-        "could not continue from revision {known}: the answer is of revision {received} in another era"
-    )]
+    #[error("could not watch from revision {known}: the answer is of revision {received}")]
     EraChanged {
         /// The known revision.
         known: Revision,
--- a/crates/gateway/src/peer.rs
+++ b/crates/gateway/src/peer.rs
@@ -48,9 +48,9 @@
 }
 
 /// The encoded value for a peer; empty if it could not be encoded.
-fn bytes_or_empty(value: Result<Vec<u8>, EncodingError>) -> Vec<u8> {
+fn bytes_or_empty(kind: ReplicatedState, value: Result<Vec<u8>, EncodingError>) -> Vec<u8> {
     value.unwrap_or_else(|error| {
-        spdlog::warn!("fleet: could not encode the state that a peer requested: {error}");
+        spdlog::warn!("fleet: could not encode {kind:?} for a peer: {error}");
         Vec::new()
     })
 }
@@ -98,13 +98,14 @@
             | ReplicatedState::Members
             | ReplicatedState::Circuits => Ok(Vec::new()),
         };
-        bytes_or_empty(held)
+        bytes_or_empty(kind, held)
     }
 
     async fn upstreams_since(self, _: Context, revision: Revision) -> Vec<u8> {
         self.count("upstreams_since");
         let change = self.gateway.roster.lock().change_since(revision);
-        bytes_or_empty(encode(ReplicatedState::Upstreams, &change))
+        let kind = ReplicatedState::Upstreams;
+        bytes_or_empty(kind, encode(kind, &change))
     }
 
     async fn announce(self, _: Context, announcement: Announcement) {
--- a/crates/gateway/src/probe.rs
+++ b/crates/gateway/src/probe.rs
@@ -67,7 +67,10 @@
                 client.doubt(context, cell, engine, verdict).await
             };
             if let Err(error) = gateway.fleet.peers.call(member.address, call).await {
-                warn!("cells: could not report a failing engine to the home: {error}");
+                warn!(
+                    "cells: could not report the failing engine {:016x} to its home: {error}",
+                    engine.0
+                );
             }
         });
     }
--- a/crates/gateway/src/record.rs
+++ b/crates/gateway/src/record.rs
@@ -106,33 +106,37 @@
             ),
             "full" => "every engine of its cell was predicted to be full".to_owned(),
             "evacuated" => {
-                "every upstream of its service stood in an evacuated data centre".to_owned()
+                "every upstream of its service was in an evacuated data centre".to_owned()
             }
             "cold" => {
-                "no warm upstream of its service took work, and each cold one had got what it bears"
+                "no warm upstream of its service accepted work, and no cold one could take more \
+                 requests"
                     .to_owned()
             }
             "held_back" => {
-                "each upstream of its service that took work had got the limit that it named, or \
-                 had asked this host for rest"
+                "each upstream of its service that accepted work had reached the limit that it \
+                 named, or had asked this host to back off"
                     .to_owned()
             }
             "too_large" => "its prompt fits into no engine of its service".to_owned(),
             "quarantined" => format!(
-                "upstreams ended as they began to run requests of its content {}",
+                "upstreams crashed when they began to run requests with its content {}",
                 self.content.as_deref().unwrap_or_default()
             ),
-            "stopping" => "this host was stopping and might have cut it".to_owned(),
+            "stopping" => "this host was stopping and might not have finished it".to_owned(),
             "unreachable" => format!("no connection to {at} could be made"),
-            "too_late_to_send" => "its time was over before it could be sent".to_owned(),
-            "timeout" => format!("{at} did not answer within the time it had"),
-            "broken" => format!("{at} broke off, or sent what is no answer to it; it may have run"),
+            "too_late_to_send" => "its deadline passed before it could be sent".to_owned(),
+            "timeout" => format!("{at} did not answer before the deadline"),
+            "broken" => format!("{at} broke off or sent an invalid response; it may have run"),
             "stream_broken" => format!(
-                "{at} was lost after {} events and no copy of its memory could go on",
+                "{at} was lost after {} events and no engine could resume the stream",
                 self.events
             ),
-            "stream_gap" => format!("{at} went on behind event {}, with a hole", self.events),
-            "stream_overdue" => format!("its time was over after {} events", self.events),
+            "stream_gap" => format!(
+                "{at} resumed the stream after {} events, with a gap",
+                self.events
+            ),
+            "stream_overdue" => format!("its deadline passed after {} events", self.events),
             other => format!("it ended as `{other}`, which this version doesn't know"),
         }
     }
--- a/crates/gateway/src/store_sync.rs
+++ b/crates/gateway/src/store_sync.rs
@@ -186,7 +186,7 @@
             Ok(all) => {
                 self.report_unusable_in_list("the configuration", &all);
                 for configuration in all.items {
-                    self.apply_configuration(configuration, "the store, maybe old");
+                    self.apply_configuration(configuration, "a possibly stale list of the store");
                 }
                 self.read_circuits().await;
             }
--- a/crates/gateway/src/tracker.rs
+++ b/crates/gateway/src/tracker.rs
@@ -157,7 +157,8 @@
         match serde_json::to_string(&self.record(outcome, status)) {
             Ok(line) => info!("{REQUEST_PREFIX}{line}"),
             Err(error) => {
-                spdlog::warn!("log: could not serialize the record of a request: {error}")
+                let id = &self.id;
+                spdlog::warn!("log: could not serialize the record of request {id}: {error}")
             }
         }
     }
--- a/crates/gateway/src/unusable_entries.rs
+++ b/crates/gateway/src/unusable_entries.rs
@@ -42,9 +42,9 @@
             .unusable_log
             .allows(self.clock.now_ms(), LOG_INTERVAL_MS)
         {
-            let name = first.name.as_deref().unwrap_or("without a name");
+            let name = first.name.as_deref().unwrap_or("one without a name");
             let reason = &first.reason;
-            warn!("store: {count} entries of {what} can't be used, as {name}: {reason}");
+            warn!("store: {count} entries of {what} can't be used, the first is {name}: {reason}");
         }
     }
 }
