--- a/crates/gateway/src/attempt.rs
+++ b/crates/gateway/src/attempt.rs
@@ -30,9 +30,9 @@
 const CLOSING_PENALTY_MS: Millis = 400;
 
 /// An upstream's response, of which only the head has been read.
-pub(crate) struct Answer {
+pub(crate) struct UpstreamResponse {
     pub(crate) head: ResponseHead,
-    pub(crate) response: Response<Incoming>,
+    pub(crate) http: Response<Incoming>,
     pub(crate) in_flight: InFlightRequest,
     /// Closed when dropped, which makes the upstream cancel the request.
     pub(crate) connection: Connection,
@@ -98,22 +98,22 @@
         tracker: &mut RequestTracker,
         chosen: Chosen,
         options: DispatchOptions,
-    ) -> Result<Answer, Failure> {
+    ) -> Result<UpstreamResponse, Failure> {
         tracker.begin_dispatch(Dispatch {
             instance: chosen.instance.clone(),
             at_ms: self.clock.now_ms().saturating_sub(tracker.arrived_ms),
             outcome: "sent".to_owned(),
         });
-        let answer = self.exchange(inbound, chosen, options, &tracker.id).await;
-        match &answer {
-            Ok(answer) => tracker.end_dispatch(if answer.response.status().is_success() {
+        let result = self.exchange(inbound, chosen, options, &tracker.id).await;
+        match &result {
+            Ok(response) => tracker.end_dispatch(if response.http.status().is_success() {
                 ANSWERED
             } else {
                 "failed"
             }),
             Err(failure) => tracker.end_dispatch(failure.name()),
         }
-        answer
+        result
     }
 
     async fn exchange(
@@ -122,7 +122,7 @@
         chosen: Chosen,
         options: DispatchOptions,
         id: &str,
-    ) -> Result<Answer, Failure> {
+    ) -> Result<UpstreamResponse, Failure> {
         let (address, key) = (chosen.address, chosen.key);
         let mut in_flight = InFlightRequest::new(self.clone(), chosen);
         let started_ms = self.clock.now_ms();
@@ -147,8 +147,8 @@
                 return Err(Failure::Unknown);
             }
         };
-        let response = match exchanged {
-            Ok(Ok(response)) => response,
+        let http = match exchanged {
+            Ok(Ok(http)) => http,
             Ok(Err(HttpError::Unreachable { .. })) => {
                 in_flight.set_verdict(Verdict::Failed);
                 return Err(Failure::Unsent);
@@ -163,12 +163,10 @@
                 return Err(Failure::Overdue);
             }
         };
-        let head = self
-            .dialect
-            .read_response(response.status(), response.headers());
+        let head = self.dialect.read_response(http.status(), http.headers());
         let now_ms = self.clock.now_ms();
         let is_mismatched = !head.is_not_run && head.id.as_deref() != Some(id);
-        let is_misdirected = response.status() == StatusCode::MISDIRECTED_REQUEST;
+        let is_misdirected = http.status() == StatusCode::MISDIRECTED_REQUEST;
         if !is_mismatched && !is_misdirected {
             self.apply_signals(&in_flight.chosen, head.signals);
         }
@@ -194,9 +192,9 @@
         self.instances
             .record_response(now_ms, key, latency_ms, head.load);
         self.metrics.first_byte_ms.observe(latency_ms as f64);
-        Ok(Answer {
+        Ok(UpstreamResponse {
             head,
-            response,
+            http,
             in_flight,
             connection,
         })
--- a/crates/gateway/src/engine_stream.rs
+++ b/crates/gateway/src/engine_stream.rs
@@ -9,7 +9,7 @@
 use hyper::body::{Bytes, Frame, Incoming};
 use tokio::time::timeout;
 
-use crate::attempt::Answer;
+use crate::attempt::UpstreamResponse;
 use crate::events::EventBuffer;
 use crate::gateway::Gateway;
 use crate::instance::Destination;
@@ -35,13 +35,13 @@
 }
 
 impl EngineStream {
-    pub(crate) fn new(now_ms: Millis, answer: Answer) -> Self {
+    pub(crate) fn new(now_ms: Millis, response: UpstreamResponse) -> Self {
         Self {
             since_ms: now_ms,
             begun_ms: None,
-            in_flight: answer.in_flight,
-            body: answer.response.into_body(),
-            _connection: answer.connection,
+            in_flight: response.in_flight,
+            body: response.http.into_body(),
+            _connection: response.connection,
         }
     }
 
--- a/crates/gateway/src/forward.rs
+++ b/crates/gateway/src/forward.rs
@@ -12,7 +12,7 @@
 use hyper::{HeaderMap, Request, Response, StatusCode};
 use tokio::time::timeout;
 
-use crate::attempt::{Answer, DispatchOptions, Failure};
+use crate::attempt::{DispatchOptions, Failure, UpstreamResponse};
 use crate::configuration::RouteKind;
 use crate::crashes::InterruptedRun;
 use crate::gateway::Gateway;
@@ -33,7 +33,7 @@
 const START_WAIT_FRACTION: f32 = 0.5;
 
 /// A complete response of an upstream.
-pub(crate) struct CompleteAnswer {
+pub(crate) struct CompleteResponse {
     pub(crate) status: StatusCode,
     headers: HeaderMap,
     body: Bytes,
@@ -86,14 +86,14 @@
         inbound: InboundRequest,
         mut tracker: RequestTracker,
     ) -> Reply {
-        let answer = self.try_upstreams(&inbound, &mut tracker).await;
-        match answer {
-            Ok(complete) => {
-                if complete.status.is_success() {
+        let result = self.try_upstreams(&inbound, &mut tracker).await;
+        match result {
+            Ok(response) => {
+                if response.status.is_success() {
                     self.note_success(&inbound);
                 }
-                tracker.end("answered", complete.status.as_u16());
-                into_reply(complete)
+                tracker.end("answered", response.status.as_u16());
+                into_reply(response)
             }
             Err(problem) => self.reject(tracker, problem),
         }
@@ -103,7 +103,7 @@
         self: &Arc<Self>,
         inbound: &InboundRequest,
         tracker: &mut RequestTracker,
-    ) -> Result<CompleteAnswer, Problem> {
+    ) -> Result<CompleteResponse, Problem> {
         let mut tried = Vec::new();
         let mut runs = 0;
         let mut not_run_count = 0;
@@ -147,13 +147,13 @@
             let until_ms = self.attempt_deadline_ms(inbound, now_ms, may_run_again);
             let outcome = self.try_once(inbound, tracker, chosen, until_ms).await;
             let failure = match outcome {
-                Ok(complete) if complete.status.is_server_error() && may_run_again => {
-                    failed_response = Some(complete);
+                Ok(response) if response.status.is_server_error() && may_run_again => {
+                    failed_response = Some(response);
                     runs += 1;
                     is_admitted = false;
                     continue;
                 }
-                Ok(complete) => return Ok(complete),
+                Ok(response) => return Ok(response),
                 Err(failure) => failure,
             };
             if failure.is_not_run() {
@@ -172,7 +172,7 @@
             }
         }
         match failed_response {
-            Some(complete) => Ok(complete),
+            Some(response) => Ok(response),
             // The response must never claim that a request has not run if it may have run.
             None if runs > 0 && problem.guarantees_not_run() => Err(Problem::Broken),
             None => Err(self.refine_refusal(problem, &inbound.service)),
@@ -199,19 +199,19 @@
         tracker: &mut RequestTracker,
         chosen: Chosen,
         until_ms: Millis,
-    ) -> Result<CompleteAnswer, Failure> {
+    ) -> Result<CompleteResponse, Failure> {
         let options = DispatchOptions {
             until_ms,
             ..DispatchOptions::default()
         };
-        let answer = self.dispatch(inbound, tracker, chosen, options).await?;
-        let sent = answer.in_flight.chosen.clone();
-        let outcome = self.read_complete(answer, inbound.deadline_ms).await;
+        let response = self.dispatch(inbound, tracker, chosen, options).await?;
+        let sent_to = response.in_flight.chosen.clone();
+        let outcome = self.read_complete(response, inbound.deadline_ms).await;
         if outcome
             .as_ref()
             .is_err_and(|failure| *failure == Failure::Unknown)
         {
-            self.check_for_crash(InterruptedRun::new(&sent, inbound, &tracker.id, None));
+            self.check_for_crash(InterruptedRun::new(&sent_to, inbound, &tracker.id, None));
         }
         if outcome.is_err() {
             tracker.end_dispatch("broken");
@@ -219,18 +219,19 @@
         outcome
     }
 
+    /// Reads the rest of a response.
     pub(crate) async fn read_complete(
         &self,
-        answer: Answer,
+        response: UpstreamResponse,
         deadline_ms: Millis,
-    ) -> Result<CompleteAnswer, Failure> {
-        let Answer {
+    ) -> Result<CompleteResponse, Failure> {
+        let UpstreamResponse {
             head,
-            response,
+            http,
             mut in_flight,
             connection,
-        } = answer;
-        let (parts, body) = response.into_parts();
+        } = response;
+        let (parts, body) = http.into_parts();
         let left_ms = deadline_ms.saturating_sub(self.clock.now_ms());
         let lost = in_flight.chosen.lost.clone();
         let collected = tokio::select! {
@@ -260,7 +261,7 @@
         } else {
             Verdict::Good
         });
-        Ok(CompleteAnswer {
+        Ok(CompleteResponse {
             status: parts.status,
             headers: parts.headers,
             body,
@@ -268,10 +269,10 @@
     }
 }
 
-pub(crate) fn into_reply(answer: CompleteAnswer) -> Reply {
-    let mut reply = Response::new(full_body(answer.body));
-    *reply.status_mut() = answer.status;
-    *reply.headers_mut() = answer.headers;
+pub(crate) fn into_reply(response: CompleteResponse) -> Reply {
+    let mut reply = Response::new(full_body(response.body));
+    *reply.status_mut() = response.status;
+    *reply.headers_mut() = response.headers;
     hop::strip(reply.headers_mut());
     reply
 }
--- a/crates/gateway/src/recovery.rs
+++ b/crates/gateway/src/recovery.rs
@@ -6,7 +6,7 @@
 use fulmarpath_wire::MigrationAnswer;
 use spdlog::info;
 
-use crate::attempt::{Answer, DispatchOptions};
+use crate::attempt::{DispatchOptions, UpstreamResponse};
 use crate::crashes::InterruptedRun;
 use crate::engine_stream::{EngineStream, StreamRead};
 use crate::head::Continuation;
@@ -110,24 +110,24 @@
             &mut self.attempts,
             self.last_event,
         );
-        let Some(StartedGeneration { answer, backup }) = started.await else {
+        let Some(StartedGeneration { response, backup }) = started.await else {
             return false;
         };
         info!(
             "moves: request {} is made anew at {} after event {:?}",
-            self.tracker.id, answer.in_flight.chosen.instance, self.last_event
+            self.tracker.id, response.in_flight.chosen.instance, self.last_event
         );
         gateway.metrics.continuation("anew");
-        self.switch_to(answer, backup);
+        self.switch_to(response, backup);
         true
     }
 
     /// Replaces the current stream by that of another engine.
-    fn switch_to(&mut self, answer: Answer, backup: Option<Destination>) {
+    fn switch_to(&mut self, response: UpstreamResponse, backup: Option<Destination>) {
         self.has_just_switched = true;
         // An incomplete event is discarded: the next engine sends it in full.
         self.events.take_remainder();
-        self.stream = EngineStream::new(self.gateway.clock.now_ms(), answer);
+        self.stream = EngineStream::new(self.gateway.clock.now_ms(), response);
         self.backup = backup;
         self.handover.restart();
         let engine = self.stream.engine().upstream;
@@ -210,8 +210,8 @@
         };
         let gateway = self.gateway.clone();
         let sent = gateway.dispatch(&self.inbound, &mut self.tracker, chosen, options);
-        let answer = match sent.await {
-            Ok(answer) if answer.response.status().is_success() => answer,
+        let response = match sent.await {
+            Ok(response) if response.http.status().is_success() => response,
             Ok(_) | Err(_) => {
                 gateway.metrics.continuation("no");
                 return false;
@@ -221,11 +221,11 @@
         info!(
             "moves: request {} goes on at {} after event {:?}, {} ms",
             self.tracker.id,
-            answer.in_flight.chosen.instance,
+            response.in_flight.chosen.instance,
             self.last_event,
             gateway.clock.now_ms().saturating_sub(now_ms)
         );
-        self.switch_to(answer, backup);
+        self.switch_to(response, backup);
         true
     }
 }
--- a/crates/gateway/src/relay.rs
+++ b/crates/gateway/src/relay.rs
@@ -97,14 +97,14 @@
         attempts: Attempts,
         started: StartedGeneration,
     ) -> Self {
-        let StartedGeneration { answer, backup } = started;
+        let StartedGeneration { response, backup } = started;
         let gateway = run_guard.gateway.clone();
         let traits = gateway.engine_traits(&inbound.service);
         Self {
             orders: gateway.runs.begin(run_guard.run),
             event_tokens: traits.map_or(1, |traits| traits.event_tokens),
-            status: answer.response.status().as_u16(),
-            stream: EngineStream::new(gateway.clock.now_ms(), answer),
+            status: response.http.status().as_u16(),
+            stream: EngineStream::new(gateway.clock.now_ms(), response),
             events: EventBuffer::default(),
             last_event: inbound.last_event,
             handover: Handover::default(),
--- a/crates/gateway/src/start.rs
+++ b/crates/gateway/src/start.rs
@@ -7,7 +7,7 @@
 use fulmarpath_policy::{Millis, Placement, PlacementRequest, RunStatement, UpstreamKey, Verdict};
 use tokio::time::{sleep, timeout};
 
-use crate::attempt::{Answer, DispatchOptions, Failure};
+use crate::attempt::{DispatchOptions, Failure, UpstreamResponse};
 use crate::configuration::EngineTraits;
 use crate::drain::can_finish;
 use crate::gateway::Gateway;
@@ -35,9 +35,9 @@
     backup: Option<Destination>,
 }
 
-/// A generation that an engine has begun to answer.
+/// A generation whose response has begun.
 pub(crate) struct StartedGeneration {
-    pub(crate) answer: Answer,
+    pub(crate) response: UpstreamResponse,
     /// The engine that keeps a running copy of the generation's KV cache.
     pub(crate) backup: Option<Destination>,
 }
@@ -109,7 +109,7 @@
         }
         let started = self.start_on_any(inbound, run_guard, tracker, attempts, last_event);
         let started = started.await.ok()?;
-        let is_stream = started.answer.response.status().is_success();
+        let is_stream = started.response.http.status().is_success();
         is_stream.then_some(started)
     }
 
@@ -146,7 +146,7 @@
                 Ok(started) => {
                     attempts.runs += 1;
                     is_admitted = false;
-                    let has_failed = started.answer.response.status().is_server_error();
+                    let has_failed = started.response.http.status().is_server_error();
                     if !has_failed || !inbound.may_run_again(attempts.runs) {
                         return Ok(started);
                     }
@@ -193,23 +193,22 @@
         };
         let engine = selected.chosen.upstream;
         let dispatch = self.dispatch(inbound, tracker, selected.chosen, options);
-        let answer = self
+        let result = self
             .report_silence(inbound, run_guard, engine, dispatch)
             .await;
         // A successful response without a signature does not come from the engine itself.
-        let answer = answer.and_then(|answer| {
-            let is_success = answer.response.status().is_success();
-            match is_success && !answer.head.is_signed {
+        let result = result.and_then(|response| {
+            let is_success = response.http.status().is_success();
+            match is_success && !response.head.is_signed {
                 true => Err(Failure::Unknown),
-                false => Ok(answer),
+                false => Ok(response),
             }
         });
-        if let Some(verdict) = engine_verdict(&answer) {
+        if let Some(verdict) = engine_verdict(&result) {
             self.report_engine_failure(run_guard.cell, engine, verdict);
         }
-        let answer = answer?;
         Ok(StartedGeneration {
-            answer,
+            response: result?,
             backup: selected.backup,
         })
     }
@@ -221,13 +220,13 @@
         inbound: &InboundRequest,
         run_guard: &RunGuard,
         engine: UpstreamKey,
-        dispatch: impl Future<Output = Result<Answer, Failure>>,
-    ) -> Result<Answer, Failure> {
+        dispatch: impl Future<Output = Result<UpstreamResponse, Failure>>,
+    ) -> Result<UpstreamResponse, Failure> {
         let mut dispatch = pin!(dispatch);
         let silence_timeout =
             Duration::from_millis(inbound.route.target_ms * SILENCE_TARGET_MULTIPLE);
-        if let Ok(answer) = timeout(silence_timeout, dispatch.as_mut()).await {
-            return answer;
+        if let Ok(result) = timeout(silence_timeout, dispatch.as_mut()).await {
+            return result;
         }
         self.report_engine_failure(run_guard.cell, engine, Verdict::Failed);
         dispatch.await
@@ -351,10 +350,10 @@
 
 /// The verdict to report about an engine after a response or a failed dispatch; `None` if there is
 /// nothing to report.
-fn engine_verdict(answer: &Result<Answer, Failure>) -> Option<Verdict> {
-    match answer {
-        Ok(answer) if answer.response.status().is_server_error() => Some(Verdict::Failed),
-        Ok(answer) if answer.head.is_closing || answer.head.signals.is_leaving => {
+fn engine_verdict(result: &Result<UpstreamResponse, Failure>) -> Option<Verdict> {
+    match result {
+        Ok(response) if response.http.status().is_server_error() => Some(Verdict::Failed),
+        Ok(response) if response.head.is_closing || response.head.signals.is_leaving => {
             Some(Verdict::Unheard)
         }
         Ok(_) => None,
--- a/crates/gateway/src/stream.rs
+++ b/crates/gateway/src/stream.rs
@@ -33,12 +33,12 @@
             Ok(started) => started,
             Err(problem) => return self.reject(tracker, problem),
         };
-        if !started.answer.response.status().is_success() {
+        if !started.response.http.status().is_success() {
             return self.forward_failure(&inbound, tracker, started).await;
         }
         let mut reply = Response::new(full_body(Bytes::new()));
-        *reply.status_mut() = started.answer.response.status();
-        *reply.headers_mut() = started.answer.response.headers().clone();
+        *reply.status_mut() = started.response.http.status();
+        *reply.headers_mut() = started.response.http.headers().clone();
         hop::strip(reply.headers_mut());
         let relay = Relay::new(inbound, tracker, run_guard, attempts, started);
         let chunks = unfold(Some(relay), |relay| async {
@@ -59,12 +59,12 @@
         started: StartedGeneration,
     ) -> Reply {
         match self
-            .read_complete(started.answer, inbound.deadline_ms)
+            .read_complete(started.response, inbound.deadline_ms)
             .await
         {
-            Ok(failure) => {
-                tracker.end("answered", failure.status.as_u16());
-                into_reply(failure)
+            Ok(response) => {
+                tracker.end("answered", response.status.as_u16());
+                into_reply(response)
             }
             Err(failure) => self.reject(tracker, failure.problem()),
         }
