--- a/crates/gateway/src/attempt.rs
+++ b/crates/gateway/src/attempt.rs
@@ -15,7 +15,7 @@
 use crate::gateway::Gateway;
 use crate::head::{Continuation, Outbound, ResponseHead};
 use crate::inbound::InboundRequest;
-use crate::instance::Chosen;
+use crate::instance::ChosenUpstream;
 use crate::problem::Problem;
 use crate::record::Dispatch;
 use crate::tracker::{ANSWERED, InFlightRequest, RequestTracker};
@@ -23,8 +23,8 @@
 /// Connect timeout: several round trips between data centres, and an upstream's handshake. A lost
 /// SYN is retransmitted only after 1 s, by which time another upstream has answered.
 const CONNECT_TIMEOUT_MS: Millis = 250;
-/// How long an upstream that reports itself full is deprioritised.
-const FULL_PENALTY_MS: Millis = 200;
+/// How long an upstream that refuses a request, for instance because it is full, is deprioritised.
+const REFUSAL_PENALTY_MS: Millis = 200;
 /// How long an upstream that closes its connection, possibly because it is leaving, is
 /// deprioritised.
 const CLOSING_PENALTY_MS: Millis = 400;
@@ -61,7 +61,7 @@
     /// The request was sent, and its outcome is unknown.
     Unknown,
     /// The request was sent, and the deadline passed.
-    Overdue,
+    TimedOut,
 }
 
 impl Failure {
@@ -76,7 +76,7 @@
             Self::Unsent => Problem::Unreachable,
             Self::Shed => Problem::AllRefused,
             Self::Unknown => Problem::Broken,
-            Self::Overdue => Problem::Timeout,
+            Self::TimedOut => Problem::Timeout,
         }
     }
 
@@ -85,7 +85,7 @@
             Self::Unsent => "unsent",
             Self::Shed => "shed",
             Self::Unknown => "unknown",
-            Self::Overdue => "overdue",
+            Self::TimedOut => "overdue",
         }
     }
 }
@@ -96,7 +96,7 @@
         self: &Arc<Self>,
         inbound: &InboundRequest,
         tracker: &mut RequestTracker,
-        chosen: Chosen,
+        chosen: ChosenUpstream,
         options: DispatchOptions,
     ) -> Result<UpstreamResponse, Failure> {
         tracker.begin_dispatch(Dispatch {
@@ -119,7 +119,7 @@
     async fn exchange(
         self: &Arc<Self>,
         inbound: &InboundRequest,
-        chosen: Chosen,
+        chosen: ChosenUpstream,
         options: DispatchOptions,
         id: &str,
     ) -> Result<UpstreamResponse, Failure> {
@@ -160,7 +160,7 @@
             }
             Err(_) => {
                 in_flight.set_verdict(Verdict::Failed);
-                return Err(Failure::Overdue);
+                return Err(Failure::TimedOut);
             }
         };
         let head = self.dialect.read_response(http.status(), http.headers());
@@ -172,9 +172,10 @@
         }
         if head.is_not_run {
             in_flight.set_verdict(Verdict::Shed);
-            self.instances.penalise_until(now_ms + FULL_PENALTY_MS, key);
+            self.instances
+                .penalise_until(now_ms + REFUSAL_PENALTY_MS, key);
             if is_misdirected {
-                self.instances.mark_leaving(key);
+                self.instances.mark_gone(key);
             }
             return Err(Failure::Shed);
         }
@@ -203,7 +204,7 @@
     fn outbound(
         &self,
         inbound: &InboundRequest,
-        chosen: &Chosen,
+        chosen: &ChosenUpstream,
         options: &DispatchOptions,
     ) -> Request<Full<bytes::Bytes>> {
         let outbound = Outbound {
--- a/crates/gateway/src/backpressure.rs
+++ b/crates/gateway/src/backpressure.rs
@@ -5,12 +5,12 @@
 use spdlog::info;
 
 use crate::gateway::Gateway;
-use crate::instance::Chosen;
+use crate::instance::ChosenUpstream;
 use crate::instances::Instances;
 
 impl Gateway {
     /// Applies the signals in the head of an upstream's own response.
-    pub(crate) fn apply_signals(&self, chosen: &Chosen, signals: Signals) {
+    pub(crate) fn apply_signals(&self, chosen: &ChosenUpstream, signals: Signals) {
         let now_ms = self.clock.now_ms();
         let change = self
             .instances
--- a/crates/gateway/src/cell_layout.rs
+++ b/crates/gateway/src/cell_layout.rs
@@ -11,7 +11,7 @@
 pub(crate) type CellsByEngine = HashMap<UpstreamKey, CellKey>;
 
 /// Number of engines in each data centre.
-pub(crate) fn count(registered: &[&Registration]) -> BTreeMap<String, usize> {
+pub(crate) fn count_by_data_centre(registered: &[&Registration]) -> BTreeMap<String, usize> {
     let mut counts = BTreeMap::new();
     for registration in registered {
         *counts.entry(registration.data_centre.clone()).or_default() += 1;
--- a/crates/gateway/src/cells.rs
+++ b/crates/gateway/src/cells.rs
@@ -26,7 +26,7 @@
 struct PartitioningChange {
     partitioning: CellPartitioning,
     /// Whether engines belong to other cells than before.
-    is_new: bool,
+    has_changed: bool,
 }
 
 /// The cells' tables.
@@ -58,7 +58,7 @@
                 .push(registration);
         }
         let mut by_engine = CellsByEngine::new();
-        let mut is_new = false;
+        let mut has_new_layout = false;
         let mut tables = self.tables.lock();
         for service in &active.configuration.services {
             let Some(traits) = &service.engine else {
@@ -71,8 +71,8 @@
                 &service.name,
                 &registered,
             );
-            if partitioning_change.is_new {
-                is_new = true;
+            if partitioning_change.has_changed {
+                has_new_layout = true;
                 // Engines that moved to another cell would be taken for leaving engines; homes
                 // learn of the generations from the next statements.
                 tables.retain(|_, table| table.service != service.name);
@@ -99,7 +99,7 @@
         }
         tables.retain(|_, table| !table.cell.is_idle());
         *self.by_engine.lock() = by_engine;
-        is_new
+        has_new_layout
     }
 
     fn update_partitioning(
@@ -109,10 +109,10 @@
     ) -> PartitioningChange {
         let mut partitionings = self.partitionings.lock();
         let before = partitionings.get(service).cloned().unwrap_or_default();
-        let partitioning = before.updated(&cell_layout::count(registered));
+        let partitioning = before.updated(&cell_layout::count_by_data_centre(registered));
         partitionings.insert(service.to_owned(), partitioning.clone());
         PartitioningChange {
-            is_new: !partitioning.has_same_cells(&before),
+            has_changed: !partitioning.has_same_cells(&before),
             partitioning,
         }
     }
--- a/crates/gateway/src/collection_reader.rs
+++ b/crates/gateway/src/collection_reader.rs
@@ -140,9 +140,9 @@
     }
 }
 
-/// Waits before the next attempt after this many failures.
-async fn pause(failures: u32) {
-    let range = match failures <= SHORT_RETRIES {
+/// Waits before the next attempt, after this many without success.
+async fn pause(attempts: u32) {
+    let range = match attempts <= SHORT_RETRIES {
         true => RETRY_MS,
         false => LONG_RETRY_MS,
     };
--- a/crates/gateway/src/crashes.rs
+++ b/crates/gateway/src/crashes.rs
@@ -10,7 +10,7 @@
 
 use crate::gateway::Gateway;
 use crate::inbound::InboundRequest;
-use crate::instance::Chosen;
+use crate::instance::ChosenUpstream;
 
 /// An upstream that accepts connections may have been restarted already: its registration shows
 /// the new start within this time.
@@ -19,7 +19,7 @@
 /// A run whose connection ended before its response did.
 #[derive(Debug, Clone)]
 pub(crate) struct InterruptedRun {
-    chosen: Chosen,
+    chosen: ChosenUpstream,
     request: String,
     pub(crate) content: ContentKey,
     pub(crate) service: String,
@@ -29,7 +29,7 @@
 
 impl InterruptedRun {
     pub(crate) fn new(
-        chosen: &Chosen,
+        chosen: &ChosenUpstream,
         inbound: &InboundRequest,
         request: &str,
         ran_ms: Option<Millis>,
@@ -71,7 +71,7 @@
 
     /// Whether an upstream has ended without notice. An upstream that had given notice ends as
     /// announced, regardless of the requests that ran there.
-    async fn has_ended(&self, chosen: &Chosen) -> bool {
+    async fn has_ended(&self, chosen: &ChosenUpstream) -> bool {
         if chosen.lost.is_cancelled() {
             return true;
         }
--- a/crates/gateway/src/departures.rs
+++ b/crates/gateway/src/departures.rs
@@ -55,10 +55,11 @@
     }
 
     /// Whether this start of an upstream had left before an era.
-    pub(crate) fn left_before_era(&self, start: &Registration, era: u64) -> bool {
-        let stored = self.stored.get(&start.instance);
+    pub(crate) fn left_before_era(&self, registration: &Registration, era: u64) -> bool {
+        let stored = self.stored.get(&registration.instance);
         stored.is_some_and(|stored| {
-            stored.departure.started_at_ms == start.started_at_ms && stored.departure.at.era < era
+            let departure = &stored.departure;
+            departure.started_at_ms == registration.started_at_ms && departure.at.era < era
         })
     }
 
--- a/crates/gateway/src/directory.rs
+++ b/crates/gateway/src/directory.rs
@@ -49,7 +49,7 @@
     }
 
     /// Whether both registrations belong to the same start of one upstream.
-    pub(crate) fn is_same_start(&self, other: &Self) -> bool {
+    pub(crate) fn is_same_incarnation(&self, other: &Self) -> bool {
         self.instance == other.instance && self.started_at_ms == other.started_at_ms
     }
 }
--- a/crates/gateway/src/engine_stream.rs
+++ b/crates/gateway/src/engine_stream.rs
@@ -20,16 +20,16 @@
     Bytes,
     End,
     Broken,
-    Overdue,
+    TimedOut,
 }
 
 /// The response stream of the engine that currently generates.
 pub(crate) struct EngineStream {
     pub(crate) in_flight: InFlightRequest,
     /// When its response began.
-    pub(crate) since_ms: Millis,
+    pub(crate) response_at_ms: Millis,
     /// When the first bytes of its stream arrived.
-    pub(crate) begun_ms: Option<Millis>,
+    pub(crate) first_bytes_ms: Option<Millis>,
     body: Incoming,
     _connection: Connection,
 }
@@ -37,8 +37,8 @@
 impl EngineStream {
     pub(crate) fn new(now_ms: Millis, response: UpstreamResponse) -> Self {
         Self {
-            since_ms: now_ms,
-            begun_ms: None,
+            response_at_ms: now_ms,
+            first_bytes_ms: None,
             in_flight: response.in_flight,
             body: response.http.into_body(),
             _connection: response.connection,
@@ -66,12 +66,13 @@
         match frame {
             Ok(Some(Ok(frame))) => {
                 push(events, &frame);
-                self.begun_ms.get_or_insert_with(|| gateway.clock.now_ms());
+                self.first_bytes_ms
+                    .get_or_insert_with(|| gateway.clock.now_ms());
                 StreamRead::Bytes
             }
             Ok(None) => StreamRead::End,
             Ok(Some(Err(_))) => StreamRead::Broken,
-            Err(_) => StreamRead::Overdue,
+            Err(_) => StreamRead::TimedOut,
         }
     }
 }
--- a/crates/gateway/src/evacuations.rs
+++ b/crates/gateway/src/evacuations.rs
@@ -14,16 +14,16 @@
 use crate::encoding::{EncodingError, decode};
 use crate::gateway::Gateway;
 use crate::metadata::{Change, Changes, Freshness, Snapshot};
-use crate::store_sync::WATCH_SHARE;
+use crate::store_sync::WATCH_WAIT_FRACTION;
 
-const WHAT: &str = "the evacuations";
+const LOG_NAME: &str = "the evacuations";
 
 impl Gateway {
     /// Watches the operator's evacuations, which have to be in force within `bound_ms`.
     pub(crate) async fn sync_evacuations(self: Arc<Self>, bound_ms: Millis) {
         let source = &*self.metadata.evacuations;
-        let wait = Duration::from_millis((bound_ms as f32 * WATCH_SHARE) as Millis);
-        let mut reader = CollectionReader::new(WHAT, "evacuations");
+        let wait = Duration::from_millis((bound_ms as f32 * WATCH_WAIT_FRACTION) as Millis);
+        let mut reader = CollectionReader::new(LOG_NAME, "evacuations");
         let mut revision = None;
         loop {
             if !self.is_watcher() {
@@ -63,7 +63,7 @@
                 };
                 self.apply_evacuations(state, "a possibly stale list of the store");
             }
-            Err(error) => warn!("store: {WHAT} can't be read: {error}"),
+            Err(error) => warn!("store: {LOG_NAME} can't be read: {error}"),
         }
     }
 
--- a/crates/gateway/src/events.rs
+++ b/crates/gateway/src/events.rs
@@ -42,7 +42,7 @@
 }
 
 /// Splits a piece of complete events into single events.
-pub(crate) fn split(piece: &Bytes) -> Vec<Bytes> {
+pub(crate) fn split_events(piece: &Bytes) -> Vec<Bytes> {
     let mut events = Vec::new();
     let mut left = piece.clone();
     while !left.is_empty() {
--- a/crates/gateway/src/fleet.rs
+++ b/crates/gateway/src/fleet.rs
@@ -154,7 +154,7 @@
 impl Gateway {
     fn versions(&self) -> Versions {
         Versions {
-            root: self.version(),
+            root: self.configuration_version(),
             upstreams: self.roster.lock().revision(),
             circuits: self.circuit_breakers.digest(self.clock.now_ms()),
             evacuations: self.evacuations.lock().revision(),
@@ -267,11 +267,11 @@
         let versions = ping.versions;
         let gateway = self.clone();
         tokio::spawn(async move { gateway.fetch_newer(address, versions, theirs).await });
-        let (answer, digest) = self.fleet.ping_message(self.versions());
+        let (own, digest) = self.fleet.ping_message(self.versions());
         let pong = Pong {
-            from: answer.from,
-            rumours: answer.rumours,
-            versions: answer.versions,
+            from: own.from,
+            rumours: own.rumours,
+            versions: own.versions,
         };
         (pong, digest)
     }
@@ -282,7 +282,7 @@
         if self.evacuations.lock().is_behind(theirs.evacuations) {
             self.fetch_evacuations(peer).await;
         }
-        if theirs.root > self.version()
+        if theirs.root > self.configuration_version()
             && let Some(configuration) = self.fetch_configuration(peer).await
         {
             self.apply_configuration(configuration, "a peer");
--- a/crates/gateway/src/forward.rs
+++ b/crates/gateway/src/forward.rs
@@ -18,7 +18,7 @@
 use crate::gateway::Gateway;
 use crate::hop;
 use crate::inbound::InboundRequest;
-use crate::instance::Chosen;
+use crate::instance::ChosenUpstream;
 use crate::problem::{Problem, reply};
 use crate::tracker::RequestTracker;
 
@@ -197,7 +197,7 @@
         self: &Arc<Self>,
         inbound: &InboundRequest,
         tracker: &mut RequestTracker,
-        chosen: Chosen,
+        chosen: ChosenUpstream,
         until_ms: Millis,
     ) -> Result<CompleteResponse, Failure> {
         let options = DispatchOptions {
@@ -247,7 +247,7 @@
             }
             Err(_) => {
                 in_flight.set_verdict(Verdict::Failed);
-                return Err(Failure::Overdue);
+                return Err(Failure::TimedOut);
             }
         };
         // A successful response without a signature does not come from the upstream itself.
--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -135,7 +135,7 @@
     }
 
     /// The version of the active configuration; 0 for none.
-    pub(crate) fn version(&self) -> u64 {
+    pub(crate) fn configuration_version(&self) -> u64 {
         let held = self.active_configuration.load();
         held.as_ref().map_or(0, |held| held.configuration.version)
     }
--- a/crates/gateway/src/homes.rs
+++ b/crates/gateway/src/homes.rs
@@ -234,7 +234,7 @@
     async fn request_migration(self: &Arc<Self>, migration: Migration) -> MigrationOutcome {
         let Migration { run, to, host, .. } = migration;
         if host == self.host_key() {
-            return migration_outcome(self.migrate_here(run, to).await);
+            return migration_outcome(self.migrate_relayed_run(run, to).await);
         }
         let member = {
             let members = self.fleet.members.lock();
@@ -263,7 +263,11 @@
     }
 
     /// Migrates a generation that this host relays to another engine.
-    pub(crate) async fn migrate_here(&self, run: RunKey, to: UpstreamKey) -> MigrationAnswer {
+    pub(crate) async fn migrate_relayed_run(
+        &self,
+        run: RunKey,
+        to: UpstreamKey,
+    ) -> MigrationAnswer {
         let Some(destination) = self.instances.destination(self.clock.now_ms(), to) else {
             return MigrationAnswer::Stayed;
         };
--- a/crates/gateway/src/inbound.rs
+++ b/crates/gateway/src/inbound.rs
@@ -93,7 +93,7 @@
         let read_timeout = Duration::from_millis(left_ms.unwrap_or(BODY_TIMEOUT_MS));
         // The body is read before any refusal: closing a connection with unread bytes resets it,
         // and the caller may lose the response that states the reason.
-        let body = read(body, limit, read_timeout).await?;
+        let body = read_body(body, limit, read_timeout).await?;
         let active = active?;
         let head = head.map_err(|error| match error {
             HeadError::NoId | HeadError::Malformed { .. } => Problem::BadHead,
@@ -153,7 +153,7 @@
     ContentKey(hasher.finish())
 }
 
-async fn read(
+async fn read_body(
     body: Incoming,
     limit_bytes: usize,
     read_timeout: Duration,
--- a/crates/gateway/src/instance.rs
+++ b/crates/gateway/src/instance.rs
@@ -22,7 +22,7 @@
     pub(crate) registration: Registration,
     pub(crate) stats: UpstreamStats,
     /// The upstream has announced on a connection that it is leaving.
-    pub(crate) is_leaving: bool,
+    pub(crate) is_gone: bool,
     /// Its data centre is evacuated.
     pub(crate) is_evacuated: bool,
     /// Until when it is cold, by its own entry or by recent events.
@@ -41,7 +41,7 @@
             upstream: upstream_key(&registration),
             registration,
             stats: UpstreamStats::default(),
-            is_leaving: false,
+            is_gone: false,
             is_evacuated: false,
             cold_until_ms: 0,
             cold_limit: None,
@@ -56,12 +56,12 @@
         self.cold_until_ms = self.cold_until_ms.max(until_ms);
     }
 
-    pub(crate) fn is_start_of(&self, registration: &Registration) -> bool {
+    pub(crate) fn is_same_incarnation(&self, registration: &Registration) -> bool {
         self.registration.started_at_ms == registration.started_at_ms
     }
 
     pub(crate) fn takes_work(&self) -> bool {
-        self.registration.state == RegisteredState::Ready && !self.is_leaving && !self.is_evacuated
+        self.registration.state == RegisteredState::Ready && !self.is_gone && !self.is_evacuated
     }
 
     /// The cold state, if it is cold now and its service has a cold limit.
@@ -87,7 +87,7 @@
 
 /// An upstream that was chosen for a request.
 #[derive(Debug, Clone)]
-pub(crate) struct Chosen {
+pub(crate) struct ChosenUpstream {
     pub(crate) key: InstanceKey,
     pub(crate) upstream: UpstreamKey,
     pub(crate) instance: String,
@@ -97,7 +97,7 @@
     pub(crate) in_flight_id: InFlightId,
 }
 
-impl Chosen {
+impl ChosenUpstream {
     /// The upstream, as a destination on which a generation may resume.
     pub(crate) fn destination(&self) -> Destination {
         Destination {
--- a/crates/gateway/src/instances.rs
+++ b/crates/gateway/src/instances.rs
@@ -9,7 +9,7 @@
 
 use crate::availability::{Availability, ColdLimits};
 use crate::directory::{Directory, Registration};
-use crate::instance::{Chosen, Destination, Instance, InstanceKey};
+use crate::instance::{ChosenUpstream, Destination, Instance, InstanceKey};
 use crate::key::upstream_key;
 use crate::upstream_table::UpstreamTable;
 
@@ -17,7 +17,7 @@
 #[derive(Debug)]
 pub(crate) enum Selection {
     /// This upstream; the request is already counted there.
-    Warm(Chosen),
+    Warm(ChosenUpstream),
     /// No warm upstream has capacity, but cold ones are available.
     Cold {
         /// The cold upstreams.
@@ -125,7 +125,7 @@
             let upstream = table.arena[key].upstream;
             return match table.limit_of(upstream) {
                 Some(_) => Selection::Limited(upstream),
-                None => Selection::Warm(table.start(now_ms, key)),
+                None => Selection::Warm(table.begin_request(now_ms, key)),
             };
         }
         if cold.is_empty() {
@@ -182,7 +182,7 @@
 
     /// Counts a request at the upstream that the home has selected; `None` if this host knows that
     /// the upstream accepts no new requests.
-    pub(crate) fn reserve(&self, now_ms: Millis, upstream: UpstreamKey) -> Option<Chosen> {
+    pub(crate) fn reserve(&self, now_ms: Millis, upstream: UpstreamKey) -> Option<ChosenUpstream> {
         self.reserve_if(now_ms, upstream, |table, key| {
             let signals = table.backpressure.get(&upstream);
             table.takes_work(&table.arena[key])
@@ -197,7 +197,7 @@
         &self,
         now_ms: Millis,
         upstream: UpstreamKey,
-    ) -> Option<Chosen> {
+    ) -> Option<ChosenUpstream> {
         self.reserve_if(now_ms, upstream, |table, key| {
             let signals = table.backpressure.get_mut(&upstream);
             !table.arena[key].is_evacuated
@@ -210,10 +210,10 @@
         now_ms: Millis,
         upstream: UpstreamKey,
         may_take: impl FnOnce(&mut UpstreamTable, InstanceKey) -> bool,
-    ) -> Option<Chosen> {
+    ) -> Option<ChosenUpstream> {
         let mut table = self.table.lock();
         let key = *table.by_upstream.get(&upstream)?;
-        may_take(&mut table, key).then(|| table.start(now_ms, key))
+        may_take(&mut table, key).then(|| table.begin_request(now_ms, key))
     }
 
     /// An engine that a generation may be migrated to; `None` if it receives no work now.
@@ -250,7 +250,7 @@
     }
 
     /// Records the end of a request to a chosen upstream.
-    pub(crate) fn end(&self, now_ms: Millis, chosen: &Chosen, verdict: Verdict) {
+    pub(crate) fn end(&self, now_ms: Millis, chosen: &ChosenUpstream, verdict: Verdict) {
         self.with(chosen.key, |instance| {
             instance.stats.end(now_ms, chosen.in_flight_id, verdict)
         });
@@ -291,8 +291,8 @@
     }
 
     /// Marks an upstream as gone for good: another upstream answers at its address.
-    pub(crate) fn mark_leaving(&self, key: InstanceKey) {
-        self.with(key, |instance| instance.is_leaving = true);
+    pub(crate) fn mark_gone(&self, key: InstanceKey) {
+        self.with(key, |instance| instance.is_gone = true);
     }
 
     fn with(&self, key: InstanceKey, change: impl FnOnce(&mut Instance)) {
--- a/crates/gateway/src/metrics.rs
+++ b/crates/gateway/src/metrics.rs
@@ -271,13 +271,13 @@
     }
 
     /// Counts unusable entries of a kind.
-    pub(crate) fn skip_entries(&self, what: &'static str, count: u64) {
+    pub(crate) fn skipped_entries(&self, what: &'static str, count: u64) {
         let labels = EntryLabels { what };
         self.skipped_entries.get_or_create(&labels).inc_by(count);
     }
 
     /// Counts a dropped response of the store.
-    pub(crate) fn drop_answer(&self, what: &'static str) {
+    pub(crate) fn dropped_answer(&self, what: &'static str) {
         let labels = EntryLabels { what };
         self.dropped_answers.get_or_create(&labels).inc();
     }
--- a/crates/gateway/src/migration.rs
+++ b/crates/gateway/src/migration.rs
@@ -14,7 +14,7 @@
 
 /// The outcome of a migration step.
 #[derive(Debug, Clone)]
-pub(crate) enum Step {
+pub(crate) enum StepOutcome {
     /// The long copy is complete; the short one is in progress.
     Copied,
     /// The generation continues on the source.
@@ -131,54 +131,54 @@
     }
 
     /// Waits for the call in progress and begins the next one.
-    pub(crate) async fn step(migration: &mut Option<Self>) -> Step {
+    pub(crate) async fn step(migration: &mut Option<Self>) -> StepOutcome {
         let Some(migration) = migration else {
             return std::future::pending().await;
         };
-        let answer = (&mut migration.call).await;
+        let result = (&mut migration.call).await;
         match migration.copy_id.clone() {
-            None => migration.after_first_copy(answer),
-            Some(copy_id) => migration.after_final_copy(answer, copy_id),
+            None => migration.after_first_copy(result),
+            Some(copy_id) => migration.after_final_copy(result, copy_id),
         }
     }
 
-    fn after_first_copy(&mut self, answer: Result<CompletedCopy, CopyError>) -> Step {
-        let copied = match answer {
+    fn after_first_copy(&mut self, result: Result<CompletedCopy, CopyError>) -> StepOutcome {
+        let copied = match result {
             Ok(copied) => copied,
-            Err(CopyError::NotFound) => return Step::NotFound,
-            Err(CopyError::NoRoom { .. }) => return Step::Refused,
-            Err(CopyError::Busy | CopyError::SourceUnreachable) => return Step::Stayed,
-            Err(CopyError::Unknown) => return Step::Orphaned,
+            Err(CopyError::NotFound) => return StepOutcome::NotFound,
+            Err(CopyError::NoRoom { .. }) => return StepOutcome::Refused,
+            Err(CopyError::Busy | CopyError::SourceUnreachable) => return StepOutcome::Stayed,
+            Err(CopyError::Unknown) => return StepOutcome::Orphaned,
         };
         self.copy_id = Some(copied.copy_id);
         let (control, source) = (self.control.clone(), self.source);
         let (id, to) = (self.request_id.clone(), self.to.address);
         self.call = Box::pin(async move { control.stop_and_copy(source, &id, to).await });
-        Step::Copied
+        StepOutcome::Copied
     }
 
     fn after_final_copy(
         &mut self,
-        answer: Result<CompletedCopy, CopyError>,
+        result: Result<CompletedCopy, CopyError>,
         first_copy_id: String,
-    ) -> Step {
-        match answer {
-            Ok(copied) => Step::Stopped {
+    ) -> StepOutcome {
+        match result {
+            Ok(copied) => StepOutcome::Stopped {
                 to: self.to.clone(),
                 copy_id: copied.copy_id,
             },
-            Err(CopyError::NotFound) => Step::NotFound,
+            Err(CopyError::NotFound) => StepOutcome::NotFound,
             Err(CopyError::NoRoom {
                 copy_id: Some(copy_id),
-            }) => Step::StoppedAtSource { copy_id },
+            }) => StepOutcome::StoppedAtSource { copy_id },
             Err(
                 CopyError::Busy
                 | CopyError::SourceUnreachable
                 | CopyError::NoRoom { copy_id: None },
-            ) => Step::Stayed,
+            ) => StepOutcome::Stayed,
             // The generation may have been stopped: the first copy and the source's own KV cache
             // are tried.
-            Err(CopyError::Unknown) => Step::Stopped {
+            Err(CopyError::Unknown) => StepOutcome::Stopped {
                 to: self.to.clone(),
                 copy_id: first_copy_id,
             },
--- a/crates/gateway/src/peer.rs
+++ b/crates/gateway/src/peer.rs
@@ -146,7 +146,7 @@
 
     async fn carry(self, _: Context, run: RunKey, to: UpstreamKey) -> MigrationAnswer {
         self.count("carry");
-        self.gateway.migrate_here(run, to).await
+        self.gateway.migrate_relayed_run(run, to).await
     }
 
     async fn ask_start(
--- a/crates/gateway/src/probe.rs
+++ b/crates/gateway/src/probe.rs
@@ -100,7 +100,7 @@
             return;
         };
         let result = self.control.probe(destination.address).await;
-        if !self.is_current_start(engine, result) {
+        if !self.is_current_incarnation(engine, result) {
             return;
         }
         let status = result.status;
@@ -112,7 +112,7 @@
 
     /// Whether a probe result comes from the known start of an engine. A result of a later start is
     /// recorded as a restart; a result of an earlier start arrived late.
-    fn is_current_start(&self, engine: UpstreamKey, result: ProbeResult) -> bool {
+    fn is_current_incarnation(&self, engine: UpstreamKey, result: ProbeResult) -> bool {
         let known = self.instances.registration(engine);
         let Some((known, reported_ms)) = known.zip(result.born_ms) else {
             return true;
--- a/crates/gateway/src/record.rs
+++ b/crates/gateway/src/record.rs
@@ -79,15 +79,15 @@
 
     /// Explains the outcome of the request in one sentence.
     pub fn cause(&self) -> String {
-        let (end, upstreams) = (self.end(), self.upstreams);
-        format!("{end}; upstreams were known by revision {upstreams}")
+        let (outcome, upstreams) = (self.describe_outcome(), self.upstreams);
+        format!("{outcome}; upstreams were known by revision {upstreams}")
     }
 
-    fn end(&self) -> String {
+    fn describe_outcome(&self) -> String {
         let last = self.dispatches.last();
         let at = last.map_or("no upstream", |dispatch| dispatch.instance.as_str());
         match self.outcome.as_str() {
-            "answered" if self.status < 500 => self.answered(),
+            "answered" if self.status < 500 => self.describe_answered(),
             "answered" => format!(
                 "the upstream {at} itself failed it with status {}",
                 self.status
@@ -141,7 +141,7 @@
         }
     }
 
-    fn answered(&self) -> String {
+    fn describe_answered(&self) -> String {
         let moves = self.dispatches.len().saturating_sub(1);
         match self.first_event_ms {
             Some(first_ms) => format!(
--- a/crates/gateway/src/recovery.rs
+++ b/crates/gateway/src/recovery.rs
@@ -65,8 +65,8 @@
     /// Describes the run that the engine broke off.
     fn interrupted_run(&self) -> InterruptedRun {
         let now_ms = self.gateway.clock.now_ms();
-        let begun_ms = self.stream.begun_ms;
-        let ran_ms = begun_ms.map(|begun_ms| now_ms.saturating_sub(begun_ms));
+        let first_bytes_ms = self.stream.first_bytes_ms;
+        let ran_ms = first_bytes_ms.map(|first_bytes_ms| now_ms.saturating_sub(first_bytes_ms));
         let chosen = &self.stream.in_flight.chosen;
         InterruptedRun::new(chosen, &self.inbound, &self.tracker.id, ran_ms)
     }
--- a/crates/gateway/src/relay.rs
+++ b/crates/gateway/src/relay.rs
@@ -14,11 +14,11 @@
 use tokio::time::sleep;
 
 use crate::engine_stream::{EngineStream, StreamRead};
-use crate::events::{EventBuffer, split};
+use crate::events::{EventBuffer, split_events};
 use crate::gateway::Gateway;
 use crate::inbound::InboundRequest;
 use crate::instance::Destination;
-use crate::migration::{Migration, Step};
+use crate::migration::{Migration, StepOutcome};
 use crate::runs::MigrationOrder;
 use crate::start::{Attempts, StartedGeneration};
 use crate::tracker::RequestTracker;
@@ -159,7 +159,7 @@
         let read = tokio::select! {
             biased;
             read = self.stream.read(&mut self.events, until_ms, &self.gateway), if reads => read,
-            () = sleep(Duration::from_millis(left_ms)), if !reads => StreamRead::Overdue,
+            () = sleep(Duration::from_millis(left_ms)), if !reads => StreamRead::TimedOut,
             () = lost.cancelled(), if reads => StreamRead::Broken,
             () = sleep(silence.unwrap_or_default()), if silence.is_some() => {
                 self.confirm_silence().await
@@ -168,15 +168,15 @@
                 self.begin_migration(order);
                 StreamRead::Bytes
             }
-            step = Migration::step(&mut self.migration), if self.migration.is_some() => {
-                return Some(self.advance(step));
+            outcome = Migration::step(&mut self.migration), if self.migration.is_some() => {
+                return Some(self.advance(outcome));
             }
         };
         match read {
             StreamRead::Bytes => Some(NextStep::Read),
             StreamRead::End => Some(self.handover.end_stream(StreamEnd::Complete)),
             StreamRead::Broken => Some(self.handover.end_stream(StreamEnd::Broken)),
-            StreamRead::Overdue => None,
+            StreamRead::TimedOut => None,
         }
     }
 
@@ -186,7 +186,10 @@
         let target_ms = self.inbound.route.gap_target_ms?;
         // Time spent by the previous engine, for a final copy or in silence, does not count as this
         // engine's silence.
-        let since_ms = self.tracker.last_event_ms()?.max(self.stream.since_ms);
+        let since_ms = self
+            .tracker
+            .last_event_ms()?
+            .max(self.stream.response_at_ms);
         let until_ms = since_ms + (target_ms as f32 * SILENCE_FRACTION) as Millis;
         let left_ms = until_ms.saturating_sub(self.gateway.clock.now_ms());
         can_fail_over.then(|| Duration::from_millis(left_ms))
@@ -198,7 +201,7 @@
         let until_ms = self.gateway.clock.now_ms() + RESUME_READ_MS;
         let read = self.stream.read(&mut self.events, until_ms, &self.gateway);
         match read.await {
-            StreamRead::Overdue => {
+            StreamRead::TimedOut => {
                 self.fail_over_from_silent_engine().await;
                 StreamRead::Bytes
             }
@@ -237,7 +240,7 @@
         };
         let mut fresh = BytesMut::new();
         let mut count = 0;
-        for event in split(&piece) {
+        for event in split_events(&piece) {
             let number = self.gateway.dialect.event_number(&event);
             if let (Some(number), Some(last)) = (number, self.last_event) {
                 if number <= last {
@@ -285,26 +288,26 @@
     }
 
     /// Handles the outcome of a migration step.
-    fn advance(&mut self, step: Step) -> NextStep {
-        let answer = match step {
-            Step::Copied => return self.handover.advance_migration(MigrationStep::Copied),
-            Step::Stopped { to, copy_id } => {
+    fn advance(&mut self, outcome: StepOutcome) -> NextStep {
+        let answer = match outcome {
+            StepOutcome::Copied => return self.handover.advance_migration(MigrationStep::Copied),
+            StepOutcome::Stopped { to, copy_id } => {
                 self.stopped = Some(StoppedGeneration {
                     to: Some(to),
                     copy_id,
                 });
                 return self.handover.advance_migration(MigrationStep::Stopped);
             }
-            Step::StoppedAtSource { copy_id } => {
+            StepOutcome::StoppedAtSource { copy_id } => {
                 self.stopped = Some(StoppedGeneration { to: None, copy_id });
                 return self.handover.advance_migration(MigrationStep::Stopped);
             }
-            Step::Stayed => MigrationAnswer::Stayed,
-            Step::Refused => MigrationAnswer::Refused,
+            StepOutcome::Stayed => MigrationAnswer::Stayed,
+            StepOutcome::Refused => MigrationAnswer::Refused,
             // Before the first event the generation is still queued in its engine, and there is no
             // copy.
-            Step::NotFound if self.tracker.events == 0 => MigrationAnswer::Stayed,
-            Step::NotFound | Step::Orphaned => MigrationAnswer::LeftBehind,
+            StepOutcome::NotFound if self.tracker.events == 0 => MigrationAnswer::Stayed,
+            StepOutcome::NotFound | StepOutcome::Orphaned => MigrationAnswer::LeftBehind,
         };
         let next = self.handover.advance_migration(MigrationStep::NotStopped);
         let has_copy = self.migration.as_ref().is_some_and(Migration::has_copy);
--- a/crates/gateway/src/roster.rs
+++ b/crates/gateway/src/roster.rs
@@ -422,7 +422,7 @@
         self.restored.remove(&name);
         let held = self.entries.get_mut(&name);
         if let Some(held) = &held
-            && held.registration.is_same_start(&registration)
+            && held.registration.is_same_incarnation(&registration)
             && held.registration.state == RegisteredState::Draining
         {
             registration.state = RegisteredState::Draining;
--- a/crates/gateway/src/runs.rs
+++ b/crates/gateway/src/runs.rs
@@ -36,7 +36,7 @@
     /// If it were stated only once its response began, its home would not count it while it is
     /// queued: the home would underestimate the engine's load and send more there, and prompts
     /// would wait for 3 to 6 s on a few engines while others have capacity.
-    pub(crate) fn place(&self, cell: CellKey, statement: RunStatement) {
+    pub(crate) fn record_dispatch(&self, cell: CellKey, statement: RunStatement) {
         let mut entries = self.entries.lock();
         let known = entries.entry(statement.run);
         // A generation that is regenerated elsewhere keeps its relay.
--- a/crates/gateway/src/start.rs
+++ b/crates/gateway/src/start.rs
@@ -12,7 +12,7 @@
 use crate::drain::can_finish;
 use crate::gateway::Gateway;
 use crate::inbound::InboundRequest;
-use crate::instance::{Chosen, Destination};
+use crate::instance::{ChosenUpstream, Destination};
 use crate::key::data_centre_key;
 use crate::problem::Problem;
 use crate::relay::RunGuard;
@@ -31,7 +31,7 @@
 
 /// An engine selected for a generation, with the request counted there.
 struct SelectedEngine {
-    chosen: Chosen,
+    chosen: ChosenUpstream,
     backup: Option<Destination>,
 }
 
@@ -45,7 +45,7 @@
 /// The engines that one request has been sent to.
 #[derive(Default)]
 pub(crate) struct Attempts {
-    tried: Vec<Chosen>,
+    tried: Vec<ChosenUpstream>,
     /// Number of engines on which it may have run.
     runs: u32,
     /// When the last engine was lost, if its stream had begun.
@@ -141,8 +141,8 @@
             // The circuit may have opened while the request waited for capacity.
             self.refuse_if_open(inbound)?;
             attempts.tried.push(selected.chosen.clone());
-            let tried = self.start_on(inbound, run_guard, tracker, selected, last_event);
-            let failure = match tried.await {
+            let attempt = self.start_on(inbound, run_guard, tracker, selected, last_event);
+            let failure = match attempt.await {
                 Ok(started) => {
                     attempts.runs += 1;
                     is_admitted = false;
@@ -161,7 +161,7 @@
             let is_last = match failure {
                 Failure::Unsent | Failure::Shed => false,
                 Failure::Unknown => !inbound.may_run_again(attempts.runs),
-                Failure::Overdue => true,
+                Failure::TimedOut => true,
             };
             if is_last {
                 break;
@@ -184,7 +184,7 @@
         }
         tracker.mark_placed(self.clock.now_ms());
         let statement = run_statement(inbound, run_guard, &selected);
-        self.runs.place(run_guard.cell, statement);
+        self.runs.record_dispatch(run_guard.cell, statement);
         let options = DispatchOptions {
             until_ms: inbound.deadline_ms,
             backup: selected.backup.as_ref().map(|backup| backup.address),
@@ -276,7 +276,7 @@
                     seen,
                 } => {
                     tracker.set_engine_snapshot(seen);
-                    if self.is_throttled(engine).await {
+                    if self.is_start_refused(engine).await {
                         // Other hosts may take every start of this engine, and this request has no
                         // time left to retry.
                         refused_by.extend(is_final_attempt.then_some(engine));
@@ -359,7 +359,7 @@
         Ok(_) => None,
         Err(Failure::Unsent) => Some(Verdict::Unheard),
         Err(Failure::Shed) => Some(Verdict::Shed),
-        Err(Failure::Unknown | Failure::Overdue) => Some(Verdict::Failed),
+        Err(Failure::Unknown | Failure::TimedOut) => Some(Verdict::Failed),
     }
 }
 
--- a/crates/gateway/src/start_limits.rs
+++ b/crates/gateway/src/start_limits.rs
@@ -18,7 +18,7 @@
 use tokio::time::{sleep, timeout};
 
 use crate::gateway::Gateway;
-use crate::instance::{Chosen, InstanceKey};
+use crate::instance::{ChosenUpstream, InstanceKey};
 use crate::instances::Selection;
 use crate::problem::Problem;
 
@@ -122,7 +122,7 @@
         service: &str,
         excluded: &[InstanceKey],
         until_ms: Millis,
-    ) -> Result<Option<Chosen>, Problem> {
+    ) -> Result<Option<ChosenUpstream>, Problem> {
         loop {
             let now_ms = self.clock.now_ms();
             let found = self
@@ -131,7 +131,7 @@
             let (cold, full) = match found {
                 Selection::Warm(chosen) => return Ok(Some(chosen)),
                 Selection::NoneAvailable => return self.explain_no_upstream(now_ms, service),
-                Selection::Limited(upstream) if self.is_throttled(upstream).await => continue,
+                Selection::Limited(upstream) if self.is_start_refused(upstream).await => continue,
                 Selection::Limited(upstream) => {
                     match self.instances.reserve(self.clock.now_ms(), upstream) {
                         Some(chosen) => return Ok(Some(chosen)),
@@ -154,7 +154,7 @@
                 Err(wait_ms) => wait_ms,
             };
             if let Some(full) = full
-                && !self.is_throttled(full).await
+                && !self.is_start_refused(full).await
                 && let Some(chosen) = self.instances.reserve(self.clock.now_ms(), full)
             {
                 return Ok(Some(chosen));
@@ -173,7 +173,7 @@
     ///
     /// # Errors
     /// How long to wait for the next start at any of them, in ms.
-    async fn start_on_cold(&self, cold: &[UpstreamKey]) -> Result<Chosen, Millis> {
+    async fn start_on_cold(&self, cold: &[UpstreamKey]) -> Result<ChosenUpstream, Millis> {
         let mut min_wait_ms = NO_HOME_RETRY_MS;
         // Each host begins at a random upstream, which spreads the requests over the homes.
         let offset = rand::random_range(0..cold.len());
@@ -209,7 +209,7 @@
         &self,
         now_ms: Millis,
         service: &str,
-    ) -> Result<Option<Chosen>, Problem> {
+    ) -> Result<Option<ChosenUpstream>, Problem> {
         if !self.instances.is_evacuated(service) {
             return Ok(None);
         }
@@ -363,10 +363,10 @@
         cold.is_some_and(|cold| self.clock.now_ms() < cold.until_ms)
     }
 
-    /// Whether the advertised limit of an upstream leaves no start for this host now. In that case
-    /// the upstream is throttled locally until the time that the home gave, and other requests do
-    /// not ask the home until then.
-    pub(crate) async fn is_throttled(&self, upstream: UpstreamKey) -> bool {
+    /// Requests a start if the upstream advertises a limit; returns whether it was refused. In that
+    /// case the upstream is throttled locally until the time that the home gave, and other requests
+    /// do not ask the home until then.
+    pub(crate) async fn is_start_refused(&self, upstream: UpstreamKey) -> bool {
         let request = StartRequest {
             is_cold: false,
             limit: self
@@ -386,7 +386,7 @@
         &self,
         upstream: UpstreamKey,
         until_ms: Millis,
-    ) -> Option<Chosen> {
+    ) -> Option<ChosenUpstream> {
         let until_ms = until_ms.min(self.clock.now_ms() + CONTINUATION_WAIT_MS);
         while let Err(wait_ms) = self.request_start_if_limited(upstream).await {
             if self.clock.now_ms() + wait_ms > until_ms {
--- a/crates/gateway/src/store_era.rs
+++ b/crates/gateway/src/store_era.rs
@@ -83,7 +83,7 @@
         received: Revision,
         known: Revision,
     ) {
-        self.metrics.drop_answer(what);
+        self.metrics.dropped_answer(what);
         let now_ms = self.clock.now_ms();
         if self.store_era.dropped_log.allows(now_ms, LOG_INTERVAL_MS) {
             warn!("store: stale answer on {what} dropped: revision {received} is before {known}");
--- a/crates/gateway/src/store_sync.rs
+++ b/crates/gateway/src/store_sync.rs
@@ -18,7 +18,7 @@
 
 /// Share of the bound within which a change must be in force that one watch waits. A store that
 /// falls silent or loses an answer is detected only when the watch ends; each watch costs a call.
-pub(crate) const WATCH_SHARE: f32 = 0.5;
+pub(crate) const WATCH_WAIT_FRACTION: f32 = 0.5;
 /// How often a host that does not watch checks whether it should.
 const WATCH_CHECK_PERIOD: Duration = Duration::from_millis(200);
 /// How often a host that has just started checks whether its peers have been asked.
@@ -29,7 +29,7 @@
 /// Share of the same bound that passes between two watches of the upstreams, so that changes close
 /// together cost one call. The home of a cell does not wait, as the notice of a leaving engine is
 /// short.
-const WATCH_PAUSE_SHARE: f32 = 0.06;
+const WATCH_PAUSE_FRACTION: f32 = 0.06;
 /// How often state that is kept for a limited time is checked for expiry.
 const EXPIRY_CHECK_PERIOD: Duration = Duration::from_millis(100);
 
@@ -55,14 +55,14 @@
     /// Watches the operator's configuration while this host is the watcher of its area.
     pub(crate) async fn sync_configuration(self: Arc<Self>) {
         let source = &*self.metadata.configuration;
-        let wait = self.share_of_change_bound(WATCH_SHARE);
+        let wait = self.fraction_of_change_bound(WATCH_WAIT_FRACTION);
         let mut reader = CollectionReader::new("the configuration", "configuration");
         let mut initial_reads = InitialReads::default();
         let mut revision = None;
         loop {
             if !self.is_watcher() {
                 revision = None;
-                if self.version() == 0 && initial_reads.is_due(&self) {
+                if self.configuration_version() == 0 && initial_reads.is_due(&self) {
                     self.read_configuration().await;
                 }
                 sleep(self.watch_check_period()).await;
@@ -86,7 +86,7 @@
 
     /// Applies the stored configuration, and announces it.
     fn apply_stored_configuration(self: &Arc<Self>, configuration: Configuration) {
-        let (stored, held) = (configuration.version, self.version());
+        let (stored, held) = (configuration.version, self.configuration_version());
         if stored < held {
             info!("configuration: the store has version {stored}, {held} stays in force");
         }
@@ -98,7 +98,7 @@
     /// Watches the upstreams' registrations while this host is a watcher or the home of a cell.
     pub(crate) async fn sync_registrations(self: Arc<Self>) {
         let source = &*self.metadata.registrations;
-        let wait = self.share_of_change_bound(WATCH_SHARE);
+        let wait = self.fraction_of_change_bound(WATCH_WAIT_FRACTION);
         let mut reader = CollectionReader::new("the upstreams", "upstreams");
         let mut initial_reads = InitialReads::default();
         let mut is_listed = false;
@@ -122,7 +122,7 @@
                     self.apply_registrations(update);
                     self.schedule_directory_announcement();
                     if !self.is_home_of_any_cell() {
-                        sleep(self.share_of_change_bound(WATCH_PAUSE_SHARE)).await;
+                        sleep(self.fraction_of_change_bound(WATCH_PAUSE_FRACTION)).await;
                     }
                 }
                 Err(error) => {
@@ -150,8 +150,8 @@
         });
     }
 
-    fn share_of_change_bound(&self, share: f32) -> Duration {
-        Duration::from_millis((self.settings.change_bound_ms as f32 * share) as u64)
+    fn fraction_of_change_bound(&self, fraction: f32) -> Duration {
+        Duration::from_millis((self.settings.change_bound_ms as f32 * fraction) as u64)
     }
 
     /// Whether a peer or the store has provided a list of upstreams.
--- a/crates/gateway/src/stored_circuits.rs
+++ b/crates/gateway/src/stored_circuits.rs
@@ -46,7 +46,7 @@
 
     async fn write_circuit(&self, circuit: Circuit) {
         let (content, version) = (circuit.content, circuit.version);
-        let stored = stored(Clock::wall_ms(), circuit);
+        let stored = to_stored(Clock::wall_ms(), circuit);
         for _ in 0..WRITE_ATTEMPTS {
             // A late write would remain in the store after the circuit was closed.
             if self.circuit_breakers.version(content) != Some(version) {
@@ -95,34 +95,36 @@
                 *self.circuits_era.lock() = Some(all.revision.era);
                 self.report_unusable_in_list("the circuits", &all);
                 let stored = all.items.iter();
-                let stored = stored
+                let openings = stored
                     .map(|circuit| (circuit.content, circuit.openings))
                     .collect();
                 let unix_ms = Clock::wall_ms();
                 let circuits = all
                     .items
                     .into_iter()
-                    .map(|circuit| restored(unix_ms, circuit));
+                    .map(|circuit| from_stored(unix_ms, circuit));
                 let (expired, circuits) = circuits.partition(Circuit::is_expired);
                 let changes = adopt_circuits(self.as_ref(), circuits, "the store");
                 if !changes.is_empty() {
                     self.announce(ReplicatedState::Circuits, &changes, self.area_branches());
                 }
                 self.remove_expired(expired).await;
-                self.restore_circuits(&stored);
+                self.restore_circuits(&openings);
             }
             Err(error) => warn!("circuits: the stored circuits can't be read: {error}"),
         }
     }
 
     /// Updates the store with the circuits that this host knows, after a restore from a backup.
-    fn restore_circuits(self: &Arc<Self>, stored: &HashMap<ContentKey, u32>) {
+    /// `openings` are those of the stored circuits.
+    fn restore_circuits(self: &Arc<Self>, openings: &HashMap<ContentKey, u32>) {
         let known = self.circuit_breakers.circuits(self.clock.now_ms());
-        let Restoration { write, remove } = Restoration::of(known, stored);
+        let Restoration { write, remove } = Restoration::of(known, openings);
         if !write.is_empty() || !remove.is_empty() {
-            let (lacks, has) = (write.len(), remove.len());
             info!(
-                "circuits: writing {lacks} that the store lacks, removing {has} that were closed"
+                "circuits: writing {} that the store lacks, removing {} that were closed",
+                write.len(),
+                remove.len()
             );
         }
         for circuit in write {
@@ -143,7 +145,7 @@
     }
 }
 
-fn stored(unix_ms: u64, circuit: Circuit) -> StoredCircuit {
+fn to_stored(unix_ms: u64, circuit: Circuit) -> StoredCircuit {
     StoredCircuit {
         content: circuit.content,
         openings: circuit.openings,
@@ -158,7 +160,7 @@
 /// The difference between the clock of the writer and that of the reader shifts the time at which
 /// the circuit half-opens: earlier if this clock is ahead, later if it is behind. The shift is
 /// a matter of seconds, while a circuit stays open for minutes.
-fn restored(unix_ms: u64, stored: StoredCircuit) -> Circuit {
+fn from_stored(unix_ms: u64, stored: StoredCircuit) -> Circuit {
     let age_ms: Millis = unix_ms.saturating_sub(stored.since_unix_ms);
     Circuit {
         content: stored.content,
--- a/crates/gateway/src/tracker.rs
+++ b/crates/gateway/src/tracker.rs
@@ -8,7 +8,7 @@
 use crate::configuration::{Route, RouteKind};
 use crate::gateway::Gateway;
 use crate::head::GenerationHead;
-use crate::instance::Chosen;
+use crate::instance::ChosenUpstream;
 use crate::key::run_key;
 use crate::metrics::EndLabels;
 use crate::problem::Problem;
@@ -52,7 +52,7 @@
 impl RequestTracker {
     pub(crate) fn new(gateway: Arc<Gateway>, arrived_ms: Millis) -> Self {
         Self {
-            version: gateway.version(),
+            version: gateway.configuration_version(),
             gateway,
             id: String::new(),
             content: None,
@@ -196,12 +196,12 @@
 /// dropped.
 pub(crate) struct InFlightRequest {
     gateway: Arc<Gateway>,
-    pub(crate) chosen: Chosen,
+    pub(crate) chosen: ChosenUpstream,
     verdict: Verdict,
 }
 
 impl InFlightRequest {
-    pub(crate) fn new(gateway: Arc<Gateway>, chosen: Chosen) -> Self {
+    pub(crate) fn new(gateway: Arc<Gateway>, chosen: ChosenUpstream) -> Self {
         Self {
             gateway,
             chosen,
--- a/crates/gateway/src/unusable_entries.rs
+++ b/crates/gateway/src/unusable_entries.rs
@@ -37,7 +37,7 @@
             count += 1;
         }
         let Some(first) = first else { return };
-        self.metrics.skip_entries(what, count);
+        self.metrics.skipped_entries(what, count);
         if self
             .unusable_log
             .allows(self.clock.now_ms(), LOG_INTERVAL_MS)
--- a/crates/gateway/src/upstream_table.rs
+++ b/crates/gateway/src/upstream_table.rs
@@ -7,7 +7,7 @@
 use spdlog::info;
 
 use crate::directory::Registration;
-use crate::instance::{Chosen, Instance, InstanceKey};
+use crate::instance::{ChosenUpstream, Instance, InstanceKey};
 
 /// How long the backpressure of an unregistered upstream is kept. Entries that expired during a
 /// store outage are back within seconds of its end, and an outage lasts for minutes.
@@ -38,7 +38,7 @@
         let known = self.by_name.remove(&registration.instance);
         if let Some(key) = known {
             let instance = &mut self.arena[key];
-            if instance.is_start_of(registration) {
+            if instance.is_same_incarnation(registration) {
                 if instance.registration != *registration {
                     instance.registration = registration.clone();
                     instance.apply_stated_cold(now_ms);
@@ -87,9 +87,9 @@
     }
 
     /// Counts a request at an upstream.
-    pub(crate) fn start(&mut self, now_ms: Millis, key: InstanceKey) -> Chosen {
+    pub(crate) fn begin_request(&mut self, now_ms: Millis, key: InstanceKey) -> ChosenUpstream {
         let instance = &mut self.arena[key];
-        Chosen {
+        ChosenUpstream {
             key,
             upstream: instance.upstream,
             instance: instance.registration.instance.clone(),
