--- a/crates/gateway/src/control.rs
+++ b/crates/gateway/src/control.rs
@@ -49,7 +49,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ProbeResult {
     /// When the process that responds started, in Unix milliseconds by the engine's clock.
-    pub born_ms: Option<Millis>,
+    pub started_at_ms: Option<Millis>,
     /// The state of the engine.
     pub status: EngineStatus,
 }
--- a/crates/gateway/src/probe.rs
+++ b/crates/gateway/src/probe.rs
@@ -114,7 +114,7 @@
     /// recorded as a restart; a result of an earlier start arrived late.
     fn is_current_incarnation(&self, engine: UpstreamKey, result: ProbeResult) -> bool {
         let known = self.instances.registration(engine);
-        let Some((known, reported_ms)) = known.zip(result.born_ms) else {
+        let Some((known, reported_ms)) = known.zip(result.started_at_ms) else {
             return true;
         };
         let Some(known_ms) = known.started_at_ms else {
