--- a/crates/gateway/src/probe.rs
+++ b/crates/gateway/src/probe.rs
@@ -122,7 +122,7 @@
         };
         if reported_ms > known_ms {
             let mut roster = self.roster.lock();
-            if roster.observe_start(&known.instance, reported_ms) {
+            if roster.observe_restart(&known.instance, reported_ms) {
                 self.apply_directory(&roster.directory());
             }
         }
--- a/crates/gateway/src/roster.rs
+++ b/crates/gateway/src/roster.rs
@@ -370,7 +370,7 @@
     ///
     /// The upstream's entry may still be that of the previous start: the report on a connection
     /// comes first.
-    pub fn observe_start(&mut self, instance: &str, started_at_ms: Millis) -> bool {
+    pub fn observe_restart(&mut self, instance: &str, started_at_ms: Millis) -> bool {
         let Some(entry) = self.entries.get_mut(instance) else {
             return false;
         };
--- a/crates/gateway/tests/roster.rs
+++ b/crates/gateway/tests/roster.rs
@@ -430,10 +430,10 @@
         unusable: Vec::new(),
     };
     roster.replace(0, listed(1, 5));
-    assert!(roster.observe_start("i-1", 9));
-    assert!(!roster.observe_start("i-1", 9), "the start is known");
-    assert!(!roster.observe_start("i-1", 5), "the start is earlier");
-    assert!(!roster.observe_start("i-2", 9), "the upstream is unknown");
+    assert!(roster.observe_restart("i-1", 9));
+    assert!(!roster.observe_restart("i-1", 9), "the start is known");
+    assert!(!roster.observe_restart("i-1", 5), "the start is earlier");
+    assert!(!roster.observe_restart("i-2", 9), "the upstream is unknown");
     roster.replace(1, listed(2, 5));
     assert_eq!(roster.directory().registrations[0].started_at_ms, Some(9));
 }
