--- a/crates/gateway/src/availability.rs
+++ b/crates/gateway/src/availability.rs
@@ -11,7 +11,7 @@
 pub(crate) struct ColdLimit {
     /// How long an upstream is cold after its start.
     pub(crate) cold_ms: Millis,
-    /// Starts that one host may grant within any one second during that time.
+    /// Requests that one host may let start within any one second during that time.
     pub(crate) starts: u32,
 }
 
--- a/crates/gateway/src/backpressure.rs
+++ b/crates/gateway/src/backpressure.rs
@@ -60,7 +60,8 @@
         backpressure.merge_limit(per_s, received_ms);
     }
 
-    /// Blocks starts of this host at an upstream until `until_ms`: its limit allows none before.
+    /// Blocks new requests of this host to an upstream until `until_ms`: its limit allows none
+    /// before.
     pub(crate) fn throttle_until(&self, upstream: UpstreamKey, until_ms: Millis) {
         let mut table = self.table.lock();
         let backpressure = table.backpressure.entry(upstream).or_default();
--- a/crates/gateway/src/cells.rs
+++ b/crates/gateway/src/cells.rs
@@ -73,11 +73,11 @@
             );
             if partitioning_change.has_changed {
                 has_new_layout = true;
-                // Engines that moved to another cell would be taken for leaving engines; homes
-                // learn of the generations from the next statements.
+                // The tables are discarded, since engines that moved to another cell would be taken
+                // for leaving engines; homes learn of the generations from the next statements.
                 tables.retain(|_, table| table.service != service.name);
             }
-            // In a cell that has lost its last engine, all engines count as leaving.
+            // In a cell without registered engines, all earlier engines count as leaving.
             for (key, table) in tables.iter_mut() {
                 if table.service == service.name && !by_cell.contains_key(key) {
                     table.cell.set_engines(now_ms, &[]);
--- a/crates/gateway/src/collection_reader.rs
+++ b/crates/gateway/src/collection_reader.rs
@@ -119,8 +119,8 @@
         }
     }
 
-    /// Logs a failed call and waits before the next one. The collection has to be listed again
-    /// then: after an outage a list is more complete than a watch from an old revision.
+    /// Logs a failed call and waits before the next one, which has to be a list: after an outage a
+    /// list is more complete than a watch from an old revision.
     pub(crate) async fn handle_failure(&mut self, gateway: &Arc<Gateway>, error: &StoreError) {
         if !error.is_outage() {
             info!("store: {} to be read anew: {error}", self.what);
--- a/crates/gateway/src/control.rs
+++ b/crates/gateway/src/control.rs
@@ -1,4 +1,4 @@
-//! The engines' calls for probing an engine and for copying a generation's KV cache to another one.
+//! Calls to engines: probing an engine, and copying a generation's KV cache to another one.
 
 use std::net::SocketAddr;
 
@@ -63,7 +63,7 @@
     pub events: u64,
 }
 
-/// The engines' calls for probing an engine and for copying a generation's KV cache to another one.
+/// Calls to engines: probing an engine, and copying a generation's KV cache to another one.
 #[async_trait]
 pub trait EngineControl: Send + Sync {
     /// Copies the new part of a generation's KV cache while the generation continues.
--- a/crates/gateway/src/crashes.rs
+++ b/crates/gateway/src/crashes.rs
@@ -13,7 +13,7 @@
 use crate::instance::ChosenUpstream;
 
 /// An upstream that accepts connections may have been restarted already: its registration shows
-/// the new start within this time.
+/// the new incarnation within this time.
 const RESTART_TIMEOUT: Duration = Duration::from_millis(1_000);
 
 /// A run whose connection ended before its response did.
@@ -23,7 +23,7 @@
     request: String,
     pub(crate) content: ContentKey,
     pub(crate) service: String,
-    /// How long the response had run; `None` if none of it had arrived.
+    /// Time since the first bytes of the response; `None` if none had arrived.
     ran_ms: Option<Millis>,
 }
 
@@ -43,7 +43,7 @@
         }
     }
 
-    /// The start of the upstream that ended.
+    /// The incarnation of the upstream that ended.
     pub(crate) fn upstream(&self) -> UpstreamKey {
         self.chosen.upstream
     }
--- a/crates/gateway/src/departures.rs
+++ b/crates/gateway/src/departures.rs
@@ -7,8 +7,8 @@
 
 use crate::directory::{Departure, Registration};
 
-/// Upper limit of stored departures: ten times the number that occur while an update passes through
-/// a fleet, at hundreds a second.
+/// Maximum number of stored departures: ten times as many as occur, at hundreds a second, while an
+/// update reaches all hosts of a fleet.
 const MAX_DEPARTURES: usize = 1_024;
 /// Departures that remain after the limit was exceeded.
 const KEPT_DEPARTURES: usize = MAX_DEPARTURES / 2;
@@ -54,7 +54,7 @@
         self.stored.remove(instance);
     }
 
-    /// Whether this start of an upstream had left before an era.
+    /// Whether this incarnation of an upstream had left before an era.
     pub(crate) fn left_before_era(&self, registration: &Registration, era: u64) -> bool {
         let stored = self.stored.get(&registration.instance);
         stored.is_some_and(|stored| {
--- a/crates/gateway/src/directory.rs
+++ b/crates/gateway/src/directory.rs
@@ -14,14 +14,14 @@
     Draining,
 }
 
-/// One start of one upstream, as it registered itself.
+/// One incarnation (process lifetime) of one upstream, as it registered itself.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Registration {
     /// Its name, which is the same after a restart; its address may be reused by another upstream.
     pub instance: String,
-    /// When this start began, in Unix milliseconds by the upstream's own clock. A later start
-    /// supersedes an earlier one and holds none of its state, so name and start time together
-    /// identify where a request, generation or copy is.
+    /// When this incarnation started, in Unix milliseconds by the upstream's own clock. A later
+    /// incarnation supersedes an earlier one and holds none of its state, so name and start time
+    /// together identify where a request, generation or copy is.
     #[serde(rename = "born_ms")]
     pub started_at_ms: Option<Millis>,
     /// The service to which it belongs.
@@ -39,7 +39,7 @@
 }
 
 impl Registration {
-    /// The departure of this start at a revision.
+    /// The departure of this incarnation at a revision.
     pub(crate) fn departure(&self, at: Revision) -> Departure {
         Departure {
             instance: self.instance.clone(),
@@ -48,18 +48,18 @@
         }
     }
 
-    /// Whether both registrations belong to the same start of one upstream.
+    /// Whether both registrations belong to the same incarnation of one upstream.
     pub(crate) fn is_same_incarnation(&self, other: &Self) -> bool {
         self.instance == other.instance && self.started_at_ms == other.started_at_ms
     }
 }
 
-/// A start of an upstream that has left.
+/// An incarnation of an upstream that has left.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Departure {
     /// Its name.
     pub instance: String,
-    /// When that start began.
+    /// When that incarnation started.
     #[serde(rename = "born_ms")]
     pub started_at_ms: Option<Millis>,
     /// The revision at which it had left.
@@ -105,8 +105,8 @@
 }
 
 impl Directory {
-    /// The revision of a list that was read before a confirmed one. A host at this revision may
-    /// pass on its list, and accepts any other.
+    /// The revision of a list that may be stale, from which a host starts. A host at this revision
+    /// may pass its list on to peers, and accepts any other list.
     pub const PROVISIONAL: Revision = Revision::new(0, 1);
 }
 
--- a/crates/gateway/src/dissemination.rs
+++ b/crates/gateway/src/dissemination.rs
@@ -34,8 +34,8 @@
 const STORE_UNREADABLE_TTL_MS: Millis = 2_500;
 /// Minimum time between two such announcements of one host.
 const STORE_UNREADABLE_INTERVAL_MS: Millis = 400;
-/// Changes of the upstreams within this time are announced together; a leaving upstream may receive
-/// requests for up to two seconds.
+/// Changes of the upstreams within this time are announced together. The delay is short against the
+/// two seconds for which a leaving upstream may still receive requests.
 const ANNOUNCE_DELAY: Duration = Duration::from_millis(100);
 
 /// What this host has announced, and what other hosts have announced about their store access.
--- a/crates/gateway/src/engine_stream.rs
+++ b/crates/gateway/src/engine_stream.rs
@@ -26,9 +26,9 @@
 /// The response stream of the engine that currently generates.
 pub(crate) struct EngineStream {
     pub(crate) in_flight: InFlightRequest,
-    /// When its response began.
+    /// When the head of its response arrived.
     pub(crate) response_at_ms: Millis,
-    /// When the first bytes of its stream arrived.
+    /// When the first bytes of its body arrived.
     pub(crate) first_bytes_ms: Option<Millis>,
     body: Incoming,
     _connection: Connection,
--- a/crates/gateway/src/fleet.rs
+++ b/crates/gateway/src/fleet.rs
@@ -56,7 +56,7 @@
     presence: Mutex<PresenceLog>,
     /// State that is being fetched from a peer.
     fetching: Mutex<HashSet<ReplicatedState>>,
-    /// Whether this start of the host has ever written its entry.
+    /// Whether this incarnation of the host has ever written its entry.
     has_written_entry: AtomicBool,
     has_entry: AtomicBool,
     /// Time of the last ping or answer from another host.
@@ -66,9 +66,9 @@
 impl Fleet {
     /// Creates a fleet of this host alone.
     ///
-    /// The name is unique to this start. A restarted host is a new member, and the previous one is
-    /// declared dead by not answering. If both were the same member, only a clock could tell which
-    /// start a rumour is about, and clocks jump.
+    /// The name is unique to this incarnation. A restarted host is a new member, and the previous
+    /// one is declared dead because it does not answer. If both were the same member, only a clock
+    /// could tell which incarnation a rumour is about, and clocks jump.
     pub(crate) fn new(now_ms: Millis, host: &HostRegistration, has_seeds: bool) -> Self {
         let start: u64 = rand::random();
         let member = MemberInfo {
@@ -91,7 +91,7 @@
         }
     }
 
-    /// Whether this start of the host has ever written its entry into the store.
+    /// Whether this incarnation of the host has ever written its entry into the store.
     pub(crate) fn has_written_entry(&self) -> bool {
         self.has_written_entry.load(Ordering::Relaxed)
     }
@@ -194,7 +194,7 @@
         match self.send_ping(target.address, ping, digest).await {
             Some((pong, theirs)) => {
                 if pong.from.member.name != target.name {
-                    // Another start uses the address: the previous one has ended.
+                    // Another incarnation uses the address: the previous one has ended.
                     self.mark_dead(&target);
                 }
                 self.handle_pong(target.address, pong, theirs).await;
--- a/crates/gateway/src/forward.rs
+++ b/crates/gateway/src/forward.rs
@@ -1,4 +1,5 @@
-//! Requests whose response is buffered, and retried on another upstream where that is safe.
+//! Requests whose response is buffered and which are retried on another upstream where that is
+//! safe.
 
 use std::sync::Arc;
 use std::time::Duration;
--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -306,9 +306,10 @@
 
 /// Used until a configuration is known.
 const DEFAULT_HEADER_LIMIT_BYTES: usize = 16_384;
+/// The idle time until a configuration is known, and the least that is used afterwards.
 const DEFAULT_IDLE_MS: Millis = 15_000;
-/// Added to the operator's idle time: a caller may send just as it runs out, and a request that
-/// crosses the close of its connection is lost.
+/// Added to the idle time: a caller may send just as it runs out, and a request that is sent while
+/// the gateway closes the connection is lost.
 const IDLE_MARGIN_MS: Millis = 2_000;
 
 impl ConnectionLimits for Gateway {
@@ -324,8 +325,8 @@
         let idle_ms = limits.map_or(DEFAULT_IDLE_MS, |limits| {
             limits.idle_ms.max(limits.header_ms)
         });
-        // The idle time may be raised while a connection is open, but the connection's bound was
-        // set when it was accepted.
+        // Doubled, since the operator may raise the idle time while a connection is open, but the
+        // connection's bound was set when it was accepted.
         Duration::from_millis(idle_ms.max(DEFAULT_IDLE_MS) * 2 + IDLE_MARGIN_MS)
     }
 }
--- a/crates/gateway/src/homes.rs
+++ b/crates/gateway/src/homes.rs
@@ -23,7 +23,7 @@
 /// Between two checks of a leaving engine that has nothing to migrate at the moment.
 const MIGRATION_CHECK_PERIOD: Duration = Duration::from_millis(25);
 
-/// This host's work for cells.
+/// State of this host's work as the home of cells, and in place of homes that do not answer.
 #[derive(Default)]
 pub(crate) struct CellDuties {
     /// Engines from which this host is migrating generations.
@@ -55,8 +55,8 @@
     }
 
     /// Asks the cell's home where to start a generation. If the home does not answer, this host
-    /// decides by its own table, which covers only its own generations; that is better than no
-    /// answer.
+    /// decides by its own table, which covers only its own generations: an imperfect placement is
+    /// better than none.
     pub(crate) async fn place(&self, cell: CellKey, request: PlacementRequest) -> Placement {
         if let Some((key, member)) = self.home_of(cell)
             && key != self.host_key()
@@ -76,8 +76,8 @@
             }
         }
         let placement = self.place_locally(cell, request);
-        // A cell's home counts its starts at a cold engine; a host that places in its stead has to
-        // request each start from the engine's home.
+        // A cell's home counts the generations that start at a cold engine; a host that places in
+        // its stead has to request each start from the engine's home.
         if let Placement::On { engine, .. } = placement
             && !self.is_home(cell)
             && let Err(retry_after_ms) = self.request_start_if_cold(engine).await
--- a/crates/gateway/src/instance.rs
+++ b/crates/gateway/src/instance.rs
@@ -1,4 +1,4 @@
-//! One start of an upstream as known to this host, and references to it.
+//! One incarnation of an upstream as known to this host, and references to it.
 
 use std::net::SocketAddr;
 
@@ -11,17 +11,17 @@
 use crate::key::upstream_key;
 
 new_key_type! {
-    /// Key of an upstream's start in this host's arena.
+    /// Key of an upstream's incarnation in this host's arena.
     pub(crate) struct InstanceKey;
 }
 
-/// One start (process lifetime) of an upstream.
+/// One incarnation (process lifetime) of an upstream.
 #[derive(Debug)]
 pub(crate) struct Instance {
     pub(crate) upstream: UpstreamKey,
     pub(crate) registration: Registration,
     pub(crate) stats: UpstreamStats,
-    /// The upstream has announced on a connection that it is leaving.
+    /// Another upstream answers at its address, so it has left.
     pub(crate) is_gone: bool,
     /// Its data centre is evacuated.
     pub(crate) is_evacuated: bool,
--- a/crates/gateway/src/instances.rs
+++ b/crates/gateway/src/instances.rs
@@ -90,8 +90,8 @@
     /// Selects an upstream of a service, and counts the request there unless a start must be
     /// requested first.
     ///
-    /// Cold upstreams are not used while a warm one has capacity, because each of their starts
-    /// costs a request to the home.
+    /// Cold upstreams are not used while a warm one has capacity, because each request that starts
+    /// there costs a message to the home.
     pub(crate) fn choose(
         &self,
         now_ms: Millis,
@@ -190,9 +190,9 @@
         })
     }
 
-    /// Counts a generation that resumes at an upstream, including an upstream that is leaving: the
-    /// generation may have to resume where it was. An evacuated upstream receives none, and one
-    /// that has asked for backoff very few.
+    /// Counts a generation that resumes at an upstream, which may be leaving: the generation may
+    /// have to resume where it was. An evacuated upstream receives none, and one that has asked for
+    /// backoff very few.
     pub(crate) fn reserve_continuation(
         &self,
         now_ms: Millis,
@@ -224,7 +224,7 @@
         found.filter(|_| !is_evacuated && !is_throttled)
     }
 
-    /// The current start of an upstream, as a destination.
+    /// The current incarnation of an upstream, as a destination.
     pub(crate) fn find(&self, upstream: UpstreamKey) -> Option<Destination> {
         let table = self.table.lock();
         let instance = &table.arena[*table.by_upstream.get(&upstream)?];
@@ -235,7 +235,7 @@
         })
     }
 
-    /// The registration of an upstream's current start.
+    /// The registration of an upstream's current incarnation.
     pub(crate) fn registration(&self, upstream: UpstreamKey) -> Option<Registration> {
         let table = self.table.lock();
         let key = table.by_upstream.get(&upstream)?;
@@ -290,7 +290,7 @@
         self.with(key, |instance| instance.stats.penalise_until(until_ms));
     }
 
-    /// Marks an upstream as gone for good: another upstream answers at its address.
+    /// Marks an upstream as gone: another upstream answers at its address.
     pub(crate) fn mark_gone(&self, key: InstanceKey) {
         self.with(key, |instance| instance.is_gone = true);
     }
--- a/crates/gateway/src/key.rs
+++ b/crates/gateway/src/key.rs
@@ -5,7 +5,7 @@
 
 use crate::directory::Registration;
 
-/// The key of one start of an upstream.
+/// The key of one incarnation of an upstream.
 pub(crate) fn upstream_key(registration: &Registration) -> UpstreamKey {
     match registration.started_at_ms {
         Some(started_at_ms) => {
@@ -15,7 +15,7 @@
     }
 }
 
-/// The key of an upstream, the same for all its starts.
+/// The key of an upstream, the same for all its incarnations.
 pub(crate) fn name_key(registration: &Registration) -> u64 {
     hash(&registration.instance)
 }
--- a/crates/gateway/src/migration.rs
+++ b/crates/gateway/src/migration.rs
@@ -1,5 +1,5 @@
-//! Live migration of one generation: a long copy while it runs, then a short final copy after it is
-//! stopped.
+//! Live migration of one generation: a first copy while it runs, then a short final copy after it
+//! is stopped.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -12,10 +12,10 @@
 use crate::instance::Destination;
 use crate::runs::MigrationOrder;
 
-/// The outcome of a migration step.
+/// The outcome of one step of a migration.
 #[derive(Debug, Clone)]
 pub(crate) enum StepOutcome {
-    /// The long copy is complete; the short one is in progress.
+    /// The first copy is complete; the final one is in progress.
     Copied,
     /// The generation continues on the source.
     Stayed,
@@ -70,7 +70,7 @@
         self.to.address
     }
 
-    /// Whether the long copy is complete at the destination.
+    /// Whether the first copy is complete at the destination.
     pub(crate) fn has_copy(&self) -> bool {
         self.copy_id.is_some()
     }
--- a/crates/gateway/src/probe.rs
+++ b/crates/gateway/src/probe.rs
@@ -3,7 +3,7 @@
 //! A registration shows that an engine is leaving as long as the store can be read. During a store
 //! outage, an engine that has ended would look empty to its home, which would send each new
 //! generation there first: hosts would find closed ports until their attempts were used up, and
-//! generations on engines whose notice reached no host would be cut off. The home therefore probes
+//! generations would be cut off on engines whose notice of leaving reached no host. The home probes
 //! engines with reported failures, and all engines of its cells during an outage and until they
 //! have registered again: an engine that leaves in that time never registers again.
 
@@ -20,8 +20,8 @@
 use crate::control::ProbeResult;
 use crate::gateway::Gateway;
 
-/// Minimum time between two probes of one engine. Together with the age of an engine's reports, a
-/// notice is detected when half of the shortest one is left.
+/// Minimum time between two probes of one engine. Together with the age of an engine's reports, it
+/// lets a notice of leaving be detected when half of the shortest notice period is left.
 const MIN_PROBE_INTERVAL_MS: Millis = 300;
 /// Between two rounds of probes of all engines during a store outage, and of unreachable engines to
 /// detect that they are back.
@@ -110,8 +110,8 @@
         }
     }
 
-    /// Whether a probe result comes from the known start of an engine. A result of a later start is
-    /// recorded as a restart; a result of an earlier start arrived late.
+    /// Whether a probe result comes from the known incarnation of an engine. A result of a later
+    /// one is recorded as a restart; a result of an earlier one arrived late.
     fn is_current_incarnation(&self, engine: UpstreamKey, result: ProbeResult) -> bool {
         let known = self.instances.registration(engine);
         let Some((known, reported_ms)) = known.zip(result.started_at_ms) else {
@@ -145,7 +145,7 @@
 
     /// Probes a leaving engine for the time that it has left.
     ///
-    /// Notices differ by a third. If the shortest notice were assumed, the last third of a longer
+    /// Notice periods differ by a third. If the shortest were assumed, the last third of a longer
     /// one would go unused; if a longer one were assumed, the engine's end would cut off transfers.
     pub(crate) async fn probe_time_left(self: Arc<Self>, cell: CellKey, engine: UpstreamKey) {
         for wait in TIME_LEFT_PROBE_DELAYS {
--- a/crates/gateway/src/problem.rs
+++ b/crates/gateway/src/problem.rs
@@ -139,7 +139,8 @@
             | Self::Cold { retry_after_ms }
             | Self::Throttled { retry_after_ms }
             | Self::Quarantined { retry_after_ms } => Some(retry_after_ms),
-            // Larger engines may come with another configuration, but not sooner.
+            // Larger engines can only come with another configuration, which takes at least this
+            // long.
             Self::TooLarge => Some(30_000),
             // Another host accepts the request immediately.
             Self::Stopping | Self::TooLateToSend => Some(0),
--- a/crates/gateway/src/record.rs
+++ b/crates/gateway/src/record.rs
@@ -37,8 +37,8 @@
     pub request: String,
     /// The generation's key, as in the log lines of its cell's home.
     pub run: String,
-    /// Hash of the content and the organisation: equal for all retries of a caller. `None` if the
-    /// request was refused before that was known.
+    /// Hash of the content and the organisation: equal for all retries by a caller. `None` if the
+    /// request was refused before it was computed.
     pub content: Option<String>,
     /// The route's name; empty if no route matched.
     pub route: String,
--- a/crates/gateway/src/recovery.rs
+++ b/crates/gateway/src/recovery.rs
@@ -14,8 +14,8 @@
 use crate::relay::{Relay, StoppedGeneration};
 use crate::start::StartedGeneration;
 
-/// A stopped engine closes its stream just before it responds; data in transit arrives within the
-/// latency between data centres.
+/// Time to read the data in transit from a stopped engine, which closes its stream just before it
+/// responds: the latency between data centres.
 const DRAIN_TIMEOUT_MS: Millis = 12;
 /// A running copy that does not resume within this time is no better than a silent engine.
 const RESUME_TIMEOUT_MS: Millis = 300;
@@ -23,8 +23,8 @@
 const MAX_RECOVERIES: u32 = 3;
 
 impl Relay {
-    /// Resumes after an engine was lost: from the running copy of the KV cache, or from the copy
-    /// that a migration has made so far.
+    /// Resumes after an engine was lost: from the copy that a migration has made so far, or else
+    /// from the running copy of the KV cache, or else by regenerating the rest.
     pub(crate) async fn recover(&mut self) -> bool {
         self.stream.in_flight.set_verdict(Verdict::Failed);
         let interrupted = self.interrupted_run();
--- a/crates/gateway/src/relay.rs
+++ b/crates/gateway/src/relay.rs
@@ -32,7 +32,7 @@
 /// Time to read the bytes that arrived while this host itself was suspended.
 const RESUME_READ_MS: Millis = 4;
 
-/// Counts a generation at its cell's home until dropped.
+/// Reports the end of a generation to its cell's home when dropped.
 pub(crate) struct RunGuard {
     pub(crate) gateway: Arc<Gateway>,
     pub(crate) cell: CellKey,
@@ -149,7 +149,8 @@
         }
     }
 
-    /// Waits for the next event of any kind; `None` if the deadline has passed.
+    /// Waits for data from the engine, a migration order, the end of a migration step or a timeout,
+    /// whichever is first; `None` if the deadline has passed.
     async fn step(&mut self) -> Option<NextStep> {
         let until_ms = self.inbound.deadline_ms;
         let left_ms = until_ms.saturating_sub(self.gateway.clock.now_ms());
@@ -332,7 +333,8 @@
 }
 
 impl Drop for Relay {
-    /// The generation has ended or its caller has left while a copy is being made.
+    /// Discards the copy of a migration that is still in progress: the generation has ended or its
+    /// caller has left.
     fn drop(&mut self) {
         if let Some(migration) = self.migration.take() {
             migration.discard(MigrationAnswer::Over);
--- a/crates/gateway/src/roster.rs
+++ b/crates/gateway/src/roster.rs
@@ -368,8 +368,8 @@
 
     /// Records a restart that the upstream itself reports; returns whether it was unknown.
     ///
-    /// The upstream's entry may still be that of the previous start: the report on a connection
-    /// comes first.
+    /// The upstream's entry may still be that of the previous incarnation: the report on a
+    /// connection comes first.
     pub fn observe_restart(&mut self, instance: &str, started_at_ms: Millis) -> bool {
         let Some(entry) = self.entries.get_mut(instance) else {
             return false;
@@ -387,10 +387,10 @@
         true
     }
 
-    /// Applies an entry, unless it belongs to an earlier start than the known one. Entries of the
-    /// previous start may arrive late, from a peer or from a store entry that the new start has not
-    /// replaced yet. A start that announced that it is draining keeps that state: an entry that
-    /// says otherwise comes from a backup.
+    /// Applies an entry, unless it belongs to an earlier incarnation than the known one. Entries of
+    /// the previous incarnation may arrive late, from a peer or from a store entry that the new one
+    /// has not replaced yet. An incarnation that announced that it is draining keeps that state: an
+    /// entry that says otherwise comes from a backup.
     fn put(&mut self, now_ms: Millis, mut registration: Registration) -> bool {
         let name = registration.instance.clone();
         match registration.started_at_ms {
--- a/crates/gateway/src/start_limits.rs
+++ b/crates/gateway/src/start_limits.rs
@@ -1,4 +1,5 @@
-//! Limits how many requests start per second on cold and on rate-limited upstreams.
+//! Limits how many requests start per second on cold and on rate-limited upstreams. A start is the
+//! beginning of one request at an upstream.
 //!
 //! The limit of a cold upstream, or the limit that an overloaded upstream advertises, applies to
 //! the sum over all hosts, while each host sees only its own requests. With many hosts a static
@@ -77,7 +78,7 @@
 /// Limits on the starts that one host grants at an upstream.
 #[derive(Debug, Clone, Copy, Default)]
 struct StartLimit {
-    /// Starts within any one second while the upstream is cold.
+    /// Requests that may start within any one second while the upstream is cold.
     cold: Option<u32>,
     /// The rate that follows from the limit that the upstream advertises.
     rate: Option<StartRate>,
@@ -192,7 +193,8 @@
         Err(min_wait_ms)
     }
 
-    /// Adds a retry time to `AllRefused` if the upstreams that accept work throttle this host.
+    /// Replaces `AllRefused` by `Throttled`, which has a retry time, if the upstreams that accept
+    /// work throttle this host.
     pub(crate) fn refine_refusal(&self, problem: Problem, service: &str) -> Problem {
         let now_ms = self.clock.now_ms();
         match (problem, self.instances.available_at_ms(now_ms, service)) {
--- a/crates/gateway/src/store_sync.rs
+++ b/crates/gateway/src/store_sync.rs
@@ -16,8 +16,9 @@
 use crate::metadata::{Change, Freshness};
 use crate::roster::Roster;
 
-/// Share of the bound within which a change must be in force that one watch waits. A store that
-/// falls silent or loses an answer is detected only when the watch ends; each watch costs a call.
+/// How long one watch waits, as a fraction of the time within which a change must be in force. A
+/// store that stops responding or loses an answer is detected only when the watch ends; each watch
+/// costs a call.
 pub(crate) const WATCH_WAIT_FRACTION: f32 = 0.5;
 /// How often a host that does not watch checks whether it should.
 const WATCH_CHECK_PERIOD: Duration = Duration::from_millis(200);
@@ -26,9 +27,9 @@
 /// Between two reads of a host that has data neither from its peers nor from the store: before the
 /// first configuration is written, and during a store outage. Randomised for each read.
 const READ_INTERVAL_MS: Range<u64> = 800..1_600;
-/// Share of the same bound that passes between two watches of the upstreams, so that changes close
-/// together cost one call. The home of a cell does not wait, as the notice of a leaving engine is
-/// short.
+/// Pause between two watches of the upstreams, as a fraction of the same time, so that changes
+/// close together cost one call. The home of a cell does not pause, as an engine announces only
+/// shortly before its end that it is leaving.
 const WATCH_PAUSE_FRACTION: f32 = 0.06;
 /// How often state that is kept for a limited time is checked for expiry.
 const EXPIRY_CHECK_PERIOD: Duration = Duration::from_millis(100);
--- a/crates/gateway/src/tracker.rs
+++ b/crates/gateway/src/tracker.rs
@@ -14,7 +14,7 @@
 use crate::problem::Problem;
 use crate::record::{Dispatch, REQUEST_PREFIX, RequestRecord, Size};
 
-/// Outcome of a dispatch whose response head arrived.
+/// Outcome of a dispatch whose response has a success status.
 pub(crate) const ANSWERED: &str = "answered";
 
 impl RouteKind {
--- a/crates/gateway/src/upstream_table.rs
+++ b/crates/gateway/src/upstream_table.rs
@@ -26,10 +26,10 @@
 }
 
 impl UpstreamTable {
-    /// Applies a registration; another start of an upstream replaces the previous one.
+    /// Applies a registration; another incarnation of an upstream replaces the previous one.
     ///
-    /// Requests to the previous start would otherwise wait on connections that may never end: an
-    /// upstream that restarts behind a network partition resets none of them.
+    /// Requests to the previous incarnation would otherwise wait on connections that may never end:
+    /// an upstream that restarts behind a network partition resets none of them.
     pub(crate) fn apply_registration(
         &mut self,
         now_ms: Millis,
--- a/crates/gateway/tests/roster.rs
+++ b/crates/gateway/tests/roster.rs
@@ -388,9 +388,9 @@
     known: Option<Option<u64>>,
 }
 
-/// Guards against an earlier start in place of a later one. An upstream restarts under its name,
-/// and entries of its starts arrive in any order: the latest start counts. If a service's upstreams
-/// state their start time, an entry without one is from another writer.
+/// Guards against an earlier incarnation in place of a later one. An upstream restarts under its
+/// name, and entries of its incarnations arrive in any order: the latest one counts. If a service's
+/// upstreams state their start time, an entry without one is from another writer.
 #[rstest]
 #[case::later_start(Restart { held_ms: Some(5), next_ms: Some(9), known: Some(Some(9)) })]
 #[case::late_earlier_start(Restart { held_ms: Some(9), next_ms: Some(5), known: Some(Some(9)) })]
@@ -419,7 +419,7 @@
     assert_eq!(known, case.known);
 }
 
-/// Guards against an entry of the previous start that arrives after the upstream itself has
+/// Guards against an entry of the previous incarnation that arrives after the upstream itself has
 /// reported its restart.
 #[test]
 fn own_report_precedes_entry() {
