--- a/crates/gateway/src/probe.rs
+++ b/crates/gateway/src/probe.rs
@@ -3,9 +3,9 @@
 //! A registration shows that an engine is leaving as long as the store can be read. During a store
 //! outage, an engine that has ended would look empty to its home, which would send each new
 //! generation there first: hosts would find closed ports until their attempts were used up, and
-//! generations would be cut off on engines whose notice of leaving reached no host. The home probes
-//! engines with reported failures, and all engines of its cells during an outage and until they
-//! have registered again: an engine that leaves in that time never registers again.
+//! generations would be cut off on engines whose notice of leaving reached no host. Therefore the
+//! home probes engines with reported failures, and all engines of its cells during an outage and
+//! until they have registered again: an engine that leaves in that time never registers again.
 
 use std::collections::HashMap;
 use std::sync::Arc;
--- a/crates/gateway/src/start_limits.rs
+++ b/crates/gateway/src/start_limits.rs
@@ -1,5 +1,5 @@
-//! Limits how many requests start per second on cold and on rate-limited upstreams. A start is the
-//! beginning of one request at an upstream.
+//! Limits how many requests start per second on cold and on rate-limited upstreams. A start here is
+//! that of one request, not of an upstream's process.
 //!
 //! The limit of a cold upstream, or the limit that an overloaded upstream advertises, applies to
 //! the sum over all hosts, while each host sees only its own requests. With many hosts a static
--- a/crates/gateway/src/store_sync.rs
+++ b/crates/gateway/src/store_sync.rs
@@ -27,9 +27,9 @@
 /// Between two reads of a host that has data neither from its peers nor from the store: before the
 /// first configuration is written, and during a store outage. Randomised for each read.
 const READ_INTERVAL_MS: Range<u64> = 800..1_600;
-/// Pause between two watches of the upstreams, as a fraction of the same time, so that changes
-/// close together cost one call. The home of a cell does not pause, as an engine announces only
-/// shortly before its end that it is leaving.
+/// Pause between two watches of the upstreams, as a fraction of the time within which a change must
+/// be in force, so that changes close together cost one call. The home of a cell does not pause, as
+/// an engine announces only shortly before its end that it is leaving.
 const WATCH_PAUSE_FRACTION: f32 = 0.06;
 /// How often state that is kept for a limited time is checked for expiry.
 const EXPIRY_CHECK_PERIOD: Duration = Duration::from_millis(100);
