--- a/crates/http/src/client.rs
+++ b/crates/http/src/client.rs
@@ -15,7 +15,7 @@
 
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(1_000);
 
-/// A response whose body has not been read yet.
+/// A call whose response head has arrived and whose body has not been read yet.
 #[derive(Debug)]
 pub struct Call {
     /// The peer's address.
--- a/crates/settings/src/declarations.rs
+++ b/crates/settings/src/declarations.rs
@@ -3,7 +3,7 @@
 use serde::{Deserialize, Serialize};
 use sha2::{Digest, Sha256};
 
-/// A member of the consortium.
+/// An organisation whose callers use the services, with its API keys and limits.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Organisation {
     /// The unique name.
--- a/crates/settings/src/directory.rs
+++ b/crates/settings/src/directory.rs
@@ -15,19 +15,19 @@
     let mut diagnostics = Vec::new();
     let mut declarations = Declarations::default();
     let mut reader = Reader::new(&directory.join("models.yaml"));
-    let models = items(&mut reader, "models", "model", read_model);
+    let models = read_items(&mut reader, "models", "model", read_model);
     diagnostics.append(&mut reader.diagnostics);
     declarations.models = models;
     let model_names: HashSet<_> = declarations.models.iter().map(|item| &item.name).collect();
 
     let mut reader = Reader::new(&directory.join("services.yaml"));
-    declarations.services = items(&mut reader, "services", "service", |reader, fields| {
+    declarations.services = read_items(&mut reader, "services", "service", |reader, fields| {
         read_service(reader, fields, &model_names)
     });
     diagnostics.append(&mut reader.diagnostics);
 
     let mut reader = Reader::new(&directory.join("organisations.yaml"));
-    declarations.organisations = items(
+    declarations.organisations = read_items(
         &mut reader,
         "organisations",
         "organisation",
@@ -41,7 +41,7 @@
         .map(|item| &item.name)
         .collect();
     let mut reader = Reader::new(&directory.join("presets.yaml"));
-    declarations.presets = items(&mut reader, "presets", "preset", |reader, fields| {
+    declarations.presets = read_items(&mut reader, "presets", "preset", |reader, fields| {
         read_preset(reader, fields, &services)
     });
     diagnostics.append(&mut reader.diagnostics);
@@ -53,7 +53,7 @@
 }
 
 /// Reads a list of named items and reports duplicate names.
-fn items<T>(
+fn read_items<T>(
     reader: &mut Reader,
     list: &'static str,
     what: &'static str,
--- a/crates/upstream/src/engine.rs
+++ b/crates/upstream/src/engine.rs
@@ -9,7 +9,7 @@
 
 use crate::message::{CacheEvents, GenerateRequest, LoadReport, Order, ResumeRequest, StreamItem};
 
-/// A engine_error exchange with an engine.
+/// A failed exchange with an engine.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum EngineError {
     /// The engine never received the request, or refused it: nothing ran.
--- a/crates/upstream/src/plain.rs
+++ b/crates/upstream/src/plain.rs
@@ -34,7 +34,7 @@
     pub body: Bytes,
 }
 
-/// A plain_error call to a plain service.
+/// A failed call to a plain service.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum PlainError {
     /// The service never received the call.
--- a/crates/wire/src/gateway.rs
+++ b/crates/wire/src/gateway.rs
@@ -28,12 +28,12 @@
     Evacuations,
 }
 
-/// An order-independent hash of the members that a gateway considers present.
+/// An order-independent hash of the members that a gateway considers eligible as homes.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct MembersDigest(pub u64);
 
-/// Key of a cell, the engines of one service on which one host places generations: a hash of the
-/// cell's name.
+/// Key of a cell: a hash of its name. A cell is the engines of one service on which one host places
+/// generations.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct CellKey(pub u64);
 
--- a/crates/wire/src/message.rs
+++ b/crates/wire/src/message.rs
@@ -70,7 +70,8 @@
 /// Identifies a permit across all homes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct PermitId {
-    /// The home's incarnation. Another home's arena may use the same key for another permit.
+    /// Hash that identifies the process of the home. Another home's arena may use the same key for
+    /// another permit.
     pub epoch: u64,
     /// The key in that home's arena.
     pub key: PermitKey,
--- a/crates/wire/src/peers.rs
+++ b/crates/wire/src/peers.rs
@@ -118,7 +118,8 @@
     }
 }
 
-/// The largest message is a part of the configuration with its framing.
+/// Limit on the length of a message. The largest one carries a part of the configuration, which is
+/// at most 1 MB.
 const FRAME_LIMIT_BYTES: usize = 4 * 1024 * 1024;
 
 /// Splits a connection into length-delimited messages; both ends use it.
--- a/crates/wire/src/service.rs
+++ b/crates/wire/src/service.rs
@@ -28,7 +28,8 @@
     async fn withdraw(upstream: UpstreamKey, request: PermitRequestId);
     /// Reports the progress of one host's permits; the reply names those that should move.
     async fn progress(host: fulmarpath_policy::HostKey, progress: Vec<Progress>) -> ProgressReply;
-    /// Restores a permit at a home that doesn't know it.
+    /// Restores a permit at a home that doesn't know it; `None` where the receiver doesn't know the
+    /// engine or its model.
     async fn restore(upstream: UpstreamKey, request: EnginePermitRequest) -> Option<PermitId>;
     /// Takes a slot under an organisation's limits.
     async fn take_slot(request: SlotRequest) -> LimitAnswer;
@@ -37,7 +38,8 @@
     /// Claims an idempotency key for one submission.
     async fn claim(request: ClaimRequest) -> ClaimAnswer;
     /// Reports to a home of a service that a request of this content had just begun on an upstream
-    /// that crashed.
+    /// that crashed. `crash` is a key of the upstream and the time window of its crash, so that a
+    /// crash after a restart counts as another one.
     async fn report_crash(content: ContentKey, crash: UpstreamKey);
     /// Asks a home whether a request of this content may run as the circuit's probe.
     async fn may_probe(content: ContentKey) -> bool;
