--- a/crates/cluster/src/circuit_breakers.rs
+++ b/crates/cluster/src/circuit_breakers.rs
@@ -9,14 +9,14 @@
 };
 use parking_lot::Mutex;
 
-/// Hosts that record a service's crashes. If a single home failed, its reports would be lost, and
-/// three more upstreams would crash before the circuit opens.
+/// Number of hosts that record a service's crashes. If a single home failed, its reports would be
+/// lost, and three more upstreams would crash before the circuit opens.
 pub const CRASH_HOMES: usize = 2;
 /// Period in which a home evaluates its reports; those that arrive together are decided together.
 pub(crate) const EVALUATION_PERIOD: Duration = Duration::from_millis(100);
 /// When to retry while another request of the same content runs as the probe: about the duration of
 /// a short request.
-pub(crate) const PROBE_RUNS_MS: Millis = 500;
+pub(crate) const PROBE_RETRY_MS: Millis = 500;
 
 /// The crash reports, circuits and recent successes that one host holds.
 ///
--- a/crates/cluster/src/claims.rs
+++ b/crates/cluster/src/claims.rs
@@ -3,7 +3,8 @@
 //! Keys are partitioned into a fixed number of shards. A shard's log is a sequence of numbered
 //! segment objects in the object API, each written by a conditional create. Which host writes is
 //! only an optimisation; claims are exclusive since each segment number can be created only once.
-//! docs/DESIGN.md compares the alternatives.
+//! Old segments are folded: their records are copied into one chunk object, the fold object lists
+//! the chunk, and the segments are deleted. docs/DESIGN.md compares the alternatives.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -29,7 +30,7 @@
     pub writes_per_s: u32,
     /// Retention time of a claim.
     pub window_ms: u64,
-    /// Number of segments after which they are compacted into a chunk.
+    /// Number of segments after which they are folded into a chunk.
     pub fold_segments: u64,
 }
 
@@ -106,19 +107,21 @@
 
 struct Shard {
     number: u32,
+    /// The record that holds each key.
     index: HashMap<u128, Record>,
     /// The first segment number not known to exist; 0 before the log was read.
     next: u64,
+    /// Number of the last folded segment.
     folded: u64,
 }
 
-type Waiter = (ClaimRequest, oneshot::Sender<ClaimAnswer>);
+type PendingClaim = (ClaimRequest, oneshot::Sender<ClaimAnswer>);
 
 /// The claim log, with a writer task for each shard that this host writes.
 pub struct ClaimLog {
     api: Arc<dyn ObjectApi>,
     settings: ClaimSettings,
-    writers: Mutex<HashMap<u32, mpsc::Sender<Waiter>>>,
+    writers: Mutex<HashMap<u32, mpsc::Sender<PendingClaim>>>,
 }
 
 const QUEUE_CAPACITY: usize = 4_096;
@@ -150,7 +153,7 @@
         receiver.await.unwrap_or(ClaimAnswer::Unsure)
     }
 
-    fn writer(&self, shard: u32) -> mpsc::Sender<Waiter> {
+    fn writer(&self, shard: u32) -> mpsc::Sender<PendingClaim> {
         let mut writers = self.writers.lock();
         let writer = writers.entry(shard).or_insert_with(|| {
             let (sender, receiver) = mpsc::channel(QUEUE_CAPACITY);
@@ -179,32 +182,36 @@
 
 impl Writer {
     /// Batches claims during the pause after the last write, then writes them as one segment.
-    async fn run(mut self, mut receiver: mpsc::Receiver<Waiter>) {
+    async fn run(mut self, mut receiver: mpsc::Receiver<PendingClaim>) {
         let mut batch = Vec::new();
         while receiver.recv_many(&mut batch, MAX_BATCH).await > 0 {
             let started = tokio::time::Instant::now();
             self.process(std::mem::take(&mut batch)).await;
             if self.shard.next - self.shard.folded > self.settings.fold_segments
-                && self.fold().await.is_err()
+                && let Err(error) = self.fold().await
             {
-                warn!("claims: could not fold shard {}", self.shard.number);
+                warn!(
+                    "claims: could not fold the segments of shard {}: {error}",
+                    self.shard.number
+                );
             }
             tokio::time::sleep_until(started + self.settings.write_interval()).await;
         }
     }
 
-    async fn process(&mut self, waiters: Vec<Waiter>) {
+    /// Decides and answers claims.
+    async fn process(&mut self, claims: Vec<PendingClaim>) {
         if let Err(error) = self.catch_up().await {
             let answer = match error {
                 // Nothing was written, whichever way the read failed.
                 ClaimError::NotMade | ClaimError::Unsure => ClaimAnswer::NotClaimed,
             };
-            answer_all(waiters, &answer);
+            answer_all(claims, &answer);
             return;
         }
-        let mut pending = waiters;
+        let mut pending = claims;
         loop {
-            let (records, remaining) = self.decide_known(pending);
+            let (records, remaining) = self.answer_known(pending);
             pending = remaining;
             if records.is_empty() {
                 return;
@@ -220,15 +227,15 @@
     }
 
     /// Answers the claims that the index decides, and returns the records still to be written with
-    /// their waiters.
-    fn decide_known(&self, waiters: Vec<Waiter>) -> (Vec<Record>, Vec<Waiter>) {
+    /// the claims that wait for them.
+    fn answer_known(&self, claims: Vec<PendingClaim>) -> (Vec<Record>, Vec<PendingClaim>) {
         let mut records: Vec<Record> = Vec::new();
         let mut pending = Vec::new();
         let at_ms = Clock::wall_ms();
-        for (request, waiter) in waiters {
+        for (request, sender) in claims {
             let held = self.shard.index.get(&request.key);
             if let Some(answer) = held.and_then(|held| decide(held, &request)) {
-                let _ = waiter.send(answer);
+                let _ = sender.send(answer);
                 continue;
             }
             if !records.iter().any(|record| record.key == request.key) {
@@ -240,7 +247,7 @@
                     at_ms,
                 });
             }
-            pending.push((request, waiter));
+            pending.push((request, sender));
         }
         (records, pending)
     }
@@ -282,7 +289,7 @@
     /// Checks that no fold has covered a segment number that was just created.
     ///
     /// A writer that was paused for long may find its number free because a newer writer has
-    /// compacted and deleted that segment; a key could then be claimed twice. The fold record is
+    /// folded and deleted that segment; a key could then be claimed twice. The fold object is
     /// written before any segment is deleted, so reading it after the create is sufficient.
     async fn check_fold(&mut self, number: u64) -> Result<(), ClaimError> {
         let fold = self.read_fold().await;
@@ -308,7 +315,8 @@
         }
     }
 
-    /// Reads the log to its end, if it has not been read.
+    /// Reads the log to its end, if it has not been read. Drops expired claims from the index once
+    /// per `fold_segments` segments.
     async fn catch_up(&mut self) -> Result<(), ClaimError> {
         if self.shard.next == 0 {
             let (fold, _) = self.read_fold().await?;
@@ -337,7 +345,7 @@
         Ok(())
     }
 
-    /// Compacts the segments since the last fold into one chunk, then deletes them.
+    /// Folds the segments since the last fold into one chunk, then deletes them.
     async fn fold(&mut self) -> Result<(), ClaimError> {
         let (mut fold, version) = self.read_fold().await?;
         let upto = self.shard.next - 1;
@@ -422,8 +430,8 @@
     })
 }
 
-fn answer_all(waiters: Vec<Waiter>, answer: &ClaimAnswer) {
-    for (_, waiter) in waiters {
-        let _ = waiter.send(answer.clone());
+fn answer_all(claims: Vec<PendingClaim>, answer: &ClaimAnswer) {
+    for (_, sender) in claims {
+        let _ = sender.send(answer.clone());
     }
 }
--- a/crates/cluster/src/configuration.rs
+++ b/crates/cluster/src/configuration.rs
@@ -179,7 +179,7 @@
     pub declarations: Declarations,
     by_key_hash: HashMap<String, usize>,
     by_service: HashMap<String, usize>,
-    preset: usize,
+    preset_index: usize,
     total_weight: f32,
     pub(crate) part_values: HashMap<String, Vec<u8>>,
 }
@@ -189,7 +189,7 @@
     pub(crate) fn new(root: Root, part_values: HashMap<String, Vec<u8>>) -> Option<Self> {
         let declarations = join(&root.parts, &part_values)?;
         let presets = &declarations.presets;
-        let preset = presets
+        let preset_index = presets
             .iter()
             .position(|preset| preset.name == root.preset)?;
         let mut by_key_hash = HashMap::new();
@@ -211,7 +211,7 @@
             root,
             by_key_hash,
             by_service,
-            preset,
+            preset_index,
             total_weight,
             declarations,
             part_values,
@@ -220,7 +220,7 @@
 
     /// The active preset.
     pub fn preset(&self) -> &Preset {
-        &self.declarations.presets[self.preset]
+        &self.declarations.presets[self.preset_index]
     }
 
     /// The organisation that an API key belongs to.
--- a/crates/cluster/src/crashes.rs
+++ b/crates/cluster/src/crashes.rs
@@ -14,8 +14,8 @@
 use crate::node::Node;
 use crate::poison::{self, CircuitHost, Quarantined};
 
-/// Reports within this time count as one crash of an upstream. The host list has no start times, so
-/// a restarted upstream looks the same in it; a start takes longer than this.
+/// Reports in the same window of this length count as one crash of an upstream. The host list has
+/// no start times, so a restarted upstream looks the same in it; a start takes longer than this.
 const CRASH_WINDOW_MS: Millis = 4_000;
 
 #[async_trait]
--- a/crates/cluster/src/documents.rs
+++ b/crates/cluster/src/documents.rs
@@ -14,19 +14,19 @@
 use crate::configuration::ActiveConfiguration;
 use crate::engines::Engines;
 
-/// A listed upstream with its client.
+/// A listed engine with its client.
 #[derive(Clone)]
-pub(crate) struct Upstream {
+pub(crate) struct ListedEngine {
     pub(crate) key: UpstreamKey,
     pub(crate) entry: HostEntry,
-    pub(crate) engine: Arc<dyn Engine>,
+    pub(crate) client: Arc<dyn Engine>,
 }
 
 /// The host list, indexed for lookups.
 #[derive(Default)]
 pub(crate) struct Listing {
     pub(crate) document: HostListing,
-    pub(crate) engines: HashMap<UpstreamKey, Upstream>,
+    pub(crate) engines: HashMap<UpstreamKey, ListedEngine>,
     by_model: HashMap<String, Vec<UpstreamKey>>,
     plain: HashMap<String, Vec<HostEntry>>,
 }
@@ -45,12 +45,12 @@
                     let key = UpstreamKey::of(&entry.name);
                     let group = listing.by_model.entry(entry.serves.clone()).or_default();
                     group.push(key);
-                    let upstream = Upstream {
+                    let engine = ListedEngine {
                         key,
                         entry: entry.clone(),
-                        engine: clients.engine(entry.address),
+                        client: clients.engine(entry.address),
                     };
-                    listing.engines.insert(key, upstream);
+                    listing.engines.insert(key, engine);
                 }
             }
         }
@@ -59,10 +59,10 @@
     }
 
     /// The live engines of a model.
-    pub(crate) fn engines_of(&self, model: &str) -> impl Iterator<Item = &Upstream> {
+    pub(crate) fn engines_of(&self, model: &str) -> impl Iterator<Item = &ListedEngine> {
         let keys = self.by_model.get(model).into_iter().flatten();
         keys.filter_map(|key| self.engines.get(key))
-            .filter(|upstream| upstream.entry.state == ListedState::Live)
+            .filter(|engine| engine.entry.state == ListedState::Live)
     }
 
     /// The live instances of a plain service.
@@ -78,7 +78,7 @@
     listing: ArcSwap<Listing>,
     adopting: Mutex<()>,
     last_contact_ms: AtomicU64,
-    /// Set when a fault run disables the comparison of revisions.
+    /// Set when a fault-injection run disables the comparison of revisions.
     accepts_any_revision: bool,
 }
 
@@ -101,6 +101,7 @@
         self.listing.load_full()
     }
 
+    /// The versions of the two documents; other versions are left at 0.
     pub(crate) fn versions(&self) -> Versions {
         let root = self.active.load();
         Versions {
--- a/crates/cluster/src/homes.rs
+++ b/crates/cluster/src/homes.rs
@@ -15,7 +15,7 @@
 use spdlog::warn;
 use tokio::sync::oneshot;
 
-use crate::documents::Upstream;
+use crate::documents::ListedEngine;
 use crate::node::Node;
 use crate::safeguard::Safeguard;
 
@@ -38,37 +38,42 @@
     pub preemptions: u64,
 }
 
-struct Entry {
+/// An engine whose home this host is.
+struct ManagedEngine {
     home: Home,
-    load: EngineLoad,
+    /// Load as the engine last reported it.
+    reported_load: EngineLoad,
     /// The engine's own count since its start.
     preemptions: u64,
     failed_polls: u32,
     reported_leaving: bool,
 }
 
-impl Entry {
+impl ManagedEngine {
     /// The load as the home counts it. The engine's report is used only where it shows more.
     fn load(&self) -> EngineLoad {
         let own = self.home.load();
         EngineLoad {
             running: own.running,
-            waiting: own.queued + self.load.waiting,
-            used_tokens: own.held_tokens.max(self.load.used_tokens),
-            memory_tokens: self.load.memory_tokens,
+            waiting: own.queued + self.reported_load.waiting,
+            used_tokens: own.held_tokens.max(self.reported_load.used_tokens),
+            memory_tokens: self.reported_load.memory_tokens,
         }
     }
 }
 
 struct State {
-    entries: HashMap<UpstreamKey, Entry>,
+    engines: HashMap<UpstreamKey, ManagedEngine>,
     lengths: Lengths,
+    /// Calls that wait for the decision on their request.
     waiters: HashMap<PermitRequestId, oneshot::Sender<PermitAnswer>>,
+    /// Permits whose generations should move, by the host that holds the permit.
     moves: HashMap<HostKey, Vec<PermitId>>,
 }
 
 /// The homes on this host, behind one lock that is held for one decision at a time.
 pub(crate) struct HomeTable {
+    /// Distinguishes the permits of this process from those of other homes.
     epoch: u64,
     state: Mutex<State>,
 }
@@ -78,7 +83,7 @@
         Self {
             epoch,
             state: Mutex::new(State {
-                entries: HashMap::new(),
+                engines: HashMap::new(),
                 lengths: Lengths::new(),
                 waiters: HashMap::new(),
                 moves: HashMap::new(),
@@ -97,40 +102,41 @@
         {
             let mut state = self.state.lock();
             let state = &mut *state;
-            let entry = state
-                .entries
+            let engine = state
+                .engines
                 .entry(upstream)
-                .or_insert_with(|| new_entry(settings));
-            if let Some((key, priority)) = entry.home.granted_permit(request.id) {
+                .or_insert_with(|| new_engine(settings));
+            if let Some((key, priority)) = engine.home.granted_permit(request.id) {
                 let permit = PermitId {
                     epoch: self.epoch,
                     key,
                 };
                 let answer = PermitAnswer::Granted { permit, priority };
-                let load = entry.load();
+                let load = engine.load();
                 return PermitReply { answer, load };
             }
             state.waiters.insert(request.id, sender);
-            entry.home.request_permit(now_ms, request, &state.lengths);
+            engine.home.request_permit(now_ms, request, &state.lengths);
             self.step(now_ms, state, upstream);
         }
         let answer = tokio::time::timeout(MAX_CALL_WAIT, receiver).await;
         let answer = answer.ok().and_then(Result::ok);
         let mut state = self.state.lock();
         state.waiters.remove(&request.id);
-        let load = state.entries.get(&upstream).map(Entry::load);
+        let load = state.engines.get(&upstream).map(ManagedEngine::load);
         PermitReply {
             answer: answer.unwrap_or(PermitAnswer::Queued),
             load: load.unwrap_or_default(),
         }
     }
 
+    /// Makes the decisions that are due for one engine, and answers the calls that wait for them.
     fn step(&self, now_ms: Millis, state: &mut State, upstream: UpstreamKey) {
-        let Some(entry) = state.entries.get_mut(&upstream) else {
+        let Some(engine) = state.engines.get_mut(&upstream) else {
             return;
         };
         let mut outcomes = Vec::new();
-        entry.home.step(now_ms, &state.lengths, &mut outcomes);
+        engine.home.step(now_ms, &state.lengths, &mut outcomes);
         for outcome in outcomes {
             let (request, answer) = match outcome {
                 Outcome::Granted {
@@ -176,9 +182,9 @@
         let mut state = self.state.lock();
         let state = &mut *state;
         let active: Vec<UpstreamKey> = state
-            .entries
+            .engines
             .iter()
-            .filter(|(_, entry)| entry.home.load().queued > 0 || entry.home.load().running > 0)
+            .filter(|(_, engine)| engine.home.load().queued > 0 || engine.home.load().running > 0)
             .map(|(key, _)| *key)
             .collect();
         for upstream in active {
@@ -188,8 +194,8 @@
 
     pub(crate) fn withdraw(&self, now_ms: Millis, upstream: UpstreamKey, request: PermitRequestId) {
         let mut state = self.state.lock();
-        if let Some(entry) = state.entries.get_mut(&upstream) {
-            entry.home.withdraw(request);
+        if let Some(engine) = state.engines.get_mut(&upstream) {
+            engine.home.withdraw(request);
         }
         self.step(now_ms, &mut state, upstream);
     }
@@ -202,13 +208,13 @@
         request: EnginePermitRequest,
     ) -> PermitId {
         let mut state = self.state.lock();
-        let entry = state
-            .entries
+        let engine = state
+            .engines
             .entry(upstream)
-            .or_insert_with(|| new_entry(settings));
+            .or_insert_with(|| new_engine(settings));
         PermitId {
             epoch: self.epoch,
-            key: entry.home.restore(now_ms, request),
+            key: engine.home.restore(now_ms, request),
         }
     }
 
@@ -218,9 +224,9 @@
         let mut reply = ProgressReply::default();
         for item in progress {
             let home = state
-                .entries
+                .engines
                 .get_mut(&item.upstream)
-                .map(|entry| &mut entry.home)
+                .map(|engine| &mut engine.home)
                 .filter(|home| item.permit.epoch == self.epoch && home.has_permit(item.permit.key));
             let Some(home) = home else {
                 reply.unknown.push(item.permit);
@@ -247,72 +253,74 @@
         self.state.lock().moves.remove(&host).unwrap_or_default()
     }
 
-    fn report(&self, now_ms: Millis, upstream: UpstreamKey, report: Option<LoadReport>) {
+    /// Records the result of polling an engine; `report` is `None` if it did not answer.
+    fn record_poll(&self, now_ms: Millis, upstream: UpstreamKey, report: Option<LoadReport>) {
         let mut state = self.state.lock();
-        let Some(entry) = state.entries.get_mut(&upstream) else {
+        let Some(engine) = state.engines.get_mut(&upstream) else {
             return;
         };
         match report {
             Some(report) => {
-                entry.failed_polls = 0;
-                entry.preemptions = report.preemptions;
-                entry.reported_leaving = report.state == EngineState::Leaving;
-                entry.load = EngineLoad {
+                engine.failed_polls = 0;
+                engine.preemptions = report.preemptions;
+                engine.reported_leaving = report.state == EngineState::Leaving;
+                engine.reported_load = EngineLoad {
                     running: report.running,
                     waiting: report.waiting,
                     used_tokens: report.used_tokens,
                     memory_tokens: report.memory_tokens,
                 };
-                entry.home.report(now_ms, entry.load);
+                engine.home.report(now_ms, engine.reported_load);
             }
-            None => entry.failed_polls += 1,
+            None => engine.failed_polls += 1,
         }
-        let is_unresponsive = entry.failed_polls >= MAX_FAILED_POLLS;
-        if entry.failed_polls == MAX_FAILED_POLLS {
+        let is_unresponsive = engine.failed_polls >= MAX_FAILED_POLLS;
+        if engine.failed_polls == MAX_FAILED_POLLS {
             warn!("homes: an engine does not answer and gets nothing new");
         }
-        entry
+        engine
             .home
-            .set_leaving(entry.reported_leaving || is_unresponsive);
+            .set_leaving(engine.reported_leaving || is_unresponsive);
         self.step(now_ms, &mut state, upstream);
     }
 
     /// Applies new settings to later decisions; running generations keep their permits.
     pub(crate) fn set_settings(&self, settings: impl Fn(UpstreamKey) -> Option<HomeSettings>) {
         let mut state = self.state.lock();
-        for (key, entry) in &mut state.entries {
+        for (key, engine) in &mut state.engines {
             if let Some(settings) = settings(*key) {
-                entry.home.set_settings(settings);
+                engine.home.set_settings(settings);
             }
         }
     }
 
-    fn ensure(&self, upstream: UpstreamKey, settings: HomeSettings) {
+    /// Adds an engine if this host didn't manage it yet.
+    fn ensure_engine(&self, upstream: UpstreamKey, settings: HomeSettings) {
         let mut state = self.state.lock();
         state
-            .entries
+            .engines
             .entry(upstream)
-            .or_insert_with(|| new_entry(settings));
+            .or_insert_with(|| new_engine(settings));
     }
 
     /// The statistics of all engines whose home this host is.
     pub(crate) fn engine_stats(&self) -> Vec<EngineStats> {
         let state = self.state.lock();
-        let entries = state.entries.iter();
-        entries
-            .map(|(key, entry)| EngineStats {
+        let engines = state.engines.iter();
+        engines
+            .map(|(key, engine)| EngineStats {
                 upstream: *key,
-                load: entry.load(),
-                preemptions: entry.preemptions,
+                load: engine.load(),
+                preemptions: engine.preemptions,
             })
             .collect()
     }
 }
 
-fn new_entry(settings: HomeSettings) -> Entry {
-    Entry {
+fn new_engine(settings: HomeSettings) -> ManagedEngine {
+    ManagedEngine {
         home: Home::new(settings),
-        load: EngineLoad {
+        reported_load: EngineLoad {
             memory_tokens: settings.memory_tokens,
             ..EngineLoad::default()
         },
@@ -362,24 +370,25 @@
             tokio::time::sleep(POLL_PERIOD).await;
             let listing = self.documents.listing();
             let all = listing.engines.values();
-            let own = all.filter(|upstream| {
-                let home = self.engine_homes(upstream.key, 1).pop();
+            let own = all.filter(|engine| {
+                let home = self.engine_homes(engine.key, 1).pop();
                 home.is_some_and(|(key, _)| key == self.key)
             });
-            let polls = own.map(|upstream| self.poll_engine(upstream));
+            let polls = own.map(|engine| self.poll_engine(engine));
             join_all(polls).await;
         }
     }
 
-    async fn poll_engine(&self, upstream: &Upstream) {
+    async fn poll_engine(&self, engine: &ListedEngine) {
         if !self.has(Safeguard::Leaving) {
             return;
         }
-        if let Some(settings) = self.home_settings_of(upstream.key) {
-            self.homes.ensure(upstream.key, settings);
+        if let Some(settings) = self.home_settings_of(engine.key) {
+            self.homes.ensure_engine(engine.key, settings);
         }
-        let polled = tokio::time::timeout(POLL_TIMEOUT, upstream.engine.load()).await;
+        let polled = tokio::time::timeout(POLL_TIMEOUT, engine.client.load()).await;
         let report = polled.ok().and_then(Result::ok);
-        self.homes.report(self.clock.now_ms(), upstream.key, report);
+        self.homes
+            .record_poll(self.clock.now_ms(), engine.key, report);
     }
 }
--- a/crates/cluster/src/lease.rs
+++ b/crates/cluster/src/lease.rs
@@ -1,7 +1,7 @@
 //! A lease on sending orders to a model's engines, with a fencing number.
 //!
-//! Clocks of hosts are never compared: a holder measures from before it sent the renewal, and a
-//! successor from when it last saw the record change.
+//! Clocks of hosts are never compared: the holder counts the lease from before it sent the renewal,
+//! and a successor counts it from when it last saw the record change.
 
 use fulmarpath_policy::Millis;
 use fulmarpath_store::Version;
@@ -29,7 +29,7 @@
 /// What a host should do about the lease.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum LeaseAction {
-    /// Wait.
+    /// Write nothing, and decide again after the next read.
     Wait,
     /// Write a record, either over a version or as the first one.
     Write {
@@ -43,7 +43,9 @@
 /// The state of a lease as one host sees it.
 #[derive(Debug, Default)]
 pub struct Lease {
+    /// Version of the record as last read without holding the lease, and when it was first read.
     seen: Option<(Version, Millis)>,
+    /// The record that this host wrote, its version, and the end of the lease.
     held: Option<(LeaseRecord, Version, Millis)>,
 }
 
--- a/crates/cluster/src/lib.rs
+++ b/crates/cluster/src/lib.rs
@@ -1,5 +1,9 @@
-//! Coordination of entry hosts: membership, homes of engines and cells, the active configuration,
-//! and the claims of submissions.
+//! Coordination of entry hosts: membership, permits to run generations on engines, the active
+//! configuration, claims of idempotency keys, orders to engines and the quarantine of poison
+//! requests.
+//!
+//! The home of a resource, such as an engine or an organisation, is the host that decides on it.
+//! Each host finds it by rendezvous hashing over the members.
 
 mod circuit_breakers;
 mod claims;
--- a/crates/cluster/src/members.rs
+++ b/crates/cluster/src/members.rs
@@ -14,17 +14,19 @@
 const DEAD_RETENTION_MS: Millis = 60_000;
 /// Limit on the rumours in one message.
 const MAX_RUMOURS: usize = 8;
-/// Size of a data centre from which on most pings stay within it, since traffic between data
-/// centres is paid for. With a dozen hosts, a data centre still pings the others several times per
-/// second, and the loss of a whole data centre is detected within a second.
+/// Number of other members in this host's data centre from which on most pings stay within it,
+/// since traffic between data centres is paid for. A dozen hosts together still ping other data
+/// centres several times per second, which detects the loss of a whole data centre within a second.
 const LOCAL_PING_MIN_MEMBERS: usize = 12;
 /// One ping in this many may then go to any data centre.
-const REMOTE_PING_PERIOD: u32 = 3;
+const GLOBAL_PING_PERIOD: u32 = 3;
 
 #[derive(Debug)]
 struct MemberRecord {
     rumour: Rumour,
+    /// Time of the last change of state or incarnation.
     since_ms: Millis,
+    /// Number of messages that still have to carry the rumour.
     sends_left: u32,
 }
 
@@ -34,9 +36,9 @@
     own_key: HostKey,
     records: HashMap<HostKey, MemberRecord>,
     /// Members of this host's data centre that remain to be pinged in the current local round.
-    local: Vec<HostKey>,
+    local_round: Vec<HostKey>,
     /// Members of all data centres that remain to be pinged in the current global round.
-    all: Vec<HostKey>,
+    global_round: Vec<HostKey>,
     pings: u32,
 }
 
@@ -63,8 +65,8 @@
         Self {
             own_key: key,
             records,
-            local: Vec::new(),
-            all: Vec::new(),
+            local_round: Vec::new(),
+            global_round: Vec::new(),
             pings: 0,
         }
     }
@@ -143,7 +145,7 @@
         }
     }
 
-    /// Records an answer of a member, which clears any suspicion of that incarnation.
+    /// Records a ping or an answer from a member, which clears any suspicion of that incarnation.
     pub fn record_answer(&mut self, now_ms: Millis, rumour: &Rumour) {
         let key = HostKey::of(&rumour.member.name);
         if let Some(record) = self.records.get_mut(&key)
@@ -208,23 +210,23 @@
     /// `draw`. In a large data centre most pings stay local.
     pub fn next_target(&mut self, draw: u64) -> Option<MemberInfo> {
         self.pings = self.pings.wrapping_add(1);
-        let is_remote = self.pings.is_multiple_of(REMOTE_PING_PERIOD);
+        let is_global = self.pings.is_multiple_of(GLOBAL_PING_PERIOD);
         let data_centre = self.records[&self.own_key]
             .rumour
             .member
             .data_centre
             .clone();
         let is_local = |record: &MemberRecord| record.rumour.member.data_centre == data_centre;
-        let local = self.others().filter(|(_, record)| is_local(record)).count();
-        if local < LOCAL_PING_MIN_MEMBERS || is_remote {
-            let mut round = std::mem::take(&mut self.all);
+        let local_members = self.others().filter(|(_, record)| is_local(record)).count();
+        if local_members < LOCAL_PING_MIN_MEMBERS || is_global {
+            let mut round = std::mem::take(&mut self.global_round);
             let target = self.take_target(&mut round, draw, |_| true);
-            self.all = round;
+            self.global_round = round;
             return target;
         }
-        let mut round = std::mem::take(&mut self.local);
+        let mut round = std::mem::take(&mut self.local_round);
         let target = self.take_target(&mut round, draw, is_local);
-        self.local = round;
+        self.local_round = round;
         target
     }
 
@@ -273,8 +275,8 @@
         all.map(|record| record.rumour.clone()).collect()
     }
 
-    /// A digest of the present members, equal on hosts that agree on them. Suspects count as
-    /// present; otherwise each missed ping would make the digests differ.
+    /// A digest of the members eligible as homes, equal on hosts that agree on them. Suspects are
+    /// included; otherwise each missed ping would make the digests differ.
     pub fn digest(&self) -> u64 {
         let keys = self.homes().map(|(key, _)| rank(key.0, 0));
         keys.fold(0, u64::wrapping_add)
--- a/crates/cluster/src/node.rs
+++ b/crates/cluster/src/node.rs
@@ -48,7 +48,7 @@
     pub contact_timeout_ms: Millis,
     /// Settings of the claim log.
     pub claims: ClaimSettings,
-    /// Safeguard that a fault run disables.
+    /// Safeguard that a fault-injection run disables.
     pub disabled_safeguard: Option<Safeguard>,
 }
 
@@ -74,8 +74,8 @@
 
 /// The cluster node of one entry host.
 ///
-/// Lock order: members, loads, held permits, homeless permits, limits, slots, fetched, then the
-/// home tables; none is held across an await.
+/// Lock order: `members`, `loads`, `held_permits`, `permits_without_home`, `limits`, `slots`,
+/// `fetched_at_ms`, then `homes`; none is held across an await.
 pub struct Node {
     pub(crate) settings: NodeSettings,
     pub(crate) clock: Clock,
@@ -83,7 +83,7 @@
     pub(crate) members: Mutex<Members>,
     pub(crate) loads: Mutex<HashMap<UpstreamKey, EngineLoad>>,
     pub(crate) held_permits: Mutex<HashMap<PermitRequestId, Arc<HeldPermit>>>,
-    pub(crate) homeless_permits: Mutex<HashMap<UpstreamKey, u32>>,
+    pub(crate) permits_without_home: Mutex<HashMap<UpstreamKey, u32>>,
     pub(crate) limits: Mutex<LimitTable>,
     slots: Mutex<HashMap<OrganisationKey, u32>>,
     pub(crate) fetched_at_ms: Mutex<HashMap<Document, Millis>>,
@@ -124,7 +124,7 @@
             members: Mutex::new(Members::new(info, incarnation)),
             loads: Mutex::default(),
             held_permits: Mutex::default(),
-            homeless_permits: Mutex::default(),
+            permits_without_home: Mutex::default(),
             limits: Mutex::default(),
             slots: Mutex::default(),
             fetched_at_ms: Mutex::default(),
@@ -172,7 +172,7 @@
         &self.settings.host
     }
 
-    /// Whether a safeguard is enabled, which it is unless a fault run has disabled it.
+    /// Whether a safeguard is enabled, which it is unless a fault-injection run has disabled it.
     pub fn has(&self, safeguard: Safeguard) -> bool {
         self.settings.disabled_safeguard != Some(safeguard)
     }
@@ -223,8 +223,8 @@
         let listing = self.documents.listing();
         let engines = listing.engines.values();
         engines
-            .filter(|upstream| upstream.entry.serves == model)
-            .map(|upstream| upstream.engine.clone())
+            .filter(|engine| engine.entry.serves == model)
+            .map(|engine| engine.client.clone())
             .collect()
     }
 
--- a/crates/cluster/src/orders.rs
+++ b/crates/cluster/src/orders.rs
@@ -128,20 +128,23 @@
     match answer {
         Ok(Ok(true)) => {
             info!(
-                "orders: {} loads version {}",
-                desired.engine, desired.version
+                "orders: {} accepted the order to load version {} of {}, fencing number {fencing}",
+                desired.engine, desired.version, desired.model
             );
             true
         }
         Ok(Ok(false)) => {
             warn!(
-                "orders: {} has an order from a newer lease holder",
+                "orders: {} refused fencing number {fencing}: it has an order from a newer holder",
                 desired.engine
             );
             false
         }
         _ => {
-            warn!("orders: {} does not answer", desired.engine);
+            warn!(
+                "orders: {} did not confirm the order to load version {} of {}",
+                desired.engine, desired.version, desired.model
+            );
             false
         }
     }
@@ -166,9 +169,9 @@
                 let listing = self.documents.listing();
                 let desired: Vec<DesiredVersion> = listing
                     .engines_of(&model.name)
-                    .map(|upstream| DesiredVersion {
-                        engine: upstream.entry.name.clone(),
-                        client: upstream.engine.clone(),
+                    .map(|engine| DesiredVersion {
+                        engine: engine.entry.name.clone(),
+                        client: engine.client.clone(),
                         model: model.name.clone(),
                         version: model.version.clone(),
                     })
@@ -177,9 +180,9 @@
                     let api = self.object_api.clone();
                     OrderDispatcher::new(api, self.clock, &self.settings.host, &model.name)
                 });
-                if dispatcher.run_once(&desired).await.is_err() {
+                if let Err(error) = dispatcher.run_once(&desired).await {
                     warn!(
-                        "orders: could not read or write the lease of {}",
+                        "orders: could not read or write the lease of model {}: {error}",
                         model.name
                     );
                 }
--- a/crates/cluster/src/permits.rs
+++ b/crates/cluster/src/permits.rs
@@ -1,5 +1,5 @@
-//! Permits as an entry host acquires them: it requests one for up to two engines at their homes,
-//! and takes the first grant.
+//! Permits as an entry host acquires them: it requests one at the homes of up to two engines, and
+//! takes the first grant.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, AtomicU32, Ordering};
@@ -28,7 +28,7 @@
 /// Homes tried for one engine: the best and the next, since hosts may disagree on who is alive.
 const HOMES_TRIED: usize = 2;
 /// Generations that one host may run on one engine without a permit while no home answers.
-const MAX_HOMELESS_PERMITS: u32 = 2;
+const MAX_PERMITS_WITHOUT_HOME: u32 = 2;
 
 /// A request for a permit to run one generation.
 #[derive(Debug, Clone)]
@@ -81,15 +81,15 @@
 impl NotGranted {
     /// When to retry.
     pub fn retry_after_ms(&self) -> Millis {
-        const UNKNOWN_MS: Millis = 2_000;
+        const DEFAULT_MS: Millis = 2_000;
         match self {
             Self::Refused { retry_after_ms, .. } => *retry_after_ms,
-            Self::NoEngine | Self::NoHome => UNKNOWN_MS,
+            Self::NoEngine | Self::NoHome => DEFAULT_MS,
         }
     }
 }
 
-/// The entry host's record of a permit between progress reports.
+/// A permit that this host holds, as its progress reports state it.
 #[derive(Debug)]
 pub(crate) struct HeldPermit {
     pub(crate) upstream: UpstreamKey,
@@ -232,12 +232,13 @@
             Err(NotGranted::NoHome) => self.grant_without_home(choice.first, request)?,
             Err(refused) => return Err(refused),
         };
-        self.hold(grant)
+        self.register_permit(grant)
     }
 
-    fn hold(self: &Arc<Self>, grant: Grant) -> Result<Permit, NotGranted> {
+    /// Adds a granted permit to those that this host holds and reports on.
+    fn register_permit(self: &Arc<Self>, grant: Grant) -> Result<Permit, NotGranted> {
         let listing = self.documents.listing();
-        let Some(upstream) = listing.engines.get(&grant.upstream) else {
+        let Some(engine) = listing.engines.get(&grant.upstream) else {
             return Err(NotGranted::NoEngine);
         };
         let held = Arc::new(HeldPermit {
@@ -255,7 +256,7 @@
             held,
             ended: false,
             upstream: grant.upstream,
-            engine: upstream.engine.clone(),
+            engine: engine.client.clone(),
             priority: grant.priority,
         })
     }
@@ -270,17 +271,18 @@
         let loads = self.loads.lock();
         listing
             .engines_of(&request.model)
-            .filter(|upstream| !request.excluded.contains(&upstream.key))
-            .filter(|upstream| !closed.contains(&upstream.entry.data_centre))
-            .map(|upstream| Candidate {
-                upstream: upstream.key,
-                is_local: upstream.entry.data_centre == self.settings.data_centre,
-                load: loads.get(&upstream.key).copied().unwrap_or_default(),
+            .filter(|engine| !request.excluded.contains(&engine.key))
+            .filter(|engine| !closed.contains(&engine.entry.data_centre))
+            .map(|engine| Candidate {
+                upstream: engine.key,
+                is_local: engine.entry.data_centre == self.settings.data_centre,
+                load: loads.get(&engine.key).copied().unwrap_or_default(),
                 cached: false,
             })
             .collect()
     }
 
+    /// Requests a permit from an engine's home until it is granted or refused.
     async fn request_until(
         self: Arc<Self>,
         upstream: UpstreamKey,
@@ -294,19 +296,20 @@
             request_id: id,
             granted: false,
         };
-        let mut failed_calls = 0;
+        // Requests in a row that none of the engine's homes answered.
+        let mut failed_rounds = 0;
         loop {
             let now_ms = self.clock.now_ms();
             let engine_request =
                 self.request_message(id, &request, deadline_ms.saturating_sub(now_ms));
             let Some(reply) = self.request_from_home(upstream, engine_request).await else {
-                failed_calls += 1;
-                if failed_calls >= HOMES_TRIED {
+                failed_rounds += 1;
+                if failed_rounds >= HOMES_TRIED {
                     return Err(NotGranted::NoHome);
                 }
                 continue;
             };
-            failed_calls = 0;
+            failed_rounds = 0;
             self.loads.lock().insert(upstream, reply.load);
             match reply.answer {
                 PermitAnswer::Granted { permit, priority } => {
@@ -371,12 +374,17 @@
             if let Ok(reply) = self.peers.call(info.address, call).await {
                 return Some(reply);
             }
-            warn!("permits: {} does not answer for an engine", info.name);
+            warn!(
+                "permits: home {} of engine {} does not answer",
+                info.name,
+                self.upstream_name(upstream)
+            );
         }
         None
     }
 
-    /// Decides on a permit request as the engine's home.
+    /// Decides on a permit request as the engine's home; `None` where this host doesn't know the
+    /// engine or its model.
     pub(crate) async fn handle_permit_request(
         &self,
         upstream: UpstreamKey,
@@ -400,9 +408,9 @@
         upstream: UpstreamKey,
         request: &PermitRequest,
     ) -> Result<Grant, NotGranted> {
-        let mut homeless_permits = self.homeless_permits.lock();
-        let running = homeless_permits.entry(upstream).or_default();
-        if *running >= MAX_HOMELESS_PERMITS {
+        let mut permits_without_home = self.permits_without_home.lock();
+        let running = permits_without_home.entry(upstream).or_default();
+        if *running >= MAX_PERMITS_WITHOUT_HOME {
             return Err(NotGranted::NoHome);
         }
         *running += 1;
@@ -416,7 +424,7 @@
     }
 
     fn release_without_home(&self, upstream: UpstreamKey) {
-        if let Some(running) = self.homeless_permits.lock().get_mut(&upstream) {
+        if let Some(running) = self.permits_without_home.lock().get_mut(&upstream) {
             *running = running.saturating_sub(1);
         }
     }
--- a/crates/cluster/src/poison.rs
+++ b/crates/cluster/src/poison.rs
@@ -15,11 +15,11 @@
 use spdlog::{info, warn};
 use tokio::time::sleep;
 
-use crate::circuit_breakers::{CircuitBreakers, EVALUATION_PERIOD, PROBE_RUNS_MS};
+use crate::circuit_breakers::{CircuitBreakers, EVALUATION_PERIOD, PROBE_RETRY_MS};
 
 /// A request may not run now, since upstreams crashed as they began to run its content.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
-#[error("could not run it: upstreams ended as they began to run the same request")]
+#[error("could not run it: upstreams crashed as they began to run the same content")]
 pub struct Quarantined {
     /// When to retry.
     pub retry_after_ms: Millis,
@@ -43,7 +43,7 @@
         content: ContentKey,
         upstream: UpstreamKey,
     ) -> Result<(), NoAnswer>;
-    /// Reports to a home that a content was answered completely.
+    /// Reports to a home that a request of this content was answered completely.
     async fn report_success(&self, home: SocketAddr, content: ContentKey) -> Result<(), NoAnswer>;
     /// Asks a home whether a request may run as the circuit's probe.
     async fn request_probe(&self, home: SocketAddr, content: ContentKey) -> Result<bool, NoAnswer>;
@@ -76,7 +76,10 @@
         tokio::spawn(async move {
             let result = host.report_crash(info.address, content, upstream).await;
             if let Err(error) = result {
-                warn!("circuits: could not report a crash to a home: {error}");
+                warn!(
+                    "circuits: could not report a crash of content {:016x} to home {}: {error}",
+                    content.0, info.name
+                );
             }
         });
     }
@@ -113,7 +116,7 @@
         let crashes = circuit.crashes.iter();
         let crashes: Vec<String> = crashes.map(|crash| format!("{:016x}", crash.0)).collect();
         info!(
-            "circuits: content {:016x} is {}, by this home in version {}; it had begun on {} that ended: {}",
+            "circuits: content {:016x} is {}, by this home in version {}, after {} crashes: {}",
             circuit.content.0,
             circuit.state.name(),
             circuit.version,
@@ -137,7 +140,7 @@
     let retry_after_ms = match host.breakers().admit(host.now_ms(), content) {
         Admission::Allowed => return Ok(()),
         Admission::NeedsProbe if may_probe(host, service, content).await => return Ok(()),
-        Admission::NeedsProbe => PROBE_RUNS_MS,
+        Admission::NeedsProbe => PROBE_RETRY_MS,
         Admission::Refused { retry_after_ms } => retry_after_ms,
     };
     Err(Quarantined { retry_after_ms })
@@ -150,7 +153,10 @@
         }
         match host.request_probe(info.address, content).await {
             Ok(granted) => return granted,
-            Err(error) => warn!("circuits: could not get a probe from a home: {error}"),
+            Err(error) => warn!(
+                "circuits: could not ask home {} for a probe of content {:016x}: {error}",
+                info.name, content.0
+            ),
         }
     }
     false
@@ -176,7 +182,10 @@
         let host = host.clone();
         tokio::spawn(async move {
             if let Err(error) = host.report_success(info.address, content).await {
-                warn!("circuits: could not report a success to a home: {error}");
+                warn!(
+                    "circuits: could not report a success of content {:016x} to home {}: {error}",
+                    content.0, info.name
+                );
             }
         });
     }
--- a/crates/cluster/src/progress.rs
+++ b/crates/cluster/src/progress.rs
@@ -14,13 +14,16 @@
 
 /// Time between two progress reports per member of the fleet. A larger fleet reports less often,
 /// which bounds the messages that a host sends and receives.
-const PROGRESS_MS_PER_MEMBER: u64 = 5;
-const PROGRESS_MS: std::ops::RangeInclusive<u64> = 500..=2_000;
+const PROGRESS_PERIOD_MS_PER_MEMBER: u64 = 5;
+/// Bounds of the time between two progress reports.
+const PROGRESS_PERIOD_MS: std::ops::RangeInclusive<u64> = 500..=2_000;
 
 impl Node {
     fn progress_period(&self) -> Duration {
-        let wanted_ms = self.member_count() as u64 * PROGRESS_MS_PER_MEMBER;
-        Duration::from_millis(wanted_ms.clamp(*PROGRESS_MS.start(), *PROGRESS_MS.end()))
+        let wanted_ms = self.member_count() as u64 * PROGRESS_PERIOD_MS_PER_MEMBER;
+        Duration::from_millis(
+            wanted_ms.clamp(*PROGRESS_PERIOD_MS.start(), *PROGRESS_PERIOD_MS.end()),
+        )
     }
 
     /// Reports all permits to their homes once per period, with one message to each home.
--- a/crates/cluster/src/publish.rs
+++ b/crates/cluster/src/publish.rs
@@ -69,13 +69,13 @@
         revision: u64,
     },
     /// A part is larger than the platform accepts.
-    #[error("could not store a part of {size_bytes} bytes: the platform takes 1,000,000")]
+    #[error("could not store a part of {size_bytes} bytes: the platform takes at most 1,000,000")]
     TooLarge {
         /// Size of the part.
         size_bytes: usize,
     },
-    /// The stored object isn't a valid configuration.
-    #[error("could not read the stored configuration")]
+    /// An object of the stored configuration is missing or invalid.
+    #[error("could not read the stored configuration: an object of it is missing or invalid")]
     Unreadable,
     /// The change was certainly not made.
     #[error("could not reach the platform: nothing was changed")]
@@ -152,10 +152,11 @@
         Err(PublishError::NotDone)
     }
 
-    /// Reads the current root; a default one where no configuration was ever applied.
+    /// Reads the current root and its version; a default root without a version where no
+    /// configuration was ever applied.
     ///
     /// # Errors
-    /// The outer error is one of the platform, the inner one that of an unreadable root.
+    /// The outer error is a failed call to the platform, the inner one an unreadable root.
     async fn read_root(
         &self,
     ) -> Result<Result<(Option<Version>, Root), PublishError>, PlatformError> {
@@ -173,7 +174,7 @@
                     let found = root.revision;
                     return Err(PublishError::Conflict { seen, found });
                 }
-                let preset = preset_after(root, declarations)?;
+                let preset = check_apply(root, declarations)?;
                 (ChangeKind::Apply, preset, split(declarations))
             }
             Change::UsePreset { preset } => {
@@ -259,8 +260,9 @@
     }
 }
 
-/// The active preset after an apply: the previous one, or the first declared.
-fn preset_after(root: &Root, declarations: &Declarations) -> Result<String, PublishError> {
+/// Checks that declarations can be applied, and returns the preset that is active after that: the
+/// previous one, or the first declared if no configuration was ever applied.
+fn check_apply(root: &Root, declarations: &Declarations) -> Result<String, PublishError> {
     let too_large = split(declarations)
         .values
         .values()
--- a/crates/cluster/src/safeguard.rs
+++ b/crates/cluster/src/safeguard.rs
@@ -1,9 +1,10 @@
-//! The safeguards by name. A fault run disables one and must detect that it is missing.
+//! The safeguards against faults, by name. A fault-injection run may disable one, to show that the
+//! run's checks detect its absence.
 
 use std::str::FromStr;
 
-/// A safeguard that a fault run may disable. Settings files can't disable one: a host that serves
-/// callers has all of them.
+/// A safeguard that a fault-injection run may disable. Settings files can't disable one: a host
+/// that serves callers has all of them.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Safeguard {
     /// Tokens are checked against their generation and attempt.
--- a/crates/cluster/src/spread.rs
+++ b/crates/cluster/src/spread.rs
@@ -26,7 +26,8 @@
 /// Shortest time between two fetches; a failed fetch is retried with the next ping after it.
 const ROOT_FETCH_INTERVAL_MS: u64 = 100;
 const HOST_LIST_FETCH_INTERVAL_MS: u64 = 700;
-const IDLE_PERIOD: Duration = Duration::from_millis(500);
+/// Period in which a host that isn't a watcher checks whether it has become one.
+const WATCHER_CHECK_PERIOD: Duration = Duration::from_millis(500);
 /// Backoff after a failed platform call, with jitter so that hosts don't retry simultaneously.
 const BACKOFF_MS: std::ops::Range<u64> = 250..3_000;
 
@@ -54,7 +55,7 @@
             let needed = self.documents.versions().root == 0 || self.is_watcher();
             if !needed {
                 version = 0;
-                tokio::time::sleep(IDLE_PERIOD).await;
+                tokio::time::sleep(WATCHER_CHECK_PERIOD).await;
                 continue;
             }
             match self
@@ -130,36 +131,37 @@
         for hash in root.parts.hashes() {
             let Some(value) = self.part(holder, hash).await else {
                 warn!(
-                    "spread: could not fetch a part of revision {}",
-                    root.revision
+                    "spread: could not fetch part {} of revision {}; revision {} stays active",
+                    hash, root.revision, held
                 );
                 return;
             };
             values.insert(hash.clone(), value);
         }
+        let revision = root.revision;
         let Some(configuration) = ActiveConfiguration::new(root, values) else {
-            warn!("spread: could not decode a newer revision");
+            warn!("spread: could not decode revision {revision}; revision {held} stays active");
             return;
         };
         // A host that held no root has just started and has seen no change. When many hosts start
         // at once, announcing what each of them reads anyway would cause a message storm.
-        let has_started = held > 0;
-        self.adopt_root(holder, configuration, has_started);
+        let must_announce = held > 0;
+        self.adopt_root(holder, configuration, must_announce);
     }
 
-    /// Adopts a complete configuration, and announces it where it is an update for others.
+    /// Adopts a complete configuration if it is newer, and announces it where `must_announce`.
     pub(crate) fn adopt_root(
         self: &Arc<Self>,
         holder: Option<SocketAddr>,
         configuration: ActiveConfiguration,
-        is_update: bool,
+        must_announce: bool,
     ) {
         let revision = configuration.root.revision;
         let value = serde_json::to_vec(&configuration.root).unwrap_or_default();
         if self.documents.adopt_root(configuration) {
             info!("spread: revision {} is active", revision);
             self.apply_preset();
-            if is_update {
+            if must_announce {
                 self.announce_root(holder, &value);
             }
         }
@@ -243,8 +245,8 @@
                 targets.push(info.address);
             } else if holder.is_none() {
                 let key = HostKey::of(&info.name);
-                let same = other_data_centres.entry(&info.data_centre).or_default();
-                same.push((key, info));
+                let group = other_data_centres.entry(&info.data_centre).or_default();
+                group.push((key, info));
             }
         }
         for (data_centre, mut infos) in other_data_centres {
@@ -256,9 +258,10 @@
         targets
     }
 
-    /// Whether to fetch a document from a peer now. Many peers report a newer version at about the
-    /// same time; fetching it from each of them would cost a hundred times as much as one fetch.
-    fn may_fetch(&self, document: Document) -> bool {
+    /// Whether to fetch a document from a peer now; records the fetch if so. Many peers report a
+    /// newer version at about the same time; fetching it from each of them would cost a hundred
+    /// times as much as one fetch.
+    fn begin_fetch(&self, document: Document) -> bool {
         let interval_ms = match document {
             Document::Root => ROOT_FETCH_INTERVAL_MS,
             Document::HostList => HOST_LIST_FETCH_INTERVAL_MS,
@@ -275,7 +278,7 @@
 
     /// Fetches the documents of which a peer has a newer version, and exchanges circuits with it if
     /// theirs differ.
-    pub(crate) async fn compare(self: &Arc<Self>, peer: SocketAddr, theirs: Versions) {
+    pub(crate) async fn fetch_newer(self: &Arc<Self>, peer: SocketAddr, theirs: Versions) {
         if !self.has(Safeguard::Spread) {
             return;
         }
@@ -288,7 +291,7 @@
             (Document::HostList, theirs.host_list > own.host_list),
         ];
         for (document, _) in newer.into_iter().filter(|(_, is_newer)| *is_newer) {
-            if !self.may_fetch(document) {
+            if !self.begin_fetch(document) {
                 continue;
             }
             let call = |client: fulmarpath_wire::PeerClient, context| async move {
--- a/crates/cluster/src/swim.rs
+++ b/crates/cluster/src/swim.rs
@@ -41,6 +41,7 @@
         let key = HostKey::of(&target.name);
         let draw = rand::rng().random();
         let relays = self.members.lock().probe_relays(key, draw, PROBE_RELAYS);
+        let relay_count = relays.len();
         let calls = relays.into_iter().map(|relay| {
             let (node, ping) = (self.clone(), ping.clone());
             async move {
@@ -54,7 +55,10 @@
         match pongs.into_iter().flatten().next() {
             Some(pong) => self.handle_pong(target.address, pong).await,
             None => {
-                warn!("members: {} does not answer", target.name);
+                warn!(
+                    "members: {} answered no ping, neither directly nor through {} relays",
+                    target.name, relay_count
+                );
                 self.members.lock().suspect(self.clock.now_ms(), key);
             }
         }
@@ -92,7 +96,7 @@
                 members.apply(now_ms, rumour);
             }
         }
-        self.compare(address, pong.versions).await;
+        self.fetch_newer(address, pong.versions).await;
     }
 
     /// Answers a ping, and applies its rumours.
@@ -114,7 +118,7 @@
         if theirs_are_newer || ping.versions.circuits != own.circuits {
             let node = self.clone();
             let theirs = ping.versions;
-            tokio::spawn(async move { node.compare(address, theirs).await });
+            tokio::spawn(async move { node.fetch_newer(address, theirs).await });
         }
         Pong {
             from,
@@ -123,7 +127,7 @@
         }
     }
 
-    /// Notifies all live members at once that this host leaves.
+    /// Marks this host as leaving, so that it takes no new work, and notifies all live members.
     pub async fn leave(self: &Arc<Self>) {
         self.leaving
             .store(true, std::sync::atomic::Ordering::Relaxed);
--- a/crates/cluster/tests/common/mod.rs
+++ b/crates/cluster/tests/common/mod.rs
@@ -82,7 +82,7 @@
         &self,
         key: &str,
         _seen: Version,
-        _bound: Duration,
+        _time_limit: Duration,
     ) -> Result<Option<Object>, PlatformError> {
         self.read(key).await
     }
