--- a/crates/entry/src/attach.rs
+++ b/crates/entry/src/attach.rs
@@ -1,4 +1,4 @@
-//! Continues a generation that another host holds, or held before it failed.
+//! Reads a generation that another host holds, or held before it failed, into a local copy.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -90,7 +90,7 @@
                             Finish::Stop
                         }));
                     }
-                    // This caller's request carries no proof of what the other host sent.
+                    // `End::NotRun` needs a proof that only the other host has.
                     Some(GenerationEnd::NotRun | GenerationEnd::OutcomeUnknown) => {
                         return Some(End::OutcomeUnknown);
                     }
--- a/crates/entry/src/content.rs
+++ b/crates/entry/src/content.rs
@@ -5,13 +5,13 @@
 use fulmarpath_policy::{ContentKey, OrganisationKey, ServiceKey};
 use xxhash_rust::xxh3::Xxh3;
 
-/// Content key of a request whose body has this hash. It is the same for each retry by the caller.
+/// Content key of a request with this hash. It is the same for each retry by the caller.
 pub(crate) fn content_key(
     organisation: OrganisationKey,
     service: ServiceKey,
-    text_hash: u64,
+    request_hash: u64,
 ) -> ContentKey {
     let mut hasher = Xxh3::new();
-    (organisation, service, text_hash).hash(&mut hasher);
+    (organisation, service, request_hash).hash(&mut hasher);
     ContentKey(hasher.finish())
 }
--- a/crates/entry/src/crash.rs
+++ b/crates/entry/src/crash.rs
@@ -51,7 +51,7 @@
         self.crashed_engines += 1;
         if self.crashed_engines >= MAX_CRASHED_ENGINES {
             let name = self.job.generation.name();
-            warn!("relay: {name} abandoned after {MAX_CRASHED_ENGINES} engine crashes");
+            warn!("relay: {name} is not continued after {MAX_CRASHED_ENGINES} engine crashes");
             return false;
         }
         if self.crashed_engines + 1 == MAX_CRASHED_ENGINES {
--- a/crates/entry/src/driver.rs
+++ b/crates/entry/src/driver.rs
@@ -18,10 +18,12 @@
 use crate::relay::RelayOutcome;
 use crate::trace::RequestTrace;
 
-/// How long a generation that was sent to an engine retries to get a permit after a failure.
+/// How long a generation that was sent to an engine keeps trying to get a permit after a failure.
 const RECOVERY_TIMEOUT_MS: Millis = 60_000;
 const RECOVERY_RETRY_PAUSE: Duration = Duration::from_millis(200);
+/// Retries that each attempt sent to an upstream adds to its budget.
 const RETRY_RATIO: f32 = 0.1;
+/// Limit on the retries saved up in the budget of an upstream.
 const MAX_SAVED_RETRIES: f32 = 10.0;
 
 /// State shared by the drivers of a host.
@@ -30,7 +32,7 @@
     pub(crate) metrics: Arc<Metrics>,
     pub(crate) silence_timeout: Duration,
     pub(crate) reconnect_grace_ms: Millis,
-    budgets: Mutex<HashMap<UpstreamKey, RetryBudget>>,
+    retry_budgets: Mutex<HashMap<UpstreamKey, RetryBudget>>,
 }
 
 impl DriverContext {
@@ -45,16 +47,16 @@
             metrics,
             silence_timeout,
             reconnect_grace_ms,
-            budgets: Mutex::default(),
+            retry_budgets: Mutex::default(),
         }
     }
 
-    fn with_budget<T>(
+    fn with_retry_budget<T>(
         &self,
         upstream: UpstreamKey,
         action: impl FnOnce(&mut RetryBudget) -> T,
     ) -> T {
-        let mut budgets = self.budgets.lock();
+        let mut budgets = self.retry_budgets.lock();
         let budget = budgets
             .entry(upstream)
             .or_insert_with(|| RetryBudget::new(RETRY_RATIO, MAX_SAVED_RETRIES));
@@ -74,7 +76,7 @@
 }
 
 /// Result of sending a generation to an engine.
-enum Started {
+enum StartOutcome {
     Streams(Box<dyn TokenStream>),
     /// The engine certainly did not run it.
     NotRun,
@@ -135,15 +137,19 @@
             };
             let upstream = permit.upstream;
             let started = self.start(&permit, &mut unsent).await;
-            if matches!(started, Started::EngineLost) {
+            if matches!(started, StartOutcome::EngineLost) {
                 is_admitted = false;
                 if !self.may_continue(&permit).await {
                     return End::OutcomeUnknown;
                 }
             }
-            let Started::Streams(stream) = started else {
+            let StartOutcome::Streams(stream) = started else {
                 excluded.push(upstream);
-                if unsent.is_some() && !self.context.with_budget(upstream, RetryBudget::try_retry) {
+                if unsent.is_some()
+                    && !self
+                        .context
+                        .with_retry_budget(upstream, RetryBudget::try_retry)
+                {
                     let proof = unsent.take().unwrap_or_else(Unsent::refused_by_upstream);
                     return End::NotRun(NotRun::new(proof, NotRunReason::RefusedByUpstream));
                 }
@@ -172,8 +178,10 @@
                     }
                     self.context.metrics.record_recovery("other_engine");
                     warn!(
-                        "relay: {} lost its engine and continues on another",
-                        self.job.generation.name()
+                        "relay: {} lost engine {} after {} tokens and continues on another",
+                        self.job.generation.name(),
+                        self.context.node.upstream_name(upstream),
+                        self.job.generation.next_index()
                     );
                     self.spawn_cancel(permit);
                     excluded = vec![upstream];
@@ -182,7 +190,7 @@
         }
     }
 
-    /// Acquires a permit. A generation that has been sent before retries until
+    /// Acquires a permit. A generation that has been sent before keeps trying for
     /// [`RECOVERY_TIMEOUT_MS`].
     async fn acquire_permit(
         &self,
@@ -234,11 +242,11 @@
     }
 
     /// Sends the generation to the engine of the permit.
-    async fn start(&mut self, permit: &Permit, unsent: &mut Option<Unsent>) -> Started {
+    async fn start(&mut self, permit: &Permit, unsent: &mut Option<Unsent>) -> StartOutcome {
         self.attempt += 1;
         self.first_engine_token_ms = None;
         self.context
-            .with_budget(permit.upstream, RetryBudget::record_first_attempt);
+            .with_retry_budget(permit.upstream, RetryBudget::record_first_attempt);
         let span = info_span!("engine.generate", attempt = self.attempt);
         let request = GenerateRequest {
             traceparent: self.job.trace.traceparent(&span),
@@ -253,20 +261,20 @@
         let is_first_dispatch = unsent.take().is_some();
         let sent = permit.engine.generate(&request);
         match sent.instrument(span).await {
-            Ok(stream) => Started::Streams(stream),
+            Ok(stream) => StartOutcome::Streams(stream),
             Err(EngineError::NotRun(_)) => {
                 if is_first_dispatch {
                     *unsent = Some(Unsent::refused_by_upstream());
                 }
-                Started::NotRun
+                StartOutcome::NotRun
             }
             Err(EngineError::UnknownGeneration | EngineError::OutcomeUnknown(_)) => {
                 if !self.context.node.has(Safeguard::NotRunProof) {
                     *unsent = Some(Unsent::refused_by_upstream());
                 }
                 match self.resume(permit).await {
-                    Some(stream) => Started::Streams(stream),
-                    None => Started::EngineLost,
+                    Some(stream) => StartOutcome::Streams(stream),
+                    None => StartOutcome::EngineLost,
                 }
             }
         }
@@ -292,8 +300,10 @@
         request.only_now = true;
         let other = self.context.node.acquire_permit(&request).await.ok()?;
         info!(
-            "relay: {} moves to another engine",
-            self.job.generation.name()
+            "relay: {} moves from engine {} to {}",
+            self.job.generation.name(),
+            self.context.node.upstream_name(permit.upstream),
+            self.context.node.upstream_name(other.upstream)
         );
         Some(other)
     }
--- a/crates/entry/src/generation.rs
+++ b/crates/entry/src/generation.rs
@@ -13,7 +13,7 @@
 struct Buffer {
     text: String,
     /// End offset of each token in `text`.
-    ends: Vec<u32>,
+    end_offsets: Vec<u32>,
     end: Option<End>,
 }
 
@@ -24,12 +24,15 @@
     name: String,
     organisation: OrganisationKey,
     base: u32,
+    /// Whether it was submitted under an idempotency key.
     keyed: bool,
     buffer: Mutex<Buffer>,
     changed: watch::Sender<()>,
     cancelled: AtomicBool,
     readers: AtomicU32,
+    /// Time of the last read.
     read_at_ms: AtomicU64,
+    /// 0 until it has ended.
     ended_at_ms: AtomicU64,
 }
 
@@ -83,7 +86,7 @@
 
     /// Index of the next token to be appended.
     pub(crate) fn next_index(&self) -> u32 {
-        self.base + self.buffer.lock().ends.len() as u32
+        self.base + self.buffer.lock().end_offsets.len() as u32
     }
 
     /// Appends the token at `index`.
@@ -94,12 +97,12 @@
     pub(crate) fn push(&self, index: u32, text: &str) {
         {
             let mut buffer = self.buffer.lock();
-            let next = self.base + buffer.ends.len() as u32;
+            let next = self.base + buffer.end_offsets.len() as u32;
             assert_eq!(index, next, "a token must be the next one");
             assert!(buffer.end.is_none(), "a token must not follow the end");
             buffer.text.push_str(text);
-            let end = buffer.text.len() as u32;
-            buffer.ends.push(end);
+            let end_offset = buffer.text.len() as u32;
+            buffer.end_offsets.push(end_offset);
         }
         self.changed.send_replace(());
     }
@@ -129,7 +132,7 @@
     /// Size of the buffers, in bytes.
     pub(crate) fn size_bytes(&self) -> usize {
         let buffer = self.buffer.lock();
-        buffer.text.capacity() + buffer.ends.capacity() * size_of::<u32>()
+        buffer.text.capacity() + buffer.end_offsets.capacity() * size_of::<u32>()
     }
 
     /// All tokens, for an engine that continues after them.
@@ -142,14 +145,14 @@
         let buffer = self.buffer.lock();
         let skip = from.saturating_sub(self.base) as usize;
         let mut start = match skip.checked_sub(1) {
-            Some(last) => buffer.ends.get(last).copied().unwrap_or(0) as usize,
+            Some(last) => buffer.end_offsets.get(last).copied().unwrap_or(0) as usize,
             None => 0,
         };
         let mut texts = Vec::new();
-        for end in buffer.ends.iter().skip(skip) {
-            let end = *end as usize;
-            texts.push(buffer.text[start..end].to_owned());
-            start = end;
+        for end_offset in buffer.end_offsets.iter().skip(skip) {
+            let end_offset = *end_offset as usize;
+            texts.push(buffer.text[start..end_offset].to_owned());
+            start = end_offset;
         }
         let end = buffer.end;
         TokenBatch { texts, end }
--- a/crates/entry/src/metrics.rs
+++ b/crates/entry/src/metrics.rs
@@ -98,52 +98,59 @@
 
     fn register(&mut self) {
         let registry = &mut self.registry;
-        registry.register("tokens", "Tokens relayed", self.tokens.clone());
+        registry.register("tokens", "Tokens relayed from engines", self.tokens.clone());
         registry.register(
             "stall_ms",
-            "Time without a token: to the first past 1,500 ms, between two past 250 ms",
+            "Stall time in ms: beyond 1,500 ms to the first token, beyond 250 ms between two",
             self.stall_ms.clone(),
         );
-        registry.register("answers", "Whole answers", self.answers.clone());
-        registry.register("refusals", "Refusals by kind", self.refusals.clone());
+        registry.register("answers", "Completed generations", self.answers.clone());
+        registry.register(
+            "refusals",
+            "Requests that were refused or failed, by kind of problem",
+            self.refusals.clone(),
+        );
         registry.register(
             "recoveries",
-            "Streams that went on after a failure, by kind",
+            "Generations continued over a new connection or on another engine, by kind",
             self.recoveries.clone(),
         );
         registry.register(
             "between_tokens_ms",
-            "Time between two tokens of an answer",
+            "Time between two successive tokens of a generation, in ms",
             self.between_tokens_ms.clone(),
         );
         registry.register(
             "first_token_ms",
-            "Time from the request to the first token",
+            "Time from the receipt of a request to its first token, in ms",
             self.first_token_ms.clone(),
         );
         registry.register(
             "engine_running",
-            "Permits out, by engine whose home this host is",
+            "Generations with a permit, for engines whose home is this host",
             self.engine_running.clone(),
         );
         registry.register(
             "engine_queued",
-            "Asks in the queue, by engine whose home this host is",
+            "Permit requests queued at the home plus generations waiting in the engine, \
+             for engines whose home is this host",
             self.engine_queued.clone(),
         );
         registry.register(
             "engine_used_tokens",
-            "Engine memory in use, by engine whose home this host is",
+            "KV cache in use in tokens, the larger of permits' and the engine's own count, \
+             for engines whose home is this host",
             self.engine_used_tokens.clone(),
         );
         registry.register(
             "engine_preemptions",
-            "Generations that the engine paused since it started, by its own count",
+            "Preemptions since the engine started, as it reports them, \
+             for engines whose home is this host",
             self.engine_preemptions.clone(),
         );
         registry.register(
             "cut_by_stop",
-            "Requests that a stop cut at its bound",
+            "Generations interrupted by a shutdown",
             self.cut_by_stop.clone(),
         );
     }
--- a/crates/entry/src/operator.rs
+++ b/crates/entry/src/operator.rs
@@ -86,7 +86,7 @@
         }
         (&Method::GET, "/operator/status") => Ok(json(StatusCode::OK, &status(entry).await)),
         _ => Err(Problem::NotFound {
-            what: "this operator's path",
+            what: "this operator path",
         }),
     }
 }
--- a/crates/entry/src/outcome.rs
+++ b/crates/entry/src/outcome.rs
@@ -4,11 +4,11 @@
 use fulmarpath_policy::{LimitExceeded, Millis};
 use fulmarpath_upstream::Finish;
 
-/// Proof that nothing of a request has been sent to any upstream.
+/// Proof that no upstream has run a request: it was sent to none, or each refused it.
 ///
-/// A request starts with one, and the first dispatch consumes it. A caller that gets "not run"
-/// while an engine runs the request would submit it again and get two different answers to one
-/// request. Since [`NotRun`] can't be built without this proof, no code path can report that
+/// A request starts with one, and loses it when an upstream may have run it. A caller that gets
+/// "not run" while an engine runs the request would submit it again and get two different answers
+/// to one request. Since [`NotRun`] can't be built without this proof, no code path can report that
 /// wrongly.
 #[derive(Debug)]
 pub struct Unsent(());
@@ -32,13 +32,13 @@
     #[error("{0}")]
     NotGranted(NotGranted),
     /// Above the organisation's limit of requests per second.
-    #[error("could not accept more requests a second of this organisation")]
+    #[error("could not accept more requests per second from this organisation")]
     RateLimit,
     /// Above the organisation's limit of concurrent requests.
-    #[error("could not accept more requests at once of this organisation")]
+    #[error("could not accept more concurrent requests from this organisation")]
     ConcurrencyLimit,
-    /// This host has too many open streams.
-    #[error("could not open more streams on this host")]
+    /// This host has too many open requests.
+    #[error("could not accept more concurrent requests on this host")]
     TooManyStreams,
     /// This host accepts no new requests at present.
     #[error("could not take new work on this host")]
--- a/crates/entry/src/registry.rs
+++ b/crates/entry/src/registry.rs
@@ -83,14 +83,14 @@
                 Some((at_ms, generation.name().to_owned(), generation.size_bytes()))
             })
             .collect();
-        let mut total: usize = finished.iter().map(|(_, _, size)| size).sum();
+        let mut total_bytes: usize = finished.iter().map(|(_, _, size_bytes)| size_bytes).sum();
         finished.sort();
-        for (_, name, size) in finished {
-            if total <= MAX_FINISHED_BYTES {
+        for (_, name, size_bytes) in finished {
+            if total_bytes <= MAX_FINISHED_BYTES {
                 break;
             }
             generations.remove(&name);
-            total -= size;
+            total_bytes -= size_bytes;
         }
     }
 }
--- a/crates/entry/src/request.rs
+++ b/crates/entry/src/request.rs
@@ -88,7 +88,7 @@
 /// Parses the body of a request.
 pub(crate) fn parse_request(api: ApiFormat, body: &[u8]) -> Result<CallerRequest, Problem> {
     const MALFORMED: Problem = Problem::Malformed {
-        what: "the body as a request for a completion",
+        what: "the body as a completion request",
     };
     let hash = xxh3_64(body);
     match api {
@@ -98,7 +98,7 @@
                 Prompt::One(text) => text,
                 Prompt::List(mut texts) if texts.len() == 1 => texts.remove(0),
                 Prompt::List(_) => {
-                    let what = "a list of prompts; send one prompt a request";
+                    let what = "a list of prompts; send one prompt per request";
                     return Err(Problem::Malformed { what });
                 }
             };
--- a/crates/entry/src/routes.rs
+++ b/crates/entry/src/routes.rs
@@ -21,7 +21,7 @@
 use crate::submit::{reattach, submit, submit_keyed, validate};
 use crate::trace::RequestTrace;
 
-const MAX_KEY_BYTES: usize = 255;
+const MAX_IDEMPOTENCY_KEY_BYTES: usize = 255;
 
 /// Handles one request.
 pub(crate) async fn route(entry: Arc<Entry>, request: Request<Incoming>) -> Reply {
@@ -133,11 +133,11 @@
         let generation = reattach(entry, key, name, options.from, model)?;
         return Ok(respond(generation, options, clock).await);
     }
-    let _stream = entry.open_stream()?;
+    let _open_request = entry.open_request()?;
     let trace = RequestTrace::start(&parts.headers, &caller_request.service);
     let validated = validate(entry, configuration, organisation, caller_request, trace)?;
     let generation = match header(&parts.headers, "idempotency-key") {
-        Some(key) if key.is_empty() || key.len() > MAX_KEY_BYTES => {
+        Some(key) if key.is_empty() || key.len() > MAX_IDEMPOTENCY_KEY_BYTES => {
             return Err(Problem::Malformed {
                 what: "the Idempotency-Key header: use 1 to 255 bytes",
             });
@@ -165,7 +165,9 @@
             let generation = entry.registry.find(key, &name).ok_or(NOT_FOUND)?;
             if generation.is_keyed() {
                 return Err(Problem::Unacceptable {
-                    detail: "could not cancel a keyed submission: it runs at most once".into(),
+                    detail: "could not cancel a submission with an idempotency key: \
+                             a repeat of it may still request its result"
+                        .into(),
                 });
             }
             generation.cancel();
@@ -192,7 +194,7 @@
         content_type: header(&parts.headers, CONTENT_TYPE.as_str()).map(str::to_owned),
         body: read_body(entry, incoming).await?,
     };
-    let _stream = entry.open_stream()?;
+    let _open_request = entry.open_request()?;
     plain::call(entry, configuration, &organisation, request).await
 }
 
--- a/crates/entry/src/server.rs
+++ b/crates/entry/src/server.rs
@@ -26,7 +26,7 @@
     pub header_limit_bytes: usize,
     /// Longest request body.
     pub body_limit_bytes: usize,
-    /// Concurrent open requests.
+    /// Limit of concurrent open requests.
     pub stream_limit: usize,
     /// Silence after which an engine's stream is resumed over a new connection.
     pub silence_timeout: Duration,
@@ -52,18 +52,19 @@
 }
 
 /// Counts an open request until it is dropped.
-pub(crate) struct OpenStreamGuard(Arc<AtomicUsize>);
+pub(crate) struct OpenRequestGuard(Arc<AtomicUsize>);
 
-impl Drop for OpenStreamGuard {
+impl Drop for OpenRequestGuard {
     fn drop(&mut self) {
         self.0.fetch_sub(1, Ordering::Relaxed);
     }
 }
 
 impl Entry {
-    pub(crate) fn open_stream(&self) -> Result<OpenStreamGuard, Problem> {
+    /// Counts a request as open, unless the host has reached its limit.
+    pub(crate) fn open_request(&self) -> Result<OpenRequestGuard, Problem> {
         let open = self.open_requests.fetch_add(1, Ordering::Relaxed);
-        let guard = OpenStreamGuard(self.open_requests.clone());
+        let guard = OpenRequestGuard(self.open_requests.clone());
         if open >= self.settings.stream_limit {
             let reason = NotRunReason::TooManyStreams;
             return Err(Problem::NotRun(NotRun::new(Unsent::fresh(), reason)));
