--- a/crates/cluster/src/members.rs
+++ b/crates/cluster/src/members.rs
@@ -146,7 +146,7 @@
     }
 
     /// Records a ping or an answer from a member, which clears any suspicion of that incarnation.
-    pub fn record_answer(&mut self, now_ms: Millis, rumour: &Rumour) {
+    pub fn record_contact(&mut self, now_ms: Millis, rumour: &Rumour) {
         let key = HostKey::of(&rumour.member.name);
         if let Some(record) = self.records.get_mut(&key)
             && record.rumour.state == MemberState::Suspect
--- a/crates/cluster/src/swim.rs
+++ b/crates/cluster/src/swim.rs
@@ -91,7 +91,7 @@
         self.documents.record_contact(now_ms);
         {
             let mut members = self.members.lock();
-            members.record_answer(now_ms, &pong.from);
+            members.record_contact(now_ms, &pong.from);
             for rumour in pong.rumours {
                 members.apply(now_ms, rumour);
             }
@@ -106,7 +106,7 @@
         let address = ping.from.member.address;
         let (from, rumours) = {
             let mut members = self.members.lock();
-            members.record_answer(now_ms, &ping.from);
+            members.record_contact(now_ms, &ping.from);
             for rumour in ping.rumours {
                 members.apply(now_ms, rumour);
             }
--- a/crates/gateway/src/fleet.rs
+++ b/crates/gateway/src/fleet.rs
@@ -241,7 +241,7 @@
         let now_ms = self.clock.now_ms();
         self.fleet.last_contact_ms.store(now_ms, Ordering::Relaxed);
         let mut members = self.fleet.members.lock();
-        members.record_answer(now_ms, from);
+        members.record_contact(now_ms, from);
         for rumour in rumours {
             members.apply(now_ms, rumour);
         }
