--- a/crates/cluster/src/documents.rs
+++ b/crates/cluster/src/documents.rs
@@ -12,7 +12,7 @@
 use parking_lot::Mutex;
 
 use crate::configuration::ActiveConfiguration;
-use crate::engines::Engines;
+use crate::upstream_clients::UpstreamClients;
 
 /// A listed engine with its client.
 #[derive(Clone)]
@@ -32,7 +32,7 @@
 }
 
 impl Listing {
-    fn new(document: HostListing, clients: &dyn Engines) -> Self {
+    fn new(document: HostListing, clients: &dyn UpstreamClients) -> Self {
         let mut listing = Self::default();
         for entry in &document.hosts {
             match entry.role {
@@ -131,7 +131,7 @@
     }
 
     /// Adopts a newer host list; true where it was adopted.
-    pub(crate) fn adopt_listing(&self, newer: HostListing, clients: &dyn Engines) -> bool {
+    pub(crate) fn adopt_listing(&self, newer: HostListing, clients: &dyn UpstreamClients) -> bool {
         let _adopting = self.adopting.lock();
         if newer.version <= self.versions().host_list {
             return false;
--- a/crates/cluster/src/node.rs
+++ b/crates/cluster/src/node.rs
@@ -28,12 +28,12 @@
 use crate::clock::Clock;
 use crate::configuration::ActiveConfiguration;
 use crate::documents::Documents;
-use crate::engines::Engines;
 use crate::homes::HomeTable;
 use crate::members::Members;
 use crate::permits::HeldPermit;
 use crate::publish::{Change, PublishError, Publisher};
 use crate::safeguard::Safeguard;
+use crate::upstream_clients::UpstreamClients;
 
 /// Settings of a node.
 #[derive(Debug, Clone)]
@@ -92,7 +92,7 @@
     pub(crate) documents: Documents,
     pub(crate) object_api: Arc<dyn ObjectApi>,
     pub(crate) host_list: Arc<dyn HostList>,
-    pub(crate) engines: Arc<dyn Engines>,
+    pub(crate) clients: Arc<dyn UpstreamClients>,
     pub(crate) claims: ClaimLog,
     pub(crate) circuit_breakers: CircuitBreakers,
     pub(crate) generations: OnceLock<Arc<dyn Generations>>,
@@ -109,7 +109,7 @@
         listener: TcpListener,
         object_api: Arc<dyn ObjectApi>,
         host_list: Arc<dyn HostList>,
-        engines: Arc<dyn Engines>,
+        clients: Arc<dyn UpstreamClients>,
     ) -> Result<Arc<Self>, StartError> {
         let info = MemberInfo {
             name: settings.host.clone(),
@@ -137,7 +137,7 @@
             circuit_breakers: CircuitBreakers::default(),
             object_api,
             host_list,
-            engines,
+            clients,
             generations: OnceLock::new(),
             leaving: AtomicBool::new(false),
             settings,
@@ -213,7 +213,7 @@
             .into_iter()
             .map(|entry| {
                 let upstream = UpstreamKey::of(&entry.name);
-                (upstream, self.engines.plain(entry.address))
+                (upstream, self.clients.plain(entry.address))
             })
             .collect()
     }
--- a/crates/cluster/src/spread.rs
+++ b/crates/cluster/src/spread.rs
@@ -178,7 +178,7 @@
         for info in crate::node::entry_hosts(&listing) {
             self.members.lock().seed(now_ms, info);
         }
-        self.documents.adopt_listing(listing, &*self.engines);
+        self.documents.adopt_listing(listing, &*self.clients);
     }
 
     /// Returns a part from memory, from the peer that holds the root, or from the platform.
--- a/src/host.rs
+++ b/src/host.rs
@@ -4,7 +4,9 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use fulmarpath_cluster::{ClaimSettings, HttpEngines, Node, NodeSettings, Safeguard, StartError};
+use fulmarpath_cluster::{
+    ClaimSettings, HttpUpstreamClients, Node, NodeSettings, Safeguard, StartError,
+};
 use fulmarpath_entry::{EntryServer, EntrySettings, Stopped};
 use fulmarpath_settings::HostSettings;
 use fulmarpath_store::{HttpHostList, HttpObjectApi};
@@ -76,10 +78,10 @@
         };
         let object_api = Arc::new(HttpObjectApi::new(settings.object_api_address));
         let host_list = Arc::new(HttpHostList::new(settings.host_list_address));
-        let engines = Arc::new(HttpEngines {
+        let clients = Arc::new(HttpUpstreamClients {
             plain_timeout: Duration::from_millis(settings.plain_bound_ms),
         });
-        let node = Node::start(node_settings, peers, object_api, host_list, engines).await?;
+        let node = Node::start(node_settings, peers, object_api, host_list, clients).await?;
         let entry_settings = EntrySettings {
             header_limit_bytes: settings.header_limit_bytes,
             body_limit_bytes: settings.body_limit_bytes,
