--- a/crates/settings/src/directory.rs
+++ b/crates/settings/src/directory.rs
@@ -11,7 +11,7 @@
 ///
 /// # Errors
 /// All diagnostics of all four files at once.
-pub fn check(directory: &Path) -> Result<Declarations, SettingsDiagnostics> {
+pub fn read_declarations(directory: &Path) -> Result<Declarations, SettingsDiagnostics> {
     let mut diagnostics = Vec::new();
     let mut declarations = Declarations::default();
     let mut reader = Reader::new(&directory.join("models.yaml"));
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -13,5 +13,5 @@
 pub use declarations::{Declarations, Model, Organisation, Preset, Service, ServiceKind, key_hash};
 pub use diagnostic::{DiagnosticKind, SettingsDiagnostic, SettingsDiagnostics};
 pub use difference::{Difference, difference};
-pub use directory::check;
+pub use directory::read_declarations;
 pub use host::{HostSettings, LogFormat, read_host};
--- a/crates/settings/tests/check.rs
+++ b/crates/settings/tests/check.rs
@@ -2,7 +2,9 @@
 
 use std::path::{Path, PathBuf};
 
-use fulmarpath_settings::{DiagnosticKind, SettingsDiagnostics, check, difference, read_host};
+use fulmarpath_settings::{
+    DiagnosticKind, SettingsDiagnostics, difference, read_declarations, read_host,
+};
 use rstest::rstest;
 
 fn path(name: &str) -> PathBuf {
@@ -93,7 +95,7 @@
 
 #[test]
 fn one_pass_reports_all_mistakes() {
-    let Err(SettingsDiagnostics(found)) = check(&path("tests/wrong")) else {
+    let Err(SettingsDiagnostics(found)) = read_declarations(&path("tests/wrong")) else {
         panic!("invalid declarations were accepted");
     };
     for (expected, diagnostic) in EXPECTED.iter().zip(&found) {
@@ -113,7 +115,7 @@
 #[case("../../examples/association")]
 #[case("../../examples/vilaverde")]
 fn the_examples_are_accepted(#[case] directory: &str) {
-    let declarations = check(&path(directory)).expect("valid settings");
+    let declarations = read_declarations(&path(directory)).expect("valid settings");
     assert_eq!(declarations.organisations.len(), 10);
     assert_eq!(declarations.presets.len(), 3);
 }
@@ -139,7 +141,7 @@
 
 #[test]
 fn differences_name_each_changed_field() {
-    let before = check(&path("../../examples/association")).expect("valid settings");
+    let before = read_declarations(&path("../../examples/association")).expect("valid settings");
     let mut after = before.clone();
     after.organisations.remove(9);
     after.organisations[0].weight = 7.0;
--- a/src/cmd/apply.rs
+++ b/src/cmd/apply.rs
@@ -35,7 +35,7 @@
 
 impl Run for Apply {
     fn run(&self) -> Result<(), CommandError> {
-        let declarations = settings::check(&self.directory)?;
+        let declarations = settings::read_declarations(&self.directory)?;
         let onto = self.onto;
         block_on(async {
             let body = Body { declarations, onto };
--- a/src/cmd/check.rs
+++ b/src/cmd/check.rs
@@ -19,7 +19,7 @@
 
 impl Run for Check {
     fn run(&self) -> Result<(), CommandError> {
-        let declarations = settings::check(&self.directory)?;
+        let declarations = settings::read_declarations(&self.directory)?;
         println!(
             "{} organisations, {} services, {} models, {} presets",
             declarations.organisations.len(),
--- a/src/cmd/plan.rs
+++ b/src/cmd/plan.rs
@@ -23,7 +23,7 @@
 
 impl Run for Plan {
     fn run(&self) -> Result<(), CommandError> {
-        let desired = settings::check(&self.directory)?;
+        let desired = settings::read_declarations(&self.directory)?;
         block_on(async {
             let report: Report = self.target.get("/operator/status").await?;
             let active: Declarations = self.target.get("/operator/declarations").await?;
