--- a/crates/entry/src/crash.rs
+++ b/crates/entry/src/crash.rs
@@ -10,7 +10,7 @@
 use tokio::time::{sleep, timeout};
 
 use crate::driver::Driver;
-use crate::outcome::{End, NotRun, NotRunReason, Unsent};
+use crate::outcome::{End, NotRun, NotRunProof, NotRunReason};
 
 /// Timeout of the probe that checks whether an engine is still running.
 const PROBE_TIMEOUT: Duration = Duration::from_millis(250);
@@ -23,12 +23,12 @@
 
 impl Driver {
     /// Checks that the generation's content isn't quarantined for crashing engines.
-    pub(crate) async fn admit(&self, unsent: &mut Option<Unsent>) -> Result<(), End> {
+    pub(crate) async fn admit(&self, proof: &mut Option<NotRunProof>) -> Result<(), End> {
         let (service, content) = (self.job.request.service, self.job.content);
         let Err(quarantined) = self.context.node.admit(service, content).await else {
             return Ok(());
         };
-        Err(match unsent.take() {
+        Err(match proof.take() {
             Some(proof) => End::NotRun(NotRun::new(proof, NotRunReason::Quarantined(quarantined))),
             None => End::OutcomeUnknown,
         })
--- a/crates/entry/src/driver.rs
+++ b/crates/entry/src/driver.rs
@@ -14,7 +14,7 @@
 
 use crate::generation::Generation;
 use crate::metrics::{CallerLabels, Metrics};
-use crate::outcome::{End, NotRun, NotRunReason, Unsent};
+use crate::outcome::{End, NotRun, NotRunProof, NotRunReason};
 use crate::relay::RelayOutcome;
 use crate::trace::RequestTrace;
 
@@ -85,7 +85,7 @@
 }
 
 /// Runs a generation to its end and records how it ended.
-pub(crate) async fn drive(context: Arc<DriverContext>, job: Job, unsent: Unsent) {
+pub(crate) async fn drive(context: Arc<DriverContext>, job: Job, proof: NotRunProof) {
     let generation = job.generation.clone();
     let mut driver = Driver {
         clock: context.node.clock(),
@@ -96,7 +96,7 @@
         attempt: 0,
         job,
     };
-    let end = driver.run(unsent).await;
+    let end = driver.run(proof).await;
     if let End::NotRun(not_run) = end {
         let kind = crate::problem::Problem::NotRun(not_run).kind();
         driver.context.metrics.record_refusal(kind);
@@ -117,26 +117,26 @@
 }
 
 impl Driver {
-    async fn run(&mut self, unsent: Unsent) -> End {
-        let mut unsent = Some(unsent);
+    async fn run(&mut self, proof: NotRunProof) -> End {
+        let mut proof = Some(proof);
         let mut excluded: Vec<UpstreamKey> = Vec::new();
         let mut move_permit = None;
         let mut is_admitted = false;
         loop {
             if !std::mem::replace(&mut is_admitted, true)
-                && let Err(end) = self.admit(&mut unsent).await
+                && let Err(end) = self.admit(&mut proof).await
             {
                 return end;
             }
             let permit = match move_permit.take() {
                 Some(permit) => permit,
-                None => match self.acquire_permit(&mut unsent, &mut excluded).await {
+                None => match self.acquire_permit(&mut proof, &mut excluded).await {
                     Ok(permit) => permit,
                     Err(end) => return end,
                 },
             };
             let upstream = permit.upstream;
-            let started = self.start(&permit, &mut unsent).await;
+            let started = self.start(&permit, &mut proof).await;
             if matches!(started, StartOutcome::EngineLost) {
                 is_admitted = false;
                 if !self.may_continue(&permit).await {
@@ -145,12 +145,14 @@
             }
             let StartOutcome::Streams(stream) = started else {
                 excluded.push(upstream);
-                if unsent.is_some()
+                if proof.is_some()
                     && !self
                         .context
                         .with_retry_budget(upstream, RetryBudget::try_retry)
                 {
-                    let proof = unsent.take().unwrap_or_else(Unsent::refused_by_upstream);
+                    let proof = proof
+                        .take()
+                        .unwrap_or_else(NotRunProof::refused_by_upstream);
                     return End::NotRun(NotRun::new(proof, NotRunReason::RefusedByUpstream));
                 }
                 continue;
@@ -194,7 +196,7 @@
     /// [`RECOVERY_TIMEOUT_MS`].
     async fn acquire_permit(
         &self,
-        unsent: &mut Option<Unsent>,
+        proof: &mut Option<NotRunProof>,
         excluded: &mut Vec<UpstreamKey>,
     ) -> Result<Permit, End> {
         let started_ms = self.clock.now_ms();
@@ -208,7 +210,7 @@
                     .node
                     .acquire_permit(&request)
                     .instrument(info_span!("home.permit")) => result,
-                () = self.caller_left() => return Err(self.end_after_caller_left(unsent)),
+                () = self.caller_left() => return Err(self.end_after_caller_left(proof)),
             };
             let error = match result {
                 Ok(permit) => return Ok(permit),
@@ -217,11 +219,11 @@
             if error == NotGranted::NoEngine && !excluded.is_empty() {
                 excluded.clear();
                 tokio::time::sleep(RECOVERY_RETRY_PAUSE).await;
-                if unsent.is_none() {
+                if proof.is_none() {
                     continue;
                 }
             }
-            if let Some(proof) = unsent.take() {
+            if let Some(proof) = proof.take() {
                 return Err(End::NotRun(NotRun::new(
                     proof,
                     NotRunReason::NotGranted(error),
@@ -234,15 +236,15 @@
         }
     }
 
-    fn end_after_caller_left(&self, unsent: &mut Option<Unsent>) -> End {
-        match unsent.take() {
+    fn end_after_caller_left(&self, proof: &mut Option<NotRunProof>) -> End {
+        match proof.take() {
             Some(proof) => End::NotRun(NotRun::new(proof, NotRunReason::HostClosed)),
             None => End::Abandoned,
         }
     }
 
     /// Sends the generation to the engine of the permit.
-    async fn start(&mut self, permit: &Permit, unsent: &mut Option<Unsent>) -> StartOutcome {
+    async fn start(&mut self, permit: &Permit, proof: &mut Option<NotRunProof>) -> StartOutcome {
         self.attempt += 1;
         self.first_engine_token_ms = None;
         self.context
@@ -258,19 +260,19 @@
             output_limit_tokens: self.job.request.output_limit_tokens,
             priority: permit.priority,
         };
-        let is_first_dispatch = unsent.take().is_some();
+        let had_proof = proof.take().is_some();
         let sent = permit.engine.generate(&request);
         match sent.instrument(span).await {
             Ok(stream) => StartOutcome::Streams(stream),
             Err(EngineError::NotRun(_)) => {
-                if is_first_dispatch {
-                    *unsent = Some(Unsent::refused_by_upstream());
+                if had_proof {
+                    *proof = Some(NotRunProof::refused_by_upstream());
                 }
                 StartOutcome::NotRun
             }
             Err(EngineError::UnknownGeneration | EngineError::OutcomeUnknown(_)) => {
                 if !self.context.node.has(Safeguard::NotRunProof) {
-                    *unsent = Some(Unsent::refused_by_upstream());
+                    *proof = Some(NotRunProof::refused_by_upstream());
                 }
                 match self.resume(permit).await {
                     Some(stream) => StartOutcome::Streams(stream),
--- a/crates/entry/src/lib.rs
+++ b/crates/entry/src/lib.rs
@@ -22,6 +22,6 @@
 
 pub use generation::Generation;
 pub use metrics::Metrics;
-pub use outcome::{End, NotRun, NotRunReason, Unsent};
+pub use outcome::{End, NotRun, NotRunProof, NotRunReason};
 pub use problem::Problem;
 pub use server::{EntryServer, EntrySettings, Stopped};
--- a/crates/entry/src/outcome.rs
+++ b/crates/entry/src/outcome.rs
@@ -11,9 +11,9 @@
 /// to one request. Since [`NotRun`] can't be built without this proof, no code path can report that
 /// wrongly.
 #[derive(Debug)]
-pub struct Unsent(());
+pub struct NotRunProof(());
 
-impl Unsent {
+impl NotRunProof {
     /// The proof for a request that has just been received.
     pub(crate) fn fresh() -> Self {
         Self(())
@@ -67,8 +67,8 @@
 const RETRY_AFTER_MS: Millis = 1_000;
 
 impl NotRun {
-    /// Reports a request that was never sent, with the reason.
-    pub(crate) fn new(_proof: Unsent, reason: NotRunReason) -> Self {
+    /// Reports a request that no upstream has run, with the reason.
+    pub(crate) fn new(_proof: NotRunProof, reason: NotRunReason) -> Self {
         let retry_after_ms = match reason {
             NotRunReason::NotGranted(error) => error.retry_after_ms(),
             NotRunReason::Quarantined(quarantined) => quarantined.retry_after_ms,
@@ -81,7 +81,7 @@
     }
 
     /// Reports a request that exceeds its organisation's limits.
-    pub(crate) fn limit_exceeded(_proof: Unsent, exceeded: LimitExceeded) -> Self {
+    pub(crate) fn limit_exceeded(_proof: NotRunProof, exceeded: LimitExceeded) -> Self {
         match exceeded {
             LimitExceeded::Rate { retry_after_ms } => Self {
                 reason: NotRunReason::RateLimit,
--- a/crates/entry/src/plain.rs
+++ b/crates/entry/src/plain.rs
@@ -14,7 +14,7 @@
 use xxhash_rust::xxh3::Xxh3;
 
 use crate::content::content_key;
-use crate::outcome::{NotRun, NotRunReason, Unsent};
+use crate::outcome::{NotRun, NotRunProof, NotRunReason};
 use crate::problem::Problem;
 use crate::server::Entry;
 
@@ -60,10 +60,10 @@
         .iter()
         .any(|method| method == request.method.as_str());
     entry.check_accepts_work(&configuration, &request.service)?;
-    let unsent = entry.take_slot(organisation, Unsent::fresh()).await?;
+    let proof = entry.take_slot(organisation, NotRunProof::fresh()).await?;
     let key = OrganisationKey::of(&organisation.name);
     let content = request.content(key);
-    let response = send(entry, &request, content, may_repeat, unsent).await;
+    let response = send(entry, &request, content, may_repeat, proof).await;
     entry.node.release_slot(key);
     response.map(reply)
 }
@@ -78,9 +78,9 @@
     request: &ServiceRequest,
     content: ContentKey,
     may_repeat: bool,
-    unsent: Unsent,
+    proof: NotRunProof,
 ) -> Result<PlainResponse, Problem> {
-    let mut unsent = Some(unsent);
+    let mut proof = Some(proof);
     let instances = entry.node.plain(&request.service);
     let mut is_admitted = false;
     let mut reason = NotRunReason::RefusedByUpstream;
@@ -115,7 +115,7 @@
                         .report_upstream_crash(request.key(), content, *upstream);
                 }
                 if entry.node.has(Safeguard::NotRunProof) {
-                    unsent = None;
+                    proof = None;
                 }
                 if !may_repeat && entry.node.has(Safeguard::PlainOnce) {
                     break;
@@ -123,7 +123,7 @@
             }
         }
     }
-    match unsent {
+    match proof {
         Some(proof) => Err(Problem::NotRun(NotRun::new(proof, reason))),
         None => Err(Problem::OutcomeUnknown),
     }
--- a/crates/entry/src/routes.rs
+++ b/crates/entry/src/routes.rs
@@ -12,7 +12,7 @@
 use hyper::{Method, Request, StatusCode};
 
 use crate::identity::parse_event_id;
-use crate::outcome::{NotRun, NotRunReason, Unsent};
+use crate::outcome::{NotRun, NotRunProof, NotRunReason};
 use crate::plain;
 use crate::problem::Problem;
 use crate::request::{ApiFormat, parse_request};
@@ -241,12 +241,12 @@
         let closed = &configuration.preset().closed_services;
         if closed.iter().any(|name| name == service) {
             let reason = NotRunReason::ServiceClosed;
-            return Err(Problem::NotRun(NotRun::new(Unsent::fresh(), reason)));
+            return Err(Problem::NotRun(NotRun::new(NotRunProof::fresh(), reason)));
         }
         Ok(())
     }
 }
 
 fn not_accepting_work() -> Problem {
-    Problem::NotRun(NotRun::new(Unsent::fresh(), NotRunReason::HostClosed))
+    Problem::NotRun(NotRun::new(NotRunProof::fresh(), NotRunReason::HostClosed))
 }
--- a/crates/entry/src/server.rs
+++ b/crates/entry/src/server.rs
@@ -14,7 +14,7 @@
 
 use crate::driver::DriverContext;
 use crate::metrics::{Metrics, UpstreamLabel};
-use crate::outcome::{NotRun, NotRunReason, Unsent};
+use crate::outcome::{NotRun, NotRunProof, NotRunReason};
 use crate::problem::Problem;
 use crate::registry::Registry;
 use crate::routes::route;
@@ -67,7 +67,7 @@
         let guard = OpenRequestGuard(self.open_requests.clone());
         if open >= self.settings.stream_limit {
             let reason = NotRunReason::TooManyStreams;
-            return Err(Problem::NotRun(NotRun::new(Unsent::fresh(), reason)));
+            return Err(Problem::NotRun(NotRun::new(NotRunProof::fresh(), reason)));
         }
         Ok(guard)
     }
--- a/crates/entry/src/submit.rs
+++ b/crates/entry/src/submit.rs
@@ -15,7 +15,7 @@
 use crate::driver::{Job, drive};
 use crate::generation::Generation;
 use crate::identity::{new_name, parse_name};
-use crate::outcome::{End, NotRun, NotRunReason, Unsent};
+use crate::outcome::{End, NotRun, NotRunProof, NotRunReason};
 use crate::problem::Problem;
 use crate::request::CallerRequest;
 use crate::server::Entry;
@@ -81,11 +81,11 @@
     entry: &Arc<Entry>,
     validated: ValidatedRequest,
 ) -> Result<Arc<Generation>, Problem> {
-    let unsent = Unsent::fresh();
-    let unsent = entry.take_slot(&validated.organisation, unsent).await?;
+    let proof = NotRunProof::fresh();
+    let proof = entry.take_slot(&validated.organisation, proof).await?;
     let organisation = OrganisationKey::of(&validated.organisation.name);
     let name = new_name(entry.host(), organisation);
-    Ok(start(entry, validated, name, false, unsent))
+    Ok(start(entry, validated, name, false, proof))
 }
 
 /// Starts a request under an idempotency key, or returns the generation that already claimed it.
@@ -124,15 +124,15 @@
             // The claim may be in the log under this name. Recording that the generation never ran
             // lets a repeat of the request supersede the claim.
             ClaimAnswer::Unsure | ClaimAnswer::NotClaimed => {
-                let not_run = NotRun::new(Unsent::fresh(), NotRunReason::ClaimFailed);
+                let not_run = NotRun::new(NotRunProof::fresh(), NotRunReason::ClaimFailed);
                 entry.record_not_run(&name, organisation, not_run);
                 return Err(Problem::NotRun(not_run));
             }
         }
     }
-    let unsent = Unsent::fresh();
-    match entry.take_slot(&validated.organisation, unsent).await {
-        Ok(unsent) => Ok(start(entry, validated, name, true, unsent)),
+    let proof = NotRunProof::fresh();
+    match entry.take_slot(&validated.organisation, proof).await {
+        Ok(proof) => Ok(start(entry, validated, name, true, proof)),
         Err(problem) => {
             if let Problem::NotRun(not_run) = &problem {
                 entry.record_not_run(&name, organisation, *not_run);
@@ -198,7 +198,7 @@
     validated: ValidatedRequest,
     name: String,
     keyed: bool,
-    unsent: Unsent,
+    proof: NotRunProof,
 ) -> Arc<Generation> {
     let organisation = OrganisationKey::of(&validated.organisation.name);
     let now_ms = entry.node.clock().now_ms();
@@ -233,7 +233,7 @@
     let span = job.trace.span.clone();
     let entry = entry.clone();
     let run = async move {
-        drive(entry.driver_context.clone(), job, unsent).await;
+        drive(entry.driver_context.clone(), job, proof).await;
         entry.node.release_slot(organisation);
     };
     tokio::spawn(run.instrument(span));
@@ -249,16 +249,16 @@
     pub(crate) async fn take_slot(
         &self,
         organisation: &Organisation,
-        unsent: Unsent,
-    ) -> Result<Unsent, Problem> {
+        proof: NotRunProof,
+    ) -> Result<NotRunProof, Problem> {
         let limits = RequestLimits {
             requests_per_s: organisation.requests_per_s,
             concurrent: organisation.concurrent_requests,
         };
         let key = OrganisationKey::of(&organisation.name);
         match self.node.take_slot(key, limits).await {
-            Ok(()) => Ok(unsent),
-            Err(exceeded) => Err(Problem::NotRun(NotRun::limit_exceeded(unsent, exceeded))),
+            Ok(()) => Ok(proof),
+            Err(exceeded) => Err(Problem::NotRun(NotRun::limit_exceeded(proof, exceeded))),
         }
     }
 
