--- a/crates/cluster/src/documents.rs
+++ b/crates/cluster/src/documents.rs
@@ -78,7 +78,7 @@
     listing: ArcSwap<Listing>,
     adopting: Mutex<()>,
     last_contact_ms: AtomicU64,
-    /// Set when a fault-injection run disables the comparison of revisions.
+    /// Set when a fault run disables the comparison of revisions.
     accepts_any_revision: bool,
 }
 
--- a/crates/cluster/src/node.rs
+++ b/crates/cluster/src/node.rs
@@ -48,7 +48,7 @@
     pub contact_timeout_ms: Millis,
     /// Settings of the claim log.
     pub claims: ClaimSettings,
-    /// Safeguard that a fault-injection run disables.
+    /// Safeguard that a fault run disables.
     pub disabled_safeguard: Option<Safeguard>,
 }
 
@@ -172,7 +172,7 @@
         &self.settings.host
     }
 
-    /// Whether a safeguard is enabled, which it is unless a fault-injection run has disabled it.
+    /// Whether a safeguard is enabled, which it is unless a fault run has disabled it.
     pub fn has(&self, safeguard: Safeguard) -> bool {
         self.settings.disabled_safeguard != Some(safeguard)
     }
--- a/crates/cluster/src/publish.rs
+++ b/crates/cluster/src/publish.rs
@@ -129,6 +129,8 @@
             if root.revision_of(&id).is_some() {
                 return self.load(root).await;
             }
+            // A change that another operator made since the first attempt is a conflict; for a switch
+            // of the preset, only if that change switched the preset as well.
             let seen = first_root.get_or_insert_with(|| root.clone());
             if matches!(change, Change::UsePreset { .. }) && seen.preset != root.preset {
                 return Err(conflict(seen, &root));
--- a/crates/cluster/src/safeguard.rs
+++ b/crates/cluster/src/safeguard.rs
@@ -1,10 +1,10 @@
-//! The safeguards against faults, by name. A fault-injection run may disable one, to show that the
-//! run's checks detect its absence.
+//! The safeguards against faults, by name. A fault run, which injects faults, may disable one to
+//! show that its checks detect the absence.
 
 use std::str::FromStr;
 
-/// A safeguard that a fault-injection run may disable. Settings files can't disable one: a host
-/// that serves callers has all of them.
+/// A safeguard that a fault run may disable. Settings files can't disable one: a host that serves
+/// callers has all of them.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Safeguard {
     /// Tokens are checked against their generation and attempt.
