--- a/src/bin/fulmarpath-standin.rs
+++ b/src/bin/fulmarpath-standin.rs
@@ -44,18 +44,24 @@
     let mut engines = Vec::new();
     for number in 0..options.engines {
         let engine = StandinEngine::start(listen().await?, EngineSpec::default())?;
-        let centre = ["zrh-a", "zrh-b", "zrh-c"][number % 3];
+        let data_centre = ["zrh-a", "zrh-b", "zrh-c"][number % 3];
         let name = format!("engine-{number}");
-        let listed = entry(&name, Role::Engine, centre, &options.model, engine.address);
+        let listed = entry(
+            &name,
+            Role::Engine,
+            data_centre,
+            &options.model,
+            engine.address,
+        );
         host_list.put(listed);
         engines.push(engine);
     }
     for host in &options.host {
         let mut parts = host.split('=');
-        let (name, centre, address) = (parts.next(), parts.next(), parts.next());
+        let (name, data_centre, address) = (parts.next(), parts.next(), parts.next());
         let address: Option<SocketAddr> = address.and_then(|address| address.parse().ok());
-        if let (Some(name), Some(centre), Some(address)) = (name, centre, address) {
-            host_list.put(entry(name, Role::Entry, centre, "", address));
+        if let (Some(name), Some(data_centre), Some(address)) = (name, data_centre, address) {
+            host_list.put(entry(name, Role::Entry, data_centre, "", address));
         }
     }
     println!("object_api {}", object_api.address);
@@ -67,11 +73,17 @@
     TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).await
 }
 
-fn entry(name: &str, role: Role, centre: &str, serves: &str, address: SocketAddr) -> HostEntry {
+fn entry(
+    name: &str,
+    role: Role,
+    data_centre: &str,
+    serves: &str,
+    address: SocketAddr,
+) -> HostEntry {
     HostEntry {
         name: name.to_owned(),
         role,
-        data_centre: centre.to_owned(),
+        data_centre: data_centre.to_owned(),
         serves: serves.to_owned(),
         address,
         state: ListedState::Live,
--- a/src/cmd/gateway.rs
+++ b/src/cmd/gateway.rs
@@ -27,7 +27,7 @@
 #[derive(Debug, Clone, Bpaf)]
 #[bpaf(command("gateway"))]
 pub(crate) struct Serve {
-    /// Settings file; by default the one named in the environment
+    /// Settings file; by default the one that the variable FULMARPATH_NODE_FILE names
     #[bpaf(positional("SETTINGS.YAML"), optional)]
     settings: Option<PathBuf>,
 }
--- a/src/cmd/plan.rs
+++ b/src/cmd/plan.rs
@@ -34,7 +34,7 @@
             let (count, revision) = (differences.len(), report.revision);
             println!("{count} differences from revision {revision}");
             if count > 0 {
-                println!("apply with --onto {revision} to be sure of applying just these");
+                println!("apply with --onto {revision} to apply exactly these differences");
             }
             Ok(())
         })
--- a/src/cmd/status.rs
+++ b/src/cmd/status.rs
@@ -82,7 +82,7 @@
             .map(|member| member.host)
             .collect();
         if lagging.is_empty() {
-            println!("revision {revision} in force on every live host");
+            println!("revision {revision} is active on every live host");
             return Ok(());
         }
         if started.elapsed() > WAIT_TIMEOUT {
--- a/src/dev.rs
+++ b/src/dev.rs
@@ -72,7 +72,7 @@
     #[error("could not apply the declarations")]
     Apply(#[from] fulmarpath_cluster::PublishError),
     /// The hosts were not ready within 15 s.
-    #[error("could not get all hosts ready in time")]
+    #[error("could not get all hosts ready within 15 s")]
     NotReady,
 }
 
--- a/src/error.rs
+++ b/src/error.rs
@@ -10,7 +10,7 @@
 /// A command failed.
 #[derive(Debug, thiserror::Error, Diagnostic)]
 pub(crate) enum CommandError {
-    /// The settings or declarations have mistakes.
+    /// The settings or declarations are invalid.
     #[error(transparent)]
     #[diagnostic(transparent)]
     SettingsDiagnostics(#[from] SettingsDiagnostics),
@@ -21,8 +21,11 @@
     #[error("could not run the trial deployment")]
     Dev(#[from] DevError),
     /// No settings file is given.
-    #[error("could not find the settings")]
-    #[diagnostic(help("pass the file on the command line or in the environment"))]
+    #[error("could not find the settings file: none is given")]
+    #[diagnostic(help(
+        "pass the file on the command line or in the variable {}",
+        fulmarpath::platform::FILE_VARIABLE
+    ))]
     NoSettings,
     /// The platform's settings can't be used.
     #[error(transparent)]
@@ -51,8 +54,8 @@
     /// Tracing could not be set up.
     #[error("could not start tracing")]
     Trace(#[from] TraceError),
-    /// The runtime could not start.
-    #[error("could not start the runtime")]
+    /// The runtime could not start, or a signal handler could not be installed.
+    #[error("could not start the runtime or install its signal handlers")]
     Runtime(#[source] std::io::Error),
     /// The operator key can't be read.
     #[error("could not read the operator key from {}", file.display())]
@@ -69,12 +72,12 @@
         address: SocketAddr,
     },
     /// The host rejected the request.
-    #[error("could not do it: {detail}")]
+    #[error("could not complete the request: {detail}")]
     Rejected {
         /// The reason that the host gave.
         detail: String,
     },
-    /// A live host did not activate the revision within the wait.
+    /// A live host did not activate the revision before the timeout.
     #[error("could not activate revision {revision} in time on: {lagging}")]
     Lagging {
         /// The revision.
@@ -82,7 +85,7 @@
         /// The hosts that still run an older revision.
         lagging: String,
     },
-    /// Requests were aborted by the shutdown.
+    /// The shutdown aborted running requests.
     #[error("could not finish {count} running requests before the shutdown")]
     Aborted {
         /// How many.
--- a/src/log.rs
+++ b/src/log.rs
@@ -18,9 +18,9 @@
 ///
 /// # Errors
 /// [`LogError`] where the sink can't be built.
-pub fn init(form: LogFormat) -> Result<(), LogError> {
+pub fn init(format: LogFormat) -> Result<(), LogError> {
     let builder = StdStreamSink::builder().std_stream(StdStream::Stderr);
-    let sink = match form {
+    let sink = match format {
         LogFormat::Text => builder
             .formatter(PatternFormatter::new(pattern!(
                 "{date} {time}.{millisecond} {level} {payload}{eol}"
@@ -41,8 +41,8 @@
     Ok(())
 }
 
-/// Capacity of the queue of log lines, enough for one second at a host's peak. When the queue is
-/// full, new lines are dropped, so that a slow log reader never delays a request.
+/// Capacity of the queue of log lines, enough for one second at a host's peak rate. When the queue
+/// is full, new lines are dropped, so that a slow log reader never delays a request.
 const QUEUE_LINES: usize = 2_048;
 
 /// Sets up the log of a gateway: JSON lines on standard output, written by a dedicated thread.
--- a/src/trace.rs
+++ b/src/trace.rs
@@ -18,7 +18,7 @@
     #[error("could not build the span exporter")]
     Exporter(#[from] ExporterBuildError),
     /// A global subscriber is already installed.
-    #[error("could not set up tracing twice")]
+    #[error("could not set up tracing: a global subscriber is already installed")]
     AlreadySet,
 }
 
--- a/tests/explain.rs
+++ b/tests/explain.rs
@@ -134,8 +134,8 @@
     expected: &'static str,
 }
 
-/// Guards against refusals whose reason is missing from the output: an evacuation ordered by the
-/// operator, or a rate limit that an upstream advertises, is logged without the request id.
+/// Guards against refusals whose reason is missing from the output. The evacuation or the
+/// advertised rate limit that caused the refusal is logged without the request id.
 #[rstest]
 #[case::by_operator(RefusalCase {
     outcome: "evacuated",
@@ -163,8 +163,8 @@
     is_shown: bool,
 }
 
-/// Guards against a missing hint at a store restore: a request that was routed by entries that the
-/// restore lost must be distinguishable from any other.
+/// Guards against an explanation that omits a store restore: a request that ends near one may have
+/// been routed by entries that the restore lost.
 #[rstest]
 #[case::shortly_before(RestoreCase { at_ms: 95_000, is_shown: true })]
 #[case::during_the_request(RestoreCase { at_ms: 100_500, is_shown: true })]
--- a/tests/processes.rs
+++ b/tests/processes.rs
@@ -27,8 +27,8 @@
 /// Reserves a range of ports for this process by listening on the first port of the range.
 ///
 /// If ports were picked one by one, two test processes could find the same port free at the same
-/// time. The host that binds it second exits at once, and its example is never applied: this failed
-/// 15 of 18 runs of six concurrent test processes.
+/// time. The host that binds it second exits at once, and applying the example then fails: this
+/// failed 15 of 18 runs of six concurrent test processes.
 struct PortRange {
     first: u16,
     _guard: TcpListener,
@@ -259,7 +259,7 @@
     }
 }
 
-/// Set up from processes and settings files only: an operator applies the example, callers at all
+/// In a deployment of processes and settings files, an operator applies the example, callers at all
 /// three hosts get complete responses, `plan` shows no difference, and an unknown preset is
 /// refused.
 #[tokio::test(flavor = "multi_thread")]
