--- a/crates/standin/src/engine.rs
+++ b/crates/standin/src/engine.rs
@@ -24,7 +24,7 @@
 use crate::runs::{EngineRecord, Run, State};
 
 const HEADER_LIMIT_BYTES: usize = 16_384;
-const HEARTBEAT: Duration = Duration::from_millis(250);
+const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(250);
 /// Delay between the start of a prompt that crashes its engine and the crash, less than one step.
 const CRASH_DELAY: Duration = Duration::from_millis(2);
 
@@ -34,13 +34,13 @@
     /// Incremented by [`StandinEngine::silence_open_streams`]. Streams that were opened in an
     /// earlier epoch send nothing more.
     silence_epoch: AtomicU32,
-    /// Each stream also contains a token of another generation and one of another attempt.
+    /// Streams also contain tokens of another generation, some of them also of another attempt.
     pub foreign_tokens: AtomicBool,
-    /// Requests get no response and streams send nothing more, as with a dead process.
+    /// Requests get no response and streams send nothing more, as with a hung process.
     pub unresponsive: AtomicBool,
     /// The load report has the state leaving, and new generations are refused.
     leaving: AtomicBool,
-    /// A resumed stream starts this number of tokens before the requested index.
+    /// A resumed stream starts up to this number of tokens before the requested index.
     pub resume_rewind_tokens: AtomicU32,
     /// Each stream is disconnected after this number of tokens; 0 for never.
     pub break_after_tokens: AtomicU32,
@@ -174,7 +174,8 @@
             if step_ms > 0.0 {
                 tokio::time::sleep(Duration::from_secs_f64(step_ms / 1_000.0)).await;
             } else {
-                let _ = tokio::time::timeout(HEARTBEAT, self.work_available.notified()).await;
+                let _ =
+                    tokio::time::timeout(HEARTBEAT_INTERVAL, self.work_available.notified()).await;
             }
         }
     }
@@ -363,7 +364,7 @@
                 }
             }
             let changed = tokio::select! {
-                changed = tokio::time::timeout(HEARTBEAT, changed.changed()) => changed,
+                changed = tokio::time::timeout(HEARTBEAT_INTERVAL, changed.changed()) => changed,
                 () = self.faults.crashed.cancelled() => return,
             };
             if changed.is_err() {
@@ -384,7 +385,8 @@
 
 const FOREIGN_GENERATION: &str = "another-generation";
 
-/// Tokens of another generation, at the index that the receiver expects next.
+/// Tokens of another generation, one of them also of another attempt, at the index that the
+/// receiver expects next.
 fn foreign_tokens_at(attempt: u32, index: u32) -> [StreamItem; 2] {
     let token = |generation: &str, attempt| StreamItem::Token {
         generation: generation.to_owned(),
