--- a/crates/bench/src/reclaim/engine.rs
+++ b/crates/bench/src/reclaim/engine.rs
@@ -4,7 +4,7 @@
 
 use fulmarpath_policy::EngineCapacity;
 
-/// An engine of the users' grown deployments, by their figures.
+/// Capacity of an engine in the users' workload specification.
 pub(super) const CAPACITY: EngineCapacity = EngineCapacity {
     memory_tokens: 21_874,
     slots: 24,
@@ -78,7 +78,7 @@
         self.batch.push(job);
     }
 
-    pub(super) fn copy(&mut self, run: usize, tokens: u32, until_us: u64) {
+    pub(super) fn put_copy(&mut self, run: usize, tokens: u32, until_us: u64) {
         self.drop_copy(run);
         self.copies.push((run, tokens, until_us));
     }
@@ -110,7 +110,7 @@
         self.batch.iter().find(|job| job.run == run)
     }
 
-    /// Removes all generations and copies; returns the runs of the generations.
+    /// Removes all generations and copies, and returns the runs of the generations.
     pub(super) fn drain_runs(&mut self) -> Vec<usize> {
         self.copies.clear();
         let all = self.queue.drain(..).chain(self.batch.drain(..));
--- a/crates/bench/src/reclaim/engine_lifecycle.rs
+++ b/crates/bench/src/reclaim/engine_lifecycle.rs
@@ -6,10 +6,14 @@
 use super::event::Event;
 use super::world::{DATA_CENTRES, NOTICE_DELAY_US, World};
 
-/// By the users' sheets 17% of the engines are reclaimed every 3.3 s and replaced 4 s later.
+/// Interval between two reclaims. The users' workload specification gives this interval, the share
+/// of reclaimed engines and the delay of their replacements.
 pub(super) const RECLAIM_PERIOD_US: u64 = 3_300_000;
+/// Share of all engines that one reclaim takes: 17%.
 const RECLAIMED_SHARE: f64 = 0.17;
+/// Time from the notice of a reclaimed engine to its end.
 pub(super) const NOTICE_US: std::ops::Range<u64> = 1_540_000..2_100_000;
+/// Time from the notice or the crash of an engine until its replacement has started.
 const REPLACEMENT_DELAY_US: u64 = 4_000_000;
 /// Time to resume from a copy after a crash.
 const FAILOVER_RESUME_US: u64 = 20_000;
@@ -76,7 +80,7 @@
         let attempt = self.attempts[run];
         let copy = attempt
             .backup
-            .filter(|backup| !self.engines[*backup].is_gone && attempt.first_us.is_some());
+            .filter(|backup| !self.engines[*backup].is_gone && attempt.first_event_us.is_some());
         let Some(backup) = copy else {
             self.tally.lost += 1;
             self.end_attempt(run, false);
@@ -94,8 +98,8 @@
         self.attempts[run].backup = None;
         self.attempts[run].engine = Some(backup);
         self.attempts[run].was_migrated = true;
-        self.attempts[run].last_us = self.attempts[run]
-            .last_us
+        self.attempts[run].last_event_us = self.attempts[run]
+            .last_event_us
             .max(self.now_us - FAILOVER_RESUME_US.min(self.now_us));
         self.engines[backup].resume(job);
         self.start_step_if_idle(backup);
--- a/crates/bench/src/reclaim/migration.rs
+++ b/crates/bench/src/reclaim/migration.rs
@@ -50,7 +50,7 @@
             return self.end_migration(migration, MigrationOutcome::Refused);
         }
         let until_us = self.now_us + ORPHANED_COPY_TTL_US;
-        self.engines[to].copy(run, held, until_us);
+        self.engines[to].put_copy(run, held, until_us);
         let copied_us = self.reserve_links(from, to, held);
         self.event_queue
             .schedule(copied_us, Event::BulkCopied(migration));
--- a/crates/bench/src/reclaim/mod.rs
+++ b/crates/bench/src/reclaim/mod.rs
@@ -1,6 +1,7 @@
-//! Simulates one cell of engines that are reclaimed at short notice, in virtual time: the gateway's
-//! own placement and migration decisions, simulated engines of the users' capacity, and network
-//! links that queue transfers.
+//! Simulates one cell of engines that are reclaimed at short notice, in virtual time. Placement and
+//! migration are decided by the gateway's own code. The simulated engines, the links that queue
+//! transfers, and the load follow the workload specification of the users' deployments, at the size
+//! to which these are to grow.
 
 mod engine;
 mod engine_lifecycle;
--- a/crates/bench/src/reclaim/request.rs
+++ b/crates/bench/src/reclaim/request.rs
@@ -1,4 +1,4 @@
-//! Draws callers' requests by the users' sheets.
+//! Draws callers' requests from the distributions of the users' workload specification.
 
 use std::ops::Range;
 
@@ -12,20 +12,24 @@
 /// Error of callers' length hints: standard deviation of the logarithm of hint over length.
 const HINT_SIGMA: f64 = 1.2;
 
-/// One kind of request, by the users' sheets of the grown deployments.
+/// One kind of request.
 #[derive(Debug, Clone, Copy)]
 struct RequestKind {
+    /// Requests per second and engine at load 1.0.
     rate: f64,
     shared_prefix_tokens: u32,
+    /// Prompt length without the shared prefix.
     prompt_tokens: LogNormal,
+    /// Number of events in the answer.
     events: LogNormal,
+    /// An answer is late if its first event takes longer than this.
     target_ms: u64,
     /// Callers give up after this time.
     deadline_ms: u64,
     priority: u8,
 }
 
-/// Lognormal distribution with its mean, capped at `max`.
+/// Lognormal distribution with the given mean before the cap at `max`.
 #[derive(Debug, Clone, Copy)]
 struct LogNormal {
     mean: f64,
@@ -39,8 +43,9 @@
     }
 }
 
-/// Rates are requests per second and engine at load 1.0: both kinds together then need about the
-/// memory of the running engines, at 8.6 s for a report and 0.6 s for a short answer.
+/// The kinds of the users' workload specification: long answers and short ones. At load 1.0 both
+/// together need about the memory of the running engines, if a long answer takes 8.6 s and a short
+/// one 0.6 s.
 const KINDS: [RequestKind; 2] = [
     RequestKind {
         rate: 0.60,
--- a/crates/bench/src/reclaim/row.rs
+++ b/crates/bench/src/reclaim/row.rs
@@ -75,10 +75,10 @@
     pub(crate) largest_on_time_share: f64,
     /// Of the tenth of the long requests with the longest answers: complete and on time.
     pub(crate) longest_on_time_share: f64,
-    /// Benefit of the long requests as a share of the possible benefit: it grows with a request's
-    /// size, and a late answer is worth a seventh.
+    /// Benefit of the long requests as a share of the possible benefit. The benefit of a request
+    /// grows with its size; a late answer has `LATE_BENEFIT` of it.
     pub(crate) benefit_share: f64,
-    /// Long requests that were refused and not served on their retry either.
+    /// Long requests that were refused and also not served on their retry.
     pub(crate) refused_for_good: usize,
     /// Time to the first event of the long requests that were served.
     pub(crate) first_ms_p50: f64,
@@ -89,7 +89,7 @@
     /// Mean time per output token.
     pub(crate) token_ms: f64,
     /// Mean duration of the long requests that were served, weighted by size. The loss when all
-    /// hosts end at once grows with it.
+    /// hosts crash at once grows with it.
     pub(crate) life_ms: f64,
     pub(crate) refused: usize,
     pub(crate) lost: usize,
@@ -116,7 +116,7 @@
     pub(super) stream_ms: f64,
 }
 
-/// Benefit of a late answer relative to one on time, by the users' sheets.
+/// Benefit of a late answer relative to one on time, from the users' workload specification.
 const LATE_BENEFIT: f64 = 0.15;
 /// An output token weighs as much as this many prompt tokens.
 const OUT_TOKEN_WEIGHT: u32 = 10;
@@ -124,7 +124,7 @@
 const FIXED_BENEFIT: f64 = 0.3;
 
 impl CallerOutcome {
-    /// Size in prompt tokens, as the users weigh generations.
+    /// Size in prompt tokens, the weight of a generation in the users' workload specification.
     fn size(&self) -> f64 {
         f64::from(self.prompt_tokens + OUT_TOKEN_WEIGHT * self.length_tokens)
     }
@@ -175,16 +175,17 @@
     sorted.get(index).copied().unwrap_or_default()
 }
 
-/// Service of the other organisations while one floods; without a flood, beside the largest.
+/// Shares of requests on time or refused, of the flooding organisation and of the others. Without a
+/// flood the largest organisation takes the place of the flooding one.
 #[derive(Debug, Clone, Serialize)]
 pub(crate) struct Organisations {
-    /// Of the requests of the flooding organisation.
+    /// Of the flooding organisation's requests: complete and on time.
     pub(crate) flooder_on_time_share: f64,
-    /// Of the requests of all other organisations.
+    /// Of the other organisations' requests: complete and on time.
     pub(crate) others_on_time_share: f64,
-    /// Mean over the worst-served tenth of the other organisations.
+    /// The same share, as the mean over the worst-served tenth of the other organisations.
     pub(crate) worst_on_time_share: f64,
-    /// Of the other organisations' requests: refused and never served.
+    /// Of the other organisations' requests: refused, and also not served on their retry.
     pub(crate) others_refused_share: f64,
 }
 
--- a/crates/bench/src/reclaim/world.rs
+++ b/crates/bench/src/reclaim/world.rs
@@ -19,9 +19,11 @@
 const MAX_WAIT_SHARE: f64 = 0.55;
 const PLACEMENT_RETRY_US: u64 = 60_000;
 const RESTATE_PERIOD_US: u64 = 1_000_000;
+/// Time after the last arrivals in which open requests can end.
+const FINAL_PHASE_US: u64 = 30_000_000;
 /// Delay from an engine's notice until its home receives it.
 pub(super) const NOTICE_DELAY_US: u64 = 30_000;
-/// Delay from there until the home has the engine's report of its remaining time.
+/// Delay from the receipt of a notice until the home has the engine's report of its remaining time.
 const TIME_LEFT_DELAY_US: u64 = 620_000;
 /// A stream with a longer pause is late.
 const GAP_LIMIT_MS: f64 = 180.0;
@@ -57,8 +59,8 @@
     pub(super) in_transfer: Option<Job>,
     pub(super) has_ended: bool,
     pub(super) was_migrated: bool,
-    pub(super) first_us: Option<u64>,
-    pub(super) last_us: u64,
+    pub(super) first_event_us: Option<u64>,
+    pub(super) last_event_us: u64,
     longest_pause_ms: f64,
 }
 
@@ -75,7 +77,7 @@
     pub(super) rng: ChaCha8Rng,
 }
 
-/// Runs the simulation.
+/// Runs one simulation and returns its results.
 pub(crate) fn run(settings: Settings) -> Row {
     let callers = draw(&settings);
     let outcomes = callers.iter().map(|request| CallerOutcome {
@@ -127,7 +129,7 @@
         self.event_queue
             .schedule(RESTATE_PERIOD_US, Event::RestateRuns);
         self.next_crash();
-        let end_us = (self.settings.duration_s * 1e6) as u64 + 30_000_000;
+        let end_us = (self.settings.duration_s * 1e6) as u64 + FINAL_PHASE_US;
         while let Some((at_us, event)) = self.event_queue.pop() {
             if at_us > end_us {
                 break;
@@ -173,8 +175,8 @@
             in_transfer: None,
             has_ended: false,
             was_migrated: false,
-            first_us: None,
-            last_us: 0,
+            first_event_us: None,
+            last_event_us: 0,
             longest_pause_ms: 0.0,
         });
         self.event_queue.schedule(at_us, Event::Arrive(attempt));
@@ -245,7 +247,7 @@
         let caller_request = self.callers[self.attempts[attempt].caller];
         let backup = backup.or_else(|| self.policy_backup(engine, &caller_request));
         if let Some(backup) = backup {
-            self.engines[backup].copy(attempt, caller_request.prompt_tokens, u64::MAX);
+            self.engines[backup].put_copy(attempt, caller_request.prompt_tokens, u64::MAX);
         }
         self.attempts[attempt].engine = Some(engine);
         self.attempts[attempt].placed_us = self.now_us;
@@ -326,16 +328,16 @@
     fn record_event(&mut self, run: usize) {
         let now_us = self.now_us;
         let attempt = &mut self.attempts[run];
-        if attempt.first_us.is_none() {
-            attempt.first_us = Some(now_us);
+        if attempt.first_event_us.is_none() {
+            attempt.first_event_us = Some(now_us);
         } else {
-            let pause_ms = (now_us - attempt.last_us) as f64 / 1_000.0;
+            let pause_ms = (now_us - attempt.last_event_us) as f64 / 1_000.0;
             attempt.longest_pause_ms = attempt.longest_pause_ms.max(pause_ms);
             if std::mem::take(&mut attempt.was_migrated) {
                 self.tally.pauses_ms.push(pause_ms);
             }
         }
-        attempt.last_us = now_us;
+        attempt.last_event_us = now_us;
     }
 
     fn complete(&mut self, run: usize) {
@@ -343,9 +345,9 @@
         self.end_attempt(run, true);
         let attempt = self.attempts[run];
         let caller_request = self.callers[attempt.caller];
-        let first_us = attempt.first_us.unwrap_or(self.now_us);
-        let first_ms = (first_us - caller_request.at_us) / 1_000;
-        let stream_ms = (self.now_us - first_us) as f64 / 1_000.0;
+        let first_event_us = attempt.first_event_us.unwrap_or(self.now_us);
+        let first_ms = (first_event_us - caller_request.at_us) / 1_000;
+        let stream_ms = (self.now_us - first_event_us) as f64 / 1_000.0;
         let outcome = &mut self.outcomes[attempt.caller];
         outcome.is_complete = true;
         outcome.first_ms = first_ms as f64;
@@ -371,7 +373,7 @@
     /// Time from the placement of an attempt to its first event.
     fn first_ms(&self, run: usize) -> Option<u64> {
         let attempt = &self.attempts[run];
-        Some((attempt.first_us? - attempt.placed_us) / 1_000)
+        Some((attempt.first_event_us? - attempt.placed_us) / 1_000)
     }
 
     /// Passes the registered engines to the home. An engine counts as draining once a notice of the
--- a/crates/bench/tests/cell.rs
+++ b/crates/bench/tests/cell.rs
@@ -44,7 +44,7 @@
 fn responses_survive_reclaimed_engines(#[case] bounds: PolicyBounds) {
     let gateway = rows("kept", bounds.load, &[]);
     let oracle = rows("oracle", bounds.load, &[]);
-    let unmigrated = rows("stay", bounds.load, &[]);
+    let without_migration = rows("stay", bounds.load, &[]);
     assert_eq!(gateway.len(), 3);
     let on_time = mean(&gateway, "on_time_share");
     let relative_to_oracle = on_time / mean(&oracle, "on_time_share");
@@ -52,7 +52,7 @@
         relative_to_oracle >= bounds.min_of_oracle,
         "{relative_to_oracle}"
     );
-    let gain = on_time - mean(&unmigrated, "on_time_share");
+    let gain = on_time - mean(&without_migration, "on_time_share");
     assert!(gain >= bounds.min_gain, "{gain}");
     for row in &gateway {
         let pause_ms = row["pause_ms_p99"].as_f64().expect("pause_ms_p99");
@@ -129,18 +129,19 @@
     };
     let without_flood = rows("kept", case.load, &organisations);
     let gateway = rows("kept", case.load, &flooded);
-    let unshared = rows("unfair", case.load, &flooded);
+    let without_sharing = rows("unfair", case.load, &flooded);
     let others = share(&gateway, "others_on_time_share");
     let lost = share(&without_flood, "others_on_time_share") - others;
     assert!(lost < case.max_lost, "{lost}");
-    let gain = others - share(&unshared, "others_on_time_share");
+    let gain = others - share(&without_sharing, "others_on_time_share");
     assert!(gain > case.min_gain, "{gain}");
-    let worst = share(&gateway, "worst_on_time_share") - share(&unshared, "worst_on_time_share");
+    let worst =
+        share(&gateway, "worst_on_time_share") - share(&without_sharing, "worst_on_time_share");
     assert!(worst > case.min_gain_of_worst, "{worst}");
     // The flooding organisation still gets the spare capacity.
     let flooder = share(&gateway, "flooder_on_time_share");
     assert!(
-        flooder > 0.8 * share(&unshared, "flooder_on_time_share"),
+        flooder > 0.8 * share(&without_sharing, "flooder_on_time_share"),
         "{flooder}"
     );
 }
