--- a/crates/bench/src/cmd/policy.rs
+++ b/crates/bench/src/cmd/policy.rs
@@ -29,7 +29,7 @@
     /// Scenario: ordinary, rival, engine-lost or shift
     #[bpaf(argument("NAME"), fallback(Scenario::Ordinary))]
     scenario: Scenario,
-    /// Run one policy only
+    /// Run one policy only: round_robin, least_load, fixed_cap, fulmarpath or oracle
     #[bpaf(argument("NAME"))]
     policy: Option<PolicyName>,
     /// Duration in virtual seconds
@@ -49,24 +49,24 @@
     sampled: Option<f32>,
     /// Trial: admit in order of arrival
     fifo: bool,
-    /// Trial: pacing rate of prefill; 0 for none
+    /// Trial: factor on the prefill time by which grants are paced; 0 for no pacing
     #[bpaf(argument("F"))]
     pace: Option<f32>,
-    /// Trial: no migrations
+    /// Trial: never move a generation to another engine
     no_moves: bool,
     /// Trial: send each permit request to one home only
     one_ask: bool,
-    /// Trial: tokens by which an organisation may exceed its fair share
+    /// Trial: tokens per weight by which an organisation may be ahead of a waiting one
     #[bpaf(argument("TOKENS"))]
     lead: Option<f64>,
-    /// Trial: share of memory lent to work above an organisation's share
+    /// Trial: share of memory up to which requests beyond an organisation's share may start
     #[bpaf(argument("F"), fallback(1.0))]
     lend: f32,
-    /// Trial: age at which a footprint counts half
+    /// Trial: waiting time after which a request's footprint counts half in the queue
     #[bpaf(argument("MS"))]
     age_ms: Option<u64>,
-    /// Trial: refuse early if the predicted wait exceeds this multiple of the maximum wait; 0 for
-    /// never
+    /// Trial: refuse a request at once if its predicted wait exceeds this multiple of its maximum
+    /// wait; 0 for never
     #[bpaf(argument("F"))]
     early: Option<f32>,
     /// Trial: time after which the permit request is hedged to the second home
@@ -75,7 +75,7 @@
     /// Trial: interval between progress reports
     #[bpaf(argument("MS"), fallback(500))]
     progress_ms: u64,
-    /// Split view: half of the hosts use a different home for each engine
+    /// Simulate a split view: half of the hosts use a different home for each engine
     split: bool,
     /// Output format: json or text
     #[bpaf(argument("FORM"), fallback(String::from("text")))]
@@ -184,9 +184,10 @@
             return;
         }
         println!(
-            "{:<12} seed {:<4} tokens {:>8} done {:>5} refused {:>4} preempt {:>5} moves {:>4} \
-             stall_s {:>7.0} p99 {:>6.0} first p50 {:>5.0} p99 {:>6.0} between p99 {:>5.1} p99.9 {:>6.1} \
-             worst stall {:>6.0} between {:>5.1}",
+            "{:<12} seed {:<4} tokens done {:>8} done {:>5} refused {:>4} preemptions {:>5} \
+             moves {:>4} stall s total {:>7.0} stall ms p99 {:>6.0} first token ms p50 {:>5.0} \
+             p99 {:>6.0} between tokens ms p99 {:>5.1} p99.9 {:>6.1} | worst organisation: \
+             stall ms mean {:>6.0} between tokens ms p99 {:>5.1}",
             row.policy,
             row.seed,
             row.tokens_done,
@@ -214,8 +215,9 @@
         others.map(|(_, one)| measure(one)).sum::<f64>() / (ORGANISATIONS - 1) as f64
     };
     println!(
-        "{:<12} seed {seed} others, quiet -> rival: stall ms {:.1} -> {:.1}, preemptions per \
-         1,000 {:.2} -> {:.2}, between p99 ms {:.1} -> {:.1}",
+        "{:<12} seed {seed} mean of the other organisations, ordinary -> rival: stall ms mean \
+         {:.1} -> {:.1}, preemptions per 1,000 requests {:.2} -> {:.2}, between tokens ms p99 \
+         {:.1} -> {:.1}",
         policy.name(),
         others(baseline, |one| one.stall_ms_mean),
         others(surge, |one| one.stall_ms_mean),
--- a/crates/bench/src/sim/mod.rs
+++ b/crates/bench/src/sim/mod.rs
@@ -1,5 +1,5 @@
-//! Simulates permits in virtual time: the gateway's own decision code on several hosts, in front of
-//! small engine models.
+//! Simulates admission by permits in virtual time: the entry hosts' own decision code on several
+//! hosts, in front of engine models.
 
 mod policies;
 mod stats;
--- a/crates/bench/src/sim/policies.rs
+++ b/crates/bench/src/sim/policies.rs
@@ -13,7 +13,7 @@
     LeastLoad,
     /// A tuned, fixed number of concurrent generations per engine, first come, first served.
     FixedCap,
-    /// The gateway's policy.
+    /// The policy of the entry hosts.
     Fulmarpath,
     /// Admission with all output lengths known.
     Oracle,
@@ -53,7 +53,7 @@
     }
 }
 
-/// Settings in which a trial may differ from the gateway.
+/// Settings in which a trial may differ from the entry hosts.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct Tuning {
     pub(crate) weights: Weights,
@@ -67,7 +67,7 @@
     pub(crate) half_age_ms: Option<u64>,
     pub(crate) single_request: bool,
     pub(crate) early_refusal_factor: Option<f32>,
-    /// The permit request is hedged to the second home after this time without a grant.
+    /// A permit request is hedged to the second home after this time without a grant.
     pub(crate) hedge_ms: u64,
     /// Interval between two progress reports.
     pub(crate) progress_ms: u64,
@@ -80,19 +80,19 @@
     memory_tokens: u32,
     prompt_ms_per_token: f32,
 ) -> HomeSettings {
-    let gateway = HomeSettings::new(
+    let defaults = HomeSettings::new(
         tuning.weights,
         tuning.lend_share,
         memory_tokens,
         prompt_ms_per_token,
     );
-    let gateway = HomeSettings {
+    let defaults = HomeSettings {
         queue_limit: 1_000,
         permit_ttl_ms: 10_000_000,
-        ..gateway
+        ..defaults
     };
     match policy {
-        PolicyName::Fulmarpath => apply_tuning(gateway, tuning, prompt_ms_per_token),
+        PolicyName::Fulmarpath => apply_tuning(defaults, tuning, prompt_ms_per_token),
         PolicyName::Oracle => HomeSettings {
             fit: FitRule::Sampled { share: 1.0 },
             order: OrderRule::SmallestFirst {
@@ -102,7 +102,7 @@
             lend_share: 1.0,
             moves: false,
             early_refusal_factor: 0.0,
-            ..gateway
+            ..defaults
         },
         _ => HomeSettings {
             fit: FitRule::Cap {
@@ -114,13 +114,13 @@
             moves: false,
             early_refusal_factor: 0.0,
             prompt_ms_per_token: 0.0,
-            ..gateway
+            ..defaults
         },
     }
 }
 
-fn apply_tuning(gateway: HomeSettings, tuning: &Tuning, prompt_ms_per_token: f32) -> HomeSettings {
-    let mut settings = gateway;
+fn apply_tuning(defaults: HomeSettings, tuning: &Tuning, prompt_ms_per_token: f32) -> HomeSettings {
+    let mut settings = defaults;
     settings.fit = tuning.fit.unwrap_or(settings.fit);
     if let Some(half_age_ms) = tuning.half_age_ms {
         settings.order = OrderRule::SmallestFirst { half_age_ms };
--- a/crates/bench/src/sim/workload.rs
+++ b/crates/bench/src/sim/workload.rs
@@ -1,10 +1,10 @@
-//! Draws the two users' workloads from a seed.
+//! Draws the workloads of the two users' deployments from a seed.
 
 use rand::Rng;
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
 
-/// Workloads by user.
+/// The workloads, one for each user's deployment.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum WorkloadName {
     /// Reports (long answers) and classifications (short ones).
@@ -25,12 +25,12 @@
     }
 }
 
-/// The name is none of the known ones.
+/// The name on the command line is not that of a policy, workload or scenario.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
-#[error("unknown name")]
+#[error("could not find a policy, workload or scenario of this name")]
 pub(crate) struct UnknownName;
 
-/// Event that is added to the ordinary arrivals.
+/// What differs from the ordinary arrivals and engines.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Scenario {
     /// Nothing.
@@ -85,6 +85,7 @@
 /// Output limit of each service in tokens.
 pub(crate) const LIMITS: [u32; 2] = [8_000, 200];
 
+/// Lengths of prompts and answers in tokens: lognormal for long answers, uniform for short ones.
 struct Shape {
     short_share: f64,
     long_median: f64,
--- a/crates/bench/src/sim/world.rs
+++ b/crates/bench/src/sim/world.rs
@@ -23,7 +23,7 @@
 const TICK_US: u64 = 10_000;
 const MAX_WAIT_MS: Millis = 10_000;
 const DATA_CENTRES: usize = 3;
-/// Time until the loss of an engine is detected.
+/// Time until hosts detect the loss of an engine.
 const LOSS_DETECTION_US: u64 = 1_000_000;
 
 /// Settings of one run.
@@ -43,10 +43,11 @@
 #[derive(Debug, Clone)]
 struct Request {
     arrival: Arrival,
+    /// Open permit requests: id and home.
     permit_requests: Vec<(u64, usize)>,
-    /// The second choice, until a permit has been requested there.
+    /// The engine of second choice, until a permit has been requested at its home.
     second_choice: Option<usize>,
-    /// Engine and permit of the running attempt.
+    /// Home and permit of the running attempt; without admission control, its engine and 0.
     held: Option<(usize, u64)>,
     attempt: u32,
     /// A permit on another engine has been requested, to move there.
@@ -67,15 +68,23 @@
     sequence: u64,
     requests: Vec<Request>,
     engines: Vec<EngineModel>,
-    pending: Vec<Vec<EngineEvent>>,
-    stepping: Vec<bool>,
+    /// Events of each engine's current step, which are handled when the step ends.
+    step_events: Vec<Vec<EngineEvent>>,
+    is_stepping: Vec<bool>,
     is_lost: Vec<bool>,
+    /// Two homes for each engine: at its index, and, for half of the hosts in a split view, at its
+    /// index plus the number of engines.
     homes: Vec<Home>,
+    /// The host of each home.
     home_host: Vec<usize>,
+    /// Length statistics of each host.
     lengths: Vec<Lengths>,
+    /// Load of each engine as known to each host, by host and engine.
     views: Vec<Vec<EngineLoad>>,
+    /// Latest load report of each engine.
     reports: Vec<EngineLoad>,
-    moves: Vec<(usize, PermitKey)>,
+    /// Moves that homes have requested, by home and permit.
+    requested_moves: Vec<(usize, PermitKey)>,
     by_permit: HashMap<(usize, u64), usize>,
     by_permit_request: HashMap<u64, usize>,
     next_permit_request: u64,
@@ -141,15 +150,15 @@
             engines: (0..engines)
                 .map(|_| EngineModel::new(settings.spec))
                 .collect(),
-            pending: vec![Vec::new(); engines],
-            stepping: vec![false; engines],
+            step_events: vec![Vec::new(); engines],
+            is_stepping: vec![false; engines],
             is_lost: vec![false; engines],
             homes: (0..engines * 2).map(|_| Home::new(home)).collect(),
             home_host: home_host.clone().chain(home_host).collect(),
             lengths: (0..settings.hosts).map(|_| Lengths::new()).collect(),
             views: vec![vec![empty; engines]; settings.hosts],
             reports: vec![empty; engines],
-            moves: Vec::new(),
+            requested_moves: Vec::new(),
             by_permit: HashMap::new(),
             by_permit_request: HashMap::new(),
             next_permit_request: 1,
--- a/crates/bench/src/sim/world/admission.rs
+++ b/crates/bench/src/sim/world/admission.rs
@@ -1,8 +1,8 @@
 //! Admission: from an arrival to a permit or a refusal.
 
 use fulmarpath_policy::{
-    Candidate, EngineLoad, EnginePermitRequest, HostKey, OrganisationKey, Outcome, PermitRequestId,
-    ServiceKey, UpstreamKey, pick,
+    Candidate, EngineLoad, EnginePermitRequest, HostKey, Millis, OrganisationKey, Outcome,
+    PermitRequestId, ServiceKey, UpstreamKey, pick,
 };
 
 use super::super::policies::PolicyName;
@@ -11,6 +11,10 @@
 use super::event::Event;
 use super::{DATA_CENTRES, MAX_WAIT_MS, PEER_LATENCY_US, World, permit_bits, upstream_key};
 
+/// Maximum wait of a request that has started before; it is not refused but retried.
+const RESUMPTION_MAX_WAIT_MS: Millis = 60_000;
+const RESUMPTION_RETRY_DELAY_US: u64 = 200_000;
+
 impl World<'_> {
     pub(super) fn arrive(&mut self, request: usize) {
         if self.settings.policy.admits() {
@@ -61,7 +65,7 @@
         home % self.engines.len()
     }
 
-    /// Requests a permit at one home, with a second as the hedge, as an entry host does.
+    /// Requests a permit at one home and schedules the hedge to a second, as an entry host does.
     pub(super) fn request_permit(&mut self, request: usize, only_now: bool) {
         if !self.settings.policy.admits() {
             self.arrive(request);
@@ -153,12 +157,12 @@
         let arrival = state.arrival;
         let waited_ms = (self.now_us - arrival.at_us) / 1_000;
         let max_wait_ms = if state.out_tokens > 0 || state.was_retried {
-            60_000
+            RESUMPTION_MAX_WAIT_MS
         } else {
             MAX_WAIT_MS.saturating_sub(waited_ms)
         };
         let total: f32 = (0..ORGANISATIONS).map(weight).sum();
-        let known = self.settings.policy == PolicyName::Oracle;
+        let is_length_known = self.settings.policy == PolicyName::Oracle;
         let message = EnginePermitRequest {
             id: PermitRequestId(permit_request),
             host: HostKey(arrival.host as u64),
@@ -171,7 +175,7 @@
             output_limit_tokens: LIMITS[arrival.service],
             max_wait_ms,
             only_now,
-            known_tokens: known.then_some(arrival.length_tokens),
+            known_tokens: is_length_known.then_some(arrival.length_tokens),
         };
         let now_ms = self.now_ms();
         let lengths = &self.lengths[self.home_host[home]];
@@ -230,7 +234,7 @@
                         );
                     }
                 }
-                Outcome::Move { permit, .. } => self.moves.push((home, permit)),
+                Outcome::Move { permit, .. } => self.requested_moves.push((home, permit)),
             }
         }
     }
@@ -319,7 +323,7 @@
             return;
         }
         if state.out_tokens > 0 || state.was_retried {
-            self.after(200_000, Event::RetryRequest(request));
+            self.after(RESUMPTION_RETRY_DELAY_US, Event::RetryRequest(request));
             return;
         }
         state.has_ended = true;
--- a/crates/bench/src/sim/world/engines.rs
+++ b/crates/bench/src/sim/world/engines.rs
@@ -35,17 +35,17 @@
         if !self.settings.policy.admits() {
             self.requests[request].held = Some((engine, 0));
         }
-        if !self.stepping[engine] {
+        if !self.is_stepping[engine] {
             self.start_step(engine);
         }
     }
 
     pub(super) fn start_step(&mut self, engine: usize) {
-        let mut events = std::mem::take(&mut self.pending[engine]);
+        let mut events = std::mem::take(&mut self.step_events[engine]);
         events.clear();
         let step_ms = self.engines[engine].step(&mut events);
-        self.pending[engine] = events;
-        self.stepping[engine] = step_ms > 0.0;
+        self.step_events[engine] = events;
+        self.is_stepping[engine] = step_ms > 0.0;
         if step_ms > 0.0 {
             self.after((step_ms * 1_000.0) as u64, Event::StepDone(engine));
         }
@@ -55,7 +55,7 @@
         if self.is_lost[engine] {
             return;
         }
-        let events = std::mem::take(&mut self.pending[engine]);
+        let events = std::mem::take(&mut self.step_events[engine]);
         for event in &events {
             match *event {
                 EngineEvent::Token { id, index } => self.record_token(engine, id as usize, index),
@@ -66,7 +66,7 @@
                 }
             }
         }
-        self.pending[engine] = events;
+        self.step_events[engine] = events;
         self.start_step(engine);
     }
 
@@ -153,7 +153,7 @@
                 self.homes[home].progress(now_ms, permit_key(permit), state.out_tokens);
             }
         }
-        for (home, permit) in std::mem::take(&mut self.moves) {
+        for (home, permit) in std::mem::take(&mut self.requested_moves) {
             let held = (home, permit_bits(permit));
             let Some(request) = self.by_permit.get(&held).copied() else {
                 continue;
@@ -168,7 +168,7 @@
 
     pub(super) fn lose_engine(&mut self, engine: usize) {
         self.is_lost[engine] = true;
-        self.stepping[engine] = false;
+        self.is_stepping[engine] = false;
         for index in 0..self.requests.len() {
             if !self.runs_on(engine, index) {
                 continue;
