--- a/crates/bench/src/cmd/cell.rs
+++ b/crates/bench/src/cmd/cell.rs
@@ -5,7 +5,7 @@
 
 use crate::reclaim::{Flood, Mix, PolicyName, Row, Settings, run};
 
-/// Compare policies of placement and migration on engines that are reclaimed, in virtual time
+/// Compare placement and migration policies on engines that are reclaimed, in virtual time
 #[derive(Debug, Clone, Bpaf)]
 #[bpaf(command)]
 pub(crate) struct Cell {
@@ -30,7 +30,7 @@
     /// Seconds between crashes of an engine; 0 for none
     #[bpaf(argument("S"), fallback(0.0))]
     crash_period_s: f64,
-    /// Number of organisations, the largest first; one at twice the rank sends half the requests
+    /// Number of organisations, the largest first; their request rates follow Zipf's law
     #[bpaf(argument("N"), fallback(1))]
     organisations: usize,
     /// Index of an organisation that floods for half of the run
@@ -91,9 +91,12 @@
             return;
         }
         println!(
-            "{:<12} seed {:<4} whole {:.3} on time {:.3} late {:.3} short {:.3} largest {:.3} \
-             longest {:.3} benefit {:.3} refused {:>4} for good {:>4} first {:>4.0} p99 {:>4.0} short first p90 {:>4.0} p99 {:>4.0} token {:>5.2} life {:>5.0} lost {:>4} preempt {:>4} moves {:>4} wasted {:>7} pause p50 {:>4.0} \
-             p99 {:>5.0} | flooder {:.3} others {:.3} worst {:.3} others refused {:.3}",
+            "{:<12} seed {:<4} whole {:.3} on time {:.3} late {:.3} short on time {:.3} \
+             largest on time {:.3} longest on time {:.3} benefit {:.3} refused {:>4} \
+             refused for good {:>4} first ms p50 {:>4.0} p99 {:>4.0} \
+             short first ms p90 {:>4.0} p99 {:>4.0} token ms {:>5.2} life ms {:>5.0} lost {:>4} \
+             preemptions {:>4} moves {:>4} wasted prompt tokens {:>7} pause ms p50 {:>4.0} \
+             p99 {:>5.0} | on time: flooder {:.3} others {:.3} worst {:.3} | others refused {:.3}",
             row.policy,
             row.seed,
             row.whole_share,
--- a/crates/bench/src/cmd/decide.rs
+++ b/crates/bench/src/cmd/decide.rs
@@ -11,11 +11,12 @@
 };
 use serde::Serialize;
 
-/// Time an engine choice, an admission and a placement at the current and the two-year size
+/// Time an engine choice, an admission and a placement at today's size and at the size planned in
+/// two years
 #[derive(Debug, Clone, Bpaf)]
 #[bpaf(command)]
 pub(crate) struct Decide {
-    /// Number of decisions of each kind
+    /// Number of decisions of each kind; of placements, a tenth of it
     #[bpaf(argument("N"), fallback(20_000))]
     count: u32,
 }
@@ -50,7 +51,8 @@
     running: u64,
 }
 
-/// At the two-year size 7 models share 600 replicas; one model may still use all of them.
+/// In the size planned in two years, 7 models share 600 replicas; one model may still use all of
+/// them.
 const SIZES: [Size; 3] = [
     Size {
         name: "today",
@@ -59,13 +61,13 @@
         running: 24,
     },
     Size {
-        name: "two years, a mean model",
+        name: "in two years, average model",
         engines_of_model: 86,
         organisations: 1_300,
         running: 64,
     },
     Size {
-        name: "two years, one model with all replicas",
+        name: "in two years, one model on all replicas",
         engines_of_model: 600,
         organisations: 1_300,
         running: 64,
--- a/crates/bench/src/cmd/faults.rs
+++ b/crates/bench/src/cmd/faults.rs
@@ -37,7 +37,7 @@
     pub(crate) fn run(&self) {
         spdlog::default_logger().set_level_filter(spdlog::LevelFilter::Off);
         let runtime = tokio::runtime::Runtime::new().expect("a runtime");
-        let total = runtime.block_on(self.play());
+        let total = runtime.block_on(self.run_rounds());
         println!("{}", serde_json::to_string(&total).unwrap_or_default());
         let has_violations = total.violations() > 0;
         if has_violations != self.without.is_some() {
@@ -45,7 +45,7 @@
         }
     }
 
-    async fn play(&self) -> Verdict {
+    async fn run_rounds(&self) -> Verdict {
         let rounds = self.seed..self.seed + self.rounds;
         let mut verdicts = stream::iter(rounds)
             .map(|seed| async move {
@@ -69,7 +69,7 @@
                     }
                     total.add(&verdict);
                 }
-                failed => println!("seed {seed} did not play: {failed:?}"),
+                failed => println!("seed {seed} could not be run: {failed:?}"),
             }
         }
         total
--- a/crates/bench/src/cmd/slopes.rs
+++ b/crates/bench/src/cmd/slopes.rs
@@ -1,5 +1,5 @@
-//! `slopes`: bytes, CPU time and memory per message and per object held, for each role, and the
-//! totals at the two-year size.
+//! `slopes`: bytes and CPU time of each control message, memory of each object held, and the totals
+//! at the size planned in two years.
 
 use bpaf::Bpaf;
 
@@ -11,7 +11,7 @@
 pub(crate) struct Slopes {
     /// Print only the bytes of messages, which are the same in each run
     bytes_only: bool,
-    /// Print the table of docs/CAPACITY.md
+    /// Print the tables of totals for docs/CAPACITY.md
     table: bool,
 }
 
--- a/crates/bench/src/cmd/soak.rs
+++ b/crates/bench/src/cmd/soak.rs
@@ -30,17 +30,18 @@
     /// Faults per seed
     #[bpaf(argument("N"), fallback(5))]
     faults: usize,
-    /// Also draw engines that restart under their names and directory entries of other writers
+    /// Add engine restarts under the same name and unusable directory entries of other writers to
+    /// the faults
     #[bpaf(long)]
     all_kinds: bool,
-    /// As --all-kinds, and also draw evacuations of data centres and upstreams that return cold
+    /// As --all-kinds, and add evacuations of data centres and upstreams that return cold
     #[bpaf(long)]
     latest_kinds: bool,
-    /// As --latest-kinds, and also draw upstreams that signal limits, leaving or backoff in their
+    /// As --latest-kinds, and add upstreams that signal limits, leaving or backoff in their
     /// responses
     #[bpaf(long)]
     backpressure: bool,
-    /// As --backpressure, and also draw a store that is restored from a backup
+    /// As --backpressure, and add restores of the store from a backup
     #[bpaf(long)]
     copies: bool,
     /// Add a caller that repeats a request which crashes each plain upstream that starts it
@@ -106,7 +107,7 @@
                 }
                 failed => {
                     passed = false;
-                    println!("seed {seed} did not play: {failed:?}");
+                    println!("seed {seed} could not be run: {failed:?}");
                 }
             }
         }
--- a/crates/bench/src/faults/fault.rs
+++ b/crates/bench/src/faults/fault.rs
@@ -14,62 +14,63 @@
 /// One kind of fault.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum Fault {
-    EngineDies,
+    EngineHangs,
     EngineLeaves,
     ConnectionsGoSilent,
     StreamsBreak,
     ResumesTooEarly,
-    StrangersTokens,
+    ForeignTokens,
     HostKilled,
     HostStopped,
     PlatformDown,
     PlatformSlow,
-    AnswersLost,
-    PlainAnswersLost,
+    WriteResponsesLost,
+    PlainResponsesLost,
     OperatorsRace,
     PresetSwitched,
     PlatformDownAfterChange,
-    OldAnnouncement,
+    StaleAnnouncement,
 }
 
 impl Fault {
     pub(crate) const ALL: [Self; 16] = [
-        Self::EngineDies,
+        Self::EngineHangs,
         Self::EngineLeaves,
         Self::ConnectionsGoSilent,
         Self::StreamsBreak,
         Self::ResumesTooEarly,
-        Self::StrangersTokens,
+        Self::ForeignTokens,
         Self::HostKilled,
         Self::HostStopped,
         Self::PlatformDown,
         Self::PlatformSlow,
-        Self::AnswersLost,
-        Self::PlainAnswersLost,
+        Self::WriteResponsesLost,
+        Self::PlainResponsesLost,
         Self::OperatorsRace,
         Self::PresetSwitched,
         Self::PlatformDownAfterChange,
-        Self::OldAnnouncement,
+        Self::StaleAnnouncement,
     ];
 
+    /// The name on the command line and in the verdict.
     pub(crate) fn name(self) -> &'static str {
         match self {
-            Self::EngineDies => "engine_dies",
+            Self::EngineHangs => "engine_dies",
             Self::EngineLeaves => "engine_leaves",
             Self::ConnectionsGoSilent => "connections_go_silent",
             Self::StreamsBreak => "streams_break",
             Self::ResumesTooEarly => "resumes_too_early",
-            Self::StrangersTokens => "strangers_tokens",
+            Self::ForeignTokens => "strangers_tokens",
             Self::HostKilled => "host_killed",
             Self::HostStopped => "host_stopped",
             Self::PlatformDown => "platform_down",
             Self::PlatformSlow => "platform_slow",
-            Self::AnswersLost => "answers_lost",
-            Self::PlainAnswersLost => "plain_answers_lost",
+            Self::WriteResponsesLost => "answers_lost",
+            Self::PlainResponsesLost => "plain_answers_lost",
             Self::OperatorsRace => "operators_race",
             Self::PresetSwitched => "preset_switched",
             Self::PlatformDownAfterChange => "platform_down_after_change",
-            Self::OldAnnouncement => "old_announcement",
+            Self::StaleAnnouncement => "old_announcement",
         }
     }
 }
@@ -99,7 +100,7 @@
 
 /// Duration of an outage of the platform.
 const OUTAGE: Duration = Duration::from_millis(1_200);
-/// Duration of an outage that is longer than the activation bound of a change.
+/// Duration of an outage that is longer than the time in which a change must become active.
 const LONG_OUTAGE: Duration = Duration::from_millis(4_000);
 const ANNOUNCEMENT_DELAY: Duration = Duration::from_millis(300);
 /// The host that publishes configuration changes; it is never killed or stopped.
@@ -118,7 +119,7 @@
     let platform = deployment.object_api.faults.clone();
     let mut result = InjectionResult::default();
     match fault {
-        Fault::EngineDies => engine.faults.unresponsive.store(true, Ordering::Relaxed),
+        Fault::EngineHangs => engine.faults.unresponsive.store(true, Ordering::Relaxed),
         Fault::EngineLeaves => engine.leave(),
         Fault::ConnectionsGoSilent => {
             deployment
@@ -138,7 +139,7 @@
                 faults.break_after_tokens.store(25, Ordering::Relaxed);
             }
         }
-        Fault::StrangersTokens => {
+        Fault::ForeignTokens => {
             for one in &deployment.engines {
                 one.faults.foreign_tokens.store(true, Ordering::Relaxed);
             }
@@ -155,11 +156,11 @@
             tokio::time::sleep(OUTAGE).await;
             platform.delay_ms.store(0, Ordering::Relaxed);
         }
-        Fault::AnswersLost => {
+        Fault::WriteResponsesLost => {
             let lost = rng.random_range(1..4);
             platform.drop_write_responses.store(lost, Ordering::Relaxed);
         }
-        Fault::PlainAnswersLost => deployment.plain.drop_responses.store(3, Ordering::Relaxed),
+        Fault::PlainResponsesLost => deployment.plain.drop_responses.store(3, Ordering::Relaxed),
         Fault::OperatorsRace => {
             result.accepted_revisions = publish_concurrently(deployment, rng).await
         }
@@ -179,7 +180,7 @@
                 down.down.store(false, Ordering::Relaxed);
             });
         }
-        Fault::OldAnnouncement => result
+        Fault::StaleAnnouncement => result
             .accepted_revisions
             .extend(announce_stale(deployment, rng).await),
     }
--- a/crates/bench/src/faults/verdict.rs
+++ b/crates/bench/src/faults/verdict.rs
@@ -21,7 +21,7 @@
     pub(crate) doubled: u64,
     /// Responses with tokens of another request.
     pub(crate) crossed: u64,
-    /// Responses with all tokens in another order, or more.
+    /// Responses with all tokens, but in another order or with tokens past the end.
     pub(crate) out_of_order: u64,
     /// Requests reported as not run that an upstream ran.
     pub(crate) false_not_run: u64,
@@ -108,7 +108,10 @@
                 self.no_response += 1;
             } else {
                 self.lost += 1;
-                println!("lost: {:?} {response:?}", outcome.plan);
+                println!(
+                    "lost: no permitted result for {:?}: {response:?}",
+                    outcome.plan
+                );
             }
         }
         // A keyed submission whose callers were all told that it was not run.
--- a/crates/bench/src/slopes/capacity.rs
+++ b/crates/bench/src/slopes/capacity.rs
@@ -1,4 +1,5 @@
-//! Totals at the two-year size, calculated from the slopes, as the tables of docs/CAPACITY.md.
+//! Totals at the size planned in two years, calculated from the slopes and printed as the tables of
+//! docs/CAPACITY.md.
 
 use fulmarpath::settings::{Organisation, key_hash};
 
@@ -19,17 +20,21 @@
 const REPEATED_PERMIT_REQUESTS: f64 = 0.25;
 /// Interval between two progress reports in a fleet of this size.
 const PROGRESS_S: f64 = 2.0;
+/// Pings per second of a host, one per period of 300 ms.
+const PINGS_PER_S: f64 = 3.33;
+/// Pairs of organisation and service for which a host keeps length statistics.
+const LENGTH_STATISTICS: f64 = 2_600.0;
 const MAX_BYTES_PER_S: f64 = 26_000.0;
 const MAX_CORE_SHARE: f64 = 0.022;
 const MAX_MEMORY_BYTES: f64 = 256.0 * 1024.0 * 1024.0;
 
 const CHANGES_PER_DAY: f64 = 480.0;
 const DAY_S: f64 = 86_400.0;
-/// A small HTTP exchange on a new connection, with the handshake.
+/// Bytes of a small HTTP exchange on a new connection, with the handshake.
 const LOAD_POLL_BYTES: f64 = 1_100.0;
 const ORGANISATIONS: usize = 1_300;
 
-/// Size of the organisations, the largest part of the configuration.
+/// Size of the organisations, which are the largest part of the configuration.
 fn largest_part_bytes() -> f64 {
     let organisation = |number: usize| Organisation {
         name: format!("organisation-of-the-consortium-{number}"),
@@ -84,30 +89,32 @@
     let withdrawals = requests * SECOND_PERMIT_REQUESTS;
     // Each host answers as many calls of others as it makes, and both cross its link.
     let directions = 2.0;
+    // The CPU time of a slot call stands for that of a claim, a load poll and a watch.
     let rows = [
         Row {
-            role: "entry and relay: permits",
-            mechanism: "one home asked, a second after 10 ms; short calls repeated while queued",
+            role: "entry host: permits",
+            mechanism: "request to one home, hedged to a second after 10 ms, repeated while queued",
             calls_per_s: directions * (permit_requests + withdrawals),
             bytes_per_s: directions
                 * (permit_requests * bytes_of(bytes, "ask, granted")
                     + withdrawals * bytes_of(bytes, "withdraw")),
             core: permit_requests * cpu_s("ask and withdraw"),
-            memory_bytes: streams * slope_of(memory, "open stream, all three ends").each,
+            memory_bytes: streams * slope_of(memory, "open stream with both endpoints").each,
         },
         Row {
             role: "home of engines: progress",
-            mechanism: "one message to each home every 2 s (0.5 s today), and one at each end",
+            mechanism: "one message to each home every 2 s (0.5 s today), and one per end of a request",
             calls_per_s: directions * (progress_per_s + requests),
             bytes_per_s: directions
                 * (progress_per_s * progress_bytes + requests * one_permit_bytes),
             core: progress_per_s * progress_cpu_s + requests * permit_slope.fixed / 1e6,
             memory_bytes: homes.ceil() * slope_of(memory, "home with 64 permits").each
-                + 2_600.0 * slope_of(memory, "organisation and service in lengths").each,
+                + LENGTH_STATISTICS
+                    * slope_of(memory, "length statistics per organisation and service").each,
         },
         Row {
             role: "home of organisations: limits",
-            mechanism: "exact counts at one host for each organisation",
+            mechanism: "exact counting at one host per organisation",
             calls_per_s: directions * (requests + 2.0),
             bytes_per_s: directions
                 * (requests * bytes_of(bytes, "slot under a limit")
@@ -117,31 +124,31 @@
         },
         Row {
             role: "home of claim shards",
-            mechanism: "segments gathered by shard, created once by number",
+            mechanism: "claims batched by shard into segments, each created once by its number",
             calls_per_s: directions * requests * KEYED_SHARE,
             bytes_per_s: directions * requests * KEYED_SHARE * bytes_of(bytes, "claim"),
             core: requests * KEYED_SHARE * cpu_s("slot"),
             memory_bytes: 0.0,
         },
         Row {
-            role: "member",
-            mechanism: "one ping a period of 300 ms, rumours in it",
-            calls_per_s: directions * 3.33,
-            bytes_per_s: directions * 3.33 * bytes_of(bytes, "ping, nothing new"),
-            core: 3.33 * cpu_s("ping"),
+            role: "member of the cluster",
+            mechanism: "one ping every 300 ms, which carries rumours",
+            calls_per_s: directions * PINGS_PER_S,
+            bytes_per_s: directions * PINGS_PER_S * bytes_of(bytes, "ping, nothing new"),
+            core: PINGS_PER_S * cpu_s("ping"),
             memory_bytes: HOSTS * slope_of(memory, "member").each,
         },
         Row {
             role: "home of engines: load polls",
-            mechanism: "each engine polled twice a second by its home alone",
+            mechanism: "each engine polled twice a second, only by its home",
             calls_per_s: homes * 2.0,
             bytes_per_s: homes * 2.0 * LOAD_POLL_BYTES,
             core: homes * 2.0 * cpu_s("slot"),
             memory_bytes: 0.0,
         },
         Row {
-            role: "watcher and spreader",
-            mechanism: "2 watchers a data centre; parts by hash, fetched once from the announcer",
+            role: "configuration: watch and distribution",
+            mechanism: "2 watchers per data centre; each part fetched once, by its hash, from the announcing host",
             calls_per_s: 2.0,
             bytes_per_s: 2.0 * LOAD_POLL_BYTES
                 + directions * largest_part_bytes() * CHANGES_PER_DAY / DAY_S,
@@ -170,7 +177,7 @@
         ));
     }
     out.push_str(&format!(
-        "| **all** | | | {:.0} | {:.3} | {:.2} | {:.0}% (core {:.0}%, memory {:.0}% of bound) |\n",
+        "| **total** | | | {:.0} | {:.3} | {:.2} | {:.0}% (core {:.0}%, memory {:.0}% of bound) |\n",
         total.0,
         total.1 * 100.0,
         total.2 / 1e6,
@@ -190,10 +197,10 @@
     format!(
         "| platform call | rate | bound |\n|---|---|---|\n\
          | reads: watches of the root and reads of the host list, {watchers:.0} watchers | {:.0}/s | 2,000/s |\n\
-         | reads: folds of the claim log, one a segment | at most {claim_reads:.0}/s | 2,000/s |\n\
+         | reads: folds of the claim log, one per segment | at most {claim_reads:.0}/s | 2,000/s |\n\
          | writes: segments of the claim log | at most {claims:.0}/s | several hundred/s |\n\
          | writes: changes of the configuration, 5 objects each | {changes:.3}/s | several hundred/s |\n\
-         | the largest value: {ORGANISATIONS} organisations | {:.0} bytes | 1,000,000 bytes |\n",
+         | largest value: {ORGANISATIONS} organisations | {:.0} bytes | 1,000,000 bytes |\n",
         watchers * 2.0,
         largest_part_bytes()
     )
--- a/crates/bench/src/slopes/cpu.rs
+++ b/crates/bench/src/slopes/cpu.rs
@@ -63,7 +63,8 @@
         PeerClient::new(Config::default(), transport.expect("connect to the host")).spawn();
     let idle_share = measure_idle_share().await;
     let upstream = UpstreamKey::of("engine-0");
-    let point = |x: f64, y: f64| vec![(x, y), (x + 1.0, y)];
+    // The cost of a call that has no count: a horizontal line.
+    let constant = |cost: f64| vec![(0.0, cost), (1.0, cost)];
     let ping = ping(deployment.host(1).peer_address);
     let ping_us = cpu_us_per_call(idle_share, |_| client.ping(call_context(), ping.clone())).await;
     let permit_us = cpu_us_per_call(idle_share, |number| {
@@ -94,9 +95,9 @@
         progress.push((f64::from(count), us));
     }
     vec![
-        fit("ping", "us", &point(0.0, ping_us)),
-        fit("ask and withdraw", "us", &point(0.0, permit_us)),
-        fit("slot", "us", &point(0.0, slot_us)),
+        fit("ping", "us", &constant(ping_us)),
+        fit("ask and withdraw", "us", &constant(permit_us)),
+        fit("slot", "us", &constant(slot_us)),
         fit("progress, each permit", "us", &progress),
     ]
 }
--- a/crates/bench/src/slopes/memory.rs
+++ b/crates/bench/src/slopes/memory.rs
@@ -51,7 +51,7 @@
             tables.collect::<Vec<_>>()
         }),
         measure_growth(
-            "organisation and service in lengths",
+            "length statistics per organisation and service",
             [2_000, 4_000, 8_000],
             |count| {
                 let mut lengths = Lengths::new();
@@ -107,8 +107,8 @@
     home
 }
 
-/// Idle streams through one host. The caller's and the engine's ends are in this process too, so
-/// the result is more than the host's own share.
+/// Idle streams through one host. Their endpoints, the caller and the engine, are in this process
+/// too, so the result is more than the host's own share.
 async fn measure_streams() -> Slope {
     let spec = DeploymentSpec {
         hosts: 1,
@@ -142,7 +142,7 @@
         open_streams.extend(join_all(requests).await);
         points.push((open_streams.len() as f64, resident_bytes() - before));
     }
-    let slope = fit("open stream, all three ends", "bytes", &points);
+    let slope = fit("open stream with both endpoints", "bytes", &points);
     drop(open_streams);
     slope
 }
--- a/crates/bench/src/slopes/mod.rs
+++ b/crates/bench/src/slopes/mod.rs
@@ -1,5 +1,5 @@
-//! Marginal costs: bytes, CPU time and memory of one more of each item, and the totals at the
-//! two-year size.
+//! Marginal costs: bytes, CPU time and memory of one more of each item, and the totals at the size
+//! planned in two years.
 
 pub(crate) mod bytes;
 pub(crate) mod capacity;
--- a/crates/bench/src/soak/corruption.rs
+++ b/crates/bench/src/soak/corruption.rs
@@ -1,5 +1,4 @@
-//! Corrupts a recorded response before it is checked. A check that reports no violation then would
-//! never fail.
+//! Corrupts a recorded response before it is checked, to show that the checks report a violation.
 
 use fulmarpath_platform_standin::RequestKind;
 
--- a/crates/bench/src/soak/deployment.rs
+++ b/crates/bench/src/soak/deployment.rs
@@ -186,10 +186,11 @@
         let folder = std::env::temp_dir().join(format!("fulmarpath-soak-{seed}"));
         let _ = std::fs::remove_dir_all(&folder);
         std::fs::create_dir_all(&folder).map_err(|source| SoakError::Process { source })?;
-        let link = |source| SoakError::Process { source };
         let store = StandInStore::start().await;
         store.put("config", "main", cold_start_configuration(1, FIRST_KEY));
-        let store_link = Proxy::start(store.address).await.map_err(link)?;
+        let store_link = Proxy::start(store.address)
+            .await
+            .map_err(|source| SoakError::Process { source })?;
         let mut deployment = Self {
             store,
             store_link,
@@ -238,7 +239,7 @@
         Ok(())
     }
 
-    /// Assigns an engine to a data centre and writes its directory entry.
+    /// Assigns an engine to the data centre of its index and writes its directory entry.
     fn register_engine(&mut self, index: usize, is_draining: bool) {
         let data_centre_index = index % DATA_CENTRES.len();
         let instance = self.engines[index].instance.clone();
--- a/crates/bench/src/soak/fault.rs
+++ b/crates/bench/src/soak/fault.rs
@@ -38,33 +38,43 @@
 /// Share of store restores among the faults drawn from the full set.
 const RESTORE_SHARE: f64 = 0.35;
 
-/// One fault, with its own duration.
+/// One fault, with its own duration. Verdicts and tests contain the names.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum Fault {
     HostKilled,
     HostPaused,
+    /// A host stops gracefully on SIGTERM and starts again.
     HostStopped,
     AllHostsKilled,
     StoreBusy,
     StoreSilent,
     StoreLossy,
     StoreSlow,
+    /// The store compacts its history, so that watches can't resume from an earlier revision.
     HistoryForgotten,
     StoreLinkReset,
     StoreLinkSilent,
+    /// An engine is reclaimed after a notice.
     EngineLeaves,
     EngineCrashes,
     EngineLinkReset,
     EngineLinkSilent,
     EngineLinkSlow,
     PlainMisbehaves,
+    /// An engine restarts under its name without closing its connections.
     EngineReborn,
+    /// Another writer leaves unusable directory entries.
     ForeignEntries,
     Evacuation,
+    /// A plain upstream returns cold.
     ColdReturn,
+    /// A plain upstream advertises a rate limit.
     PlainNamesLimit,
+    /// A plain upstream signals in its responses that it leaves.
     PlainSaysItLeaves,
+    /// A plain upstream requests a backoff.
     PlainAsksForRest,
+    /// The store is restored from a backup.
     StoreReturnsFromCopy,
 }
 
@@ -74,7 +84,7 @@
 pub(crate) enum FaultSet {
     /// The basic faults.
     Initial,
-    /// Adds engines that restart and directory entries of other writers.
+    /// Adds engine restarts and directory entries of other writers.
     WithRestarts,
     /// Adds evacuations of data centres and upstreams that return cold.
     WithEvacuations,
@@ -358,8 +368,8 @@
     deployment.store.set_mode(StoreMode::Up);
 }
 
-/// Evacuates a data centre and takes it back. Counts the requests that its upstreams receive after
-/// the bound.
+/// Evacuates a data centre and ends the evacuation. Counts the requests that its upstreams receive
+/// after the bound.
 async fn evacuate(deployment: &mut Deployment, data_centre: usize, duration: Duration) {
     let name = DATA_CENTRES[data_centre];
     deployment
@@ -373,7 +383,8 @@
     sleep(Duration::from_millis(COLD_MS)).await;
 }
 
-/// Registers a plain upstream as cold. Counts its peak rate per second once hosts must know.
+/// Registers a plain upstream as cold. Once all hosts must know, counts the requests beyond the
+/// allowed ones in its busiest second.
 async fn mark_cold(deployment: &mut Deployment, plain: usize) {
     deployment.register_cold(plain);
     sleep(PROPAGATION_BOUND).await;
@@ -384,8 +395,9 @@
     deployment.register_plain(plain);
 }
 
-/// Makes a plain upstream advertise a limit. Counts its peak per window once all hosts must know. A
-/// host may be paused meanwhile, possibly the one that grants starts on this upstream.
+/// Makes a plain upstream advertise a limit. Once all hosts must know, counts the requests beyond
+/// the allowed ones in its busiest window. A host may be paused meanwhile, possibly the one that
+/// grants starts on this upstream.
 async fn advertise_limit(deployment: &mut Deployment, plain: usize, paused_host: Option<usize>) {
     let upstream = deployment.plains[plain].clone();
     upstream.set_signals(ResponseSignals {
@@ -429,7 +441,7 @@
 }
 
 /// Makes a plain upstream refuse all requests and request a backoff, while the others are slow and
-/// look like worse choices. Counts the requests that it receives during the backoff.
+/// look like worse choices. Counts the requests beyond the allowed ones during the backoff.
 async fn request_backoff(deployment: &mut Deployment, plain: usize) {
     let upstream = deployment.plains[plain].clone();
     upstream.set_signals(ResponseSignals {
--- a/crates/bench/src/soak/mod.rs
+++ b/crates/bench/src/soak/mod.rs
@@ -31,13 +31,13 @@
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum SoakError {
     /// A process, file or proxy could not be started or created.
-    #[error("could not start the processes, files and proxies of the deployment")]
+    #[error("could not start a process or proxy, or create a file, of the deployment")]
     Process {
         /// The underlying I/O error.
         #[source]
         source: std::io::Error,
     },
-    /// Some host does not serve requests before the first fault.
+    /// A host did not serve requests before the first fault.
     #[error("could not get a response from every host before the first fault")]
     NotServing,
 }
@@ -49,7 +49,7 @@
     pub(crate) hosts: usize,
     pub(crate) callers: usize,
     pub(crate) faults: usize,
-    /// The faults that are drawn from.
+    /// The set from which the faults are drawn.
     pub(crate) fault_set: FaultSet,
     /// Whether one caller repeats a request that crashes its upstream.
     pub(crate) has_crashing_caller: bool,
@@ -66,10 +66,11 @@
 const FAULT_FREE_DURATION: Duration = Duration::from_millis(2_500);
 const SECOND_KEY: &str = "key-2";
 
+/// State that the callers share.
 struct Shared {
     addresses: Vec<SocketAddr>,
     is_over: AtomicBool,
-    next: AtomicU32,
+    next_number: AtomicU32,
     outcomes: Mutex<Vec<Outcome>>,
     may_be_interrupted: bool,
 }
@@ -88,7 +89,7 @@
             .map(deployment::HostProcess::caller_address)
             .collect(),
         is_over: AtomicBool::new(false),
-        next: AtomicU32::new(0),
+        next_number: AtomicU32::new(0),
         outcomes: Mutex::default(),
         may_be_interrupted: faults.iter().any(|fault| fault.may_interrupt()),
     });
@@ -201,7 +202,7 @@
 async fn run_caller(shared: Arc<Shared>, seed: u64, caller: u64) {
     let mut rng = ChaCha8Rng::seed_from_u64(seed.wrapping_mul(1_000).wrapping_add(caller));
     while !shared.is_over.load(Ordering::Relaxed) {
-        let number = shared.next.fetch_add(1, Ordering::Relaxed);
+        let number = shared.next_number.fetch_add(1, Ordering::Relaxed);
         let id = format!("{seed:x}-{number:x}");
         let kind =
             [RequestKind::Poll, RequestKind::Check, RequestKind::Draft][rng.random_range(0..3)];
--- a/crates/bench/src/soak/proxy.rs
+++ b/crates/bench/src/soak/proxy.rs
@@ -33,7 +33,9 @@
 #[derive(Clone)]
 pub(crate) struct Proxy {
     pub(crate) address: SocketAddr,
+    /// The mode, and how many connections had been opened when it was set.
     mode: watch::Sender<(u64, LinkMode)>,
+    /// Number of connections opened so far.
     opened: Arc<Mutex<u64>>,
 }
 
