--- a/crates/bench/src/sim/world.rs
+++ b/crates/bench/src/sim/world.rs
@@ -170,10 +170,10 @@
         }
         for engine in 0..engines {
             let first_us = REPORT_PERIOD_US * engine as u64 / engines as u64;
-            world.schedule(first_us, Event::Report(engine));
+            world.schedule(first_us, Event::SendLoadReport(engine));
         }
         let progress_us = settings.tuning.progress_ms * 1_000;
-        world.schedule(progress_us, Event::Progress);
+        world.schedule(progress_us, Event::ReportProgress);
         world.schedule(TICK_US, Event::Tick);
         if settings.scenario == Scenario::EngineLost {
             world.schedule(world.end_us / 2, Event::LoseEngine(0));
@@ -258,20 +258,20 @@
                 attempt,
             } => self.submit(engine, request, attempt),
             Event::StepDone(engine) => self.finish_step(engine),
-            Event::Report(engine) => {
+            Event::SendLoadReport(engine) => {
                 let model = &self.engines[engine];
                 let (used, running, waiting) =
                     (model.used_tokens(), model.running(), model.waiting());
-                let report = Event::Reported {
+                let report = Event::LoadReportReceived {
                     engine,
                     used,
                     running,
                     waiting,
                 };
                 self.after(REPORT_LAG_US, report);
-                self.after(REPORT_PERIOD_US, Event::Report(engine));
+                self.after(REPORT_PERIOD_US, Event::SendLoadReport(engine));
             }
-            Event::Reported {
+            Event::LoadReportReceived {
                 engine,
                 used,
                 running,
@@ -279,7 +279,7 @@
             } => {
                 self.receive_report(engine, used, running, waiting);
             }
-            Event::Progress => self.report_progress(),
+            Event::ReportProgress => self.report_progress(),
             Event::Tick => {
                 if self.settings.policy.admits() {
                     for home in 0..self.homes.len() {
--- a/crates/bench/src/sim/world/engines.rs
+++ b/crates/bench/src/sim/world/engines.rs
@@ -142,7 +142,10 @@
 
     /// Entry hosts report the progress of their permits and start the moves that homes request.
     pub(super) fn report_progress(&mut self) {
-        self.after(self.settings.tuning.progress_ms * 1_000, Event::Progress);
+        self.after(
+            self.settings.tuning.progress_ms * 1_000,
+            Event::ReportProgress,
+        );
         if !self.settings.policy.admits() {
             return;
         }
--- a/crates/bench/src/sim/world/event.rs
+++ b/crates/bench/src/sim/world/event.rs
@@ -35,14 +35,17 @@
         attempt: u32,
     },
     StepDone(usize),
-    Report(usize),
-    Reported {
+    /// An engine sends a load report.
+    SendLoadReport(usize),
+    /// Hosts receive a load report.
+    LoadReportReceived {
         engine: usize,
         used: u32,
         running: u32,
         waiting: u32,
     },
-    Progress,
+    /// Entry hosts report the progress of their permits.
+    ReportProgress,
     Tick,
     Finished {
         home: usize,
--- a/crates/bench/src/soak/deployment.rs
+++ b/crates/bench/src/soak/deployment.rs
@@ -19,6 +19,10 @@
 
 pub(crate) const FIRST_KEY: &str = "key-1";
 const METRICS_TIMEOUT: std::time::Duration = std::time::Duration::from_secs(2);
+/// Ports of a host, as in the settings file of the stand-in platform.
+const CALLER_PORT: u16 = 8740;
+const METRICS_PORT: u16 = 7215;
+const PEER_PORT: u16 = 8748;
 
 /// A host process and the files and binary that it was started with.
 pub(crate) struct HostProcess {
@@ -32,12 +36,12 @@
 
 impl HostProcess {
     pub(crate) fn caller_address(&self) -> SocketAddr {
-        SocketAddr::new(self.ip, 8740)
+        SocketAddr::new(self.ip, CALLER_PORT)
     }
 
     /// The store era that the host exports in its metrics.
     async fn era(&self) -> Option<u64> {
-        let metrics = SocketAddr::new(self.ip, 7215);
+        let metrics = SocketAddr::new(self.ip, METRICS_PORT);
         let page = get(metrics, "/metrics", METRICS_TIMEOUT).await.ok()?;
         let page = page.bytes(METRICS_TIMEOUT).await.ok()?;
         let page = String::from_utf8_lossy(&page);
@@ -48,7 +52,7 @@
     }
 
     fn peer_address(&self) -> SocketAddr {
-        SocketAddr::new(self.ip, 8748)
+        SocketAddr::new(self.ip, PEER_PORT)
     }
 
     pub(crate) fn start(&mut self) -> Result<(), SoakError> {
--- a/crates/bench/src/soak/mod.rs
+++ b/crates/bench/src/soak/mod.rs
@@ -173,7 +173,7 @@
 async fn wait_until_served(
     addresses: &[SocketAddr],
     key: &str,
-    name: &str,
+    id_prefix: &str,
     timeout: Duration,
 ) -> bool {
     let started = Instant::now();
@@ -182,7 +182,7 @@
             let mut attempt = 0;
             loop {
                 attempt += 1;
-                let id = format!("{name}-{index}-{kind:?}-{attempt}");
+                let id = format!("{id_prefix}-{index}-{kind:?}-{attempt}");
                 let response =
                     exchange(*address, sample_request(kind, &id, key, HOST), CALL_TIMEOUT).await;
                 if response.status == 200 && response.is_complete {
