--- a/crates/cluster/src/lib.rs
+++ b/crates/cluster/src/lib.rs
@@ -1,5 +1,9 @@
-//! Coordination of entry hosts: membership, homes of engines and cells, the active configuration,
-//! and the claims of submissions.
+//! Coordination of entry hosts: membership, permits to run generations on engines, the active
+//! configuration, claims of idempotency keys, orders to engines and the quarantine of poison
+//! requests.
+//!
+//! The home of a resource, such as an engine or an organisation, is the host that decides on it.
+//! Each host finds it by rendezvous hashing over the members.
 
 mod circuit_breakers;
 mod claims;
@@ -7,7 +11,6 @@
 mod configuration;
 mod crashes;
 mod documents;
-mod engines;
 mod homes;
 mod lease;
 mod members;
@@ -21,12 +24,12 @@
 mod server;
 mod spread;
 mod swim;
+mod upstream_clients;
 
 pub use circuit_breakers::{CRASH_HOMES, CircuitBreakers, Evaluation};
 pub use claims::{ClaimError, ClaimLog, ClaimSettings};
 pub use clock::Clock;
 pub use configuration::{ActiveConfiguration, ChangeKind, HistoryEntry, Parts, Root};
-pub use engines::{Engines, HttpEngines};
 pub use homes::EngineStats;
 pub use lease::{LEASE_MS, Lease, LeaseAction, LeaseRecord, ORDER_TIMEOUT_MS};
 pub use members::Members;
@@ -36,3 +39,4 @@
 pub use poison::Quarantined;
 pub use publish::{Change, PublishError, Publisher};
 pub use safeguard::{Safeguard, UnknownSafeguard};
+pub use upstream_clients::{HttpUpstreamClients, UpstreamClients};
--- a/crates/cluster/src/node.rs
+++ b/crates/cluster/src/node.rs
@@ -28,12 +28,12 @@
 use crate::clock::Clock;
 use crate::configuration::ActiveConfiguration;
 use crate::documents::Documents;
-use crate::engines::Engines;
 use crate::homes::HomeTable;
 use crate::members::Members;
 use crate::permits::HeldPermit;
 use crate::publish::{Change, PublishError, Publisher};
 use crate::safeguard::Safeguard;
+use crate::upstream_clients::UpstreamClients;
 
 /// Settings of a node.
 #[derive(Debug, Clone)]
@@ -74,8 +74,8 @@
 
 /// The cluster node of one entry host.
 ///
-/// Lock order: members, loads, held permits, homeless permits, limits, slots, fetched, then the
-/// home tables; none is held across an await.
+/// Lock order: `members`, `loads`, `held_permits`, `permits_without_home`, `limits`, `slots`,
+/// `fetched_at_ms`, then `homes`; none is held across an await.
 pub struct Node {
     pub(crate) settings: NodeSettings,
     pub(crate) clock: Clock,
@@ -83,7 +83,7 @@
     pub(crate) members: Mutex<Members>,
     pub(crate) loads: Mutex<HashMap<UpstreamKey, EngineLoad>>,
     pub(crate) held_permits: Mutex<HashMap<PermitRequestId, Arc<HeldPermit>>>,
-    pub(crate) homeless_permits: Mutex<HashMap<UpstreamKey, u32>>,
+    pub(crate) permits_without_home: Mutex<HashMap<UpstreamKey, u32>>,
     pub(crate) limits: Mutex<LimitTable>,
     slots: Mutex<HashMap<OrganisationKey, u32>>,
     pub(crate) fetched_at_ms: Mutex<HashMap<Document, Millis>>,
@@ -92,7 +92,7 @@
     pub(crate) documents: Documents,
     pub(crate) object_api: Arc<dyn ObjectApi>,
     pub(crate) host_list: Arc<dyn HostList>,
-    pub(crate) engines: Arc<dyn Engines>,
+    pub(crate) clients: Arc<dyn UpstreamClients>,
     pub(crate) claims: ClaimLog,
     pub(crate) circuit_breakers: CircuitBreakers,
     pub(crate) generations: OnceLock<Arc<dyn Generations>>,
@@ -109,7 +109,7 @@
         listener: TcpListener,
         object_api: Arc<dyn ObjectApi>,
         host_list: Arc<dyn HostList>,
-        engines: Arc<dyn Engines>,
+        clients: Arc<dyn UpstreamClients>,
     ) -> Result<Arc<Self>, StartError> {
         let info = MemberInfo {
             name: settings.host.clone(),
@@ -124,7 +124,7 @@
             members: Mutex::new(Members::new(info, incarnation)),
             loads: Mutex::default(),
             held_permits: Mutex::default(),
-            homeless_permits: Mutex::default(),
+            permits_without_home: Mutex::default(),
             limits: Mutex::default(),
             slots: Mutex::default(),
             fetched_at_ms: Mutex::default(),
@@ -137,7 +137,7 @@
             circuit_breakers: CircuitBreakers::default(),
             object_api,
             host_list,
-            engines,
+            clients,
             generations: OnceLock::new(),
             leaving: AtomicBool::new(false),
             settings,
@@ -213,7 +213,7 @@
             .into_iter()
             .map(|entry| {
                 let upstream = UpstreamKey::of(&entry.name);
-                (upstream, self.engines.plain(entry.address))
+                (upstream, self.clients.plain(entry.address))
             })
             .collect()
     }
@@ -223,8 +223,8 @@
         let listing = self.documents.listing();
         let engines = listing.engines.values();
         engines
-            .filter(|upstream| upstream.entry.serves == model)
-            .map(|upstream| upstream.engine.clone())
+            .filter(|engine| engine.entry.serves == model)
+            .map(|engine| engine.client.clone())
             .collect()
     }
 
--- a/crates/cluster/src/safeguard.rs
+++ b/crates/cluster/src/safeguard.rs
@@ -1,4 +1,5 @@
-//! The safeguards by name. A fault run disables one and must detect that it is missing.
+//! The safeguards against faults, by name. A fault run, which injects faults, may disable one to
+//! show that its checks detect the absence.
 
 use std::str::FromStr;
 
--- a/crates/entry/src/driver.rs
+++ b/crates/entry/src/driver.rs
@@ -14,14 +14,16 @@
 
 use crate::generation::Generation;
 use crate::metrics::{CallerLabels, Metrics};
-use crate::outcome::{End, NotRun, NotRunReason, Unsent};
+use crate::outcome::{End, NotRun, NotRunProof, NotRunReason};
 use crate::relay::RelayOutcome;
 use crate::trace::RequestTrace;
 
-/// How long a generation that was sent to an engine retries to get a permit after a failure.
+/// How long a generation that was sent to an engine keeps trying to get a permit after a failure.
 const RECOVERY_TIMEOUT_MS: Millis = 60_000;
 const RECOVERY_RETRY_PAUSE: Duration = Duration::from_millis(200);
+/// Retries that each attempt sent to an upstream adds to its budget.
 const RETRY_RATIO: f32 = 0.1;
+/// Limit on the retries saved up in the budget of an upstream.
 const MAX_SAVED_RETRIES: f32 = 10.0;
 
 /// State shared by the drivers of a host.
@@ -30,7 +32,7 @@
     pub(crate) metrics: Arc<Metrics>,
     pub(crate) silence_timeout: Duration,
     pub(crate) reconnect_grace_ms: Millis,
-    budgets: Mutex<HashMap<UpstreamKey, RetryBudget>>,
+    retry_budgets: Mutex<HashMap<UpstreamKey, RetryBudget>>,
 }
 
 impl DriverContext {
@@ -45,16 +47,16 @@
             metrics,
             silence_timeout,
             reconnect_grace_ms,
-            budgets: Mutex::default(),
+            retry_budgets: Mutex::default(),
         }
     }
 
-    fn with_budget<T>(
+    fn with_retry_budget<T>(
         &self,
         upstream: UpstreamKey,
         action: impl FnOnce(&mut RetryBudget) -> T,
     ) -> T {
-        let mut budgets = self.budgets.lock();
+        let mut budgets = self.retry_budgets.lock();
         let budget = budgets
             .entry(upstream)
             .or_insert_with(|| RetryBudget::new(RETRY_RATIO, MAX_SAVED_RETRIES));
@@ -74,7 +76,7 @@
 }
 
 /// Result of sending a generation to an engine.
-enum Started {
+enum StartOutcome {
     Streams(Box<dyn TokenStream>),
     /// The engine certainly did not run it.
     NotRun,
@@ -83,7 +85,7 @@
 }
 
 /// Runs a generation to its end and records how it ended.
-pub(crate) async fn drive(context: Arc<DriverContext>, job: Job, unsent: Unsent) {
+pub(crate) async fn drive(context: Arc<DriverContext>, job: Job, proof: NotRunProof) {
     let generation = job.generation.clone();
     let mut driver = Driver {
         clock: context.node.clock(),
@@ -94,7 +96,7 @@
         attempt: 0,
         job,
     };
-    let end = driver.run(unsent).await;
+    let end = driver.run(proof).await;
     if let End::NotRun(not_run) = end {
         let kind = crate::problem::Problem::NotRun(not_run).kind();
         driver.context.metrics.record_refusal(kind);
@@ -115,36 +117,42 @@
 }
 
 impl Driver {
-    async fn run(&mut self, unsent: Unsent) -> End {
-        let mut unsent = Some(unsent);
+    async fn run(&mut self, proof: NotRunProof) -> End {
+        let mut proof = Some(proof);
         let mut excluded: Vec<UpstreamKey> = Vec::new();
         let mut move_permit = None;
         let mut is_admitted = false;
         loop {
             if !std::mem::replace(&mut is_admitted, true)
-                && let Err(end) = self.admit(&mut unsent).await
+                && let Err(end) = self.admit(&mut proof).await
             {
                 return end;
             }
             let permit = match move_permit.take() {
                 Some(permit) => permit,
-                None => match self.acquire_permit(&mut unsent, &mut excluded).await {
+                None => match self.acquire_permit(&mut proof, &mut excluded).await {
                     Ok(permit) => permit,
                     Err(end) => return end,
                 },
             };
             let upstream = permit.upstream;
-            let started = self.start(&permit, &mut unsent).await;
-            if matches!(started, Started::EngineLost) {
+            let started = self.start(&permit, &mut proof).await;
+            if matches!(started, StartOutcome::EngineLost) {
                 is_admitted = false;
                 if !self.may_continue(&permit).await {
                     return End::OutcomeUnknown;
                 }
             }
-            let Started::Streams(stream) = started else {
+            let StartOutcome::Streams(stream) = started else {
                 excluded.push(upstream);
-                if unsent.is_some() && !self.context.with_budget(upstream, RetryBudget::try_retry) {
-                    let proof = unsent.take().unwrap_or_else(Unsent::refused_by_upstream);
+                if proof.is_some()
+                    && !self
+                        .context
+                        .with_retry_budget(upstream, RetryBudget::try_retry)
+                {
+                    let proof = proof
+                        .take()
+                        .unwrap_or_else(NotRunProof::refused_by_upstream);
                     return End::NotRun(NotRun::new(proof, NotRunReason::RefusedByUpstream));
                 }
                 continue;
@@ -172,8 +180,10 @@
                     }
                     self.context.metrics.record_recovery("other_engine");
                     warn!(
-                        "relay: {} lost its engine and continues on another",
-                        self.job.generation.name()
+                        "relay: {} lost engine {} after {} tokens and continues on another",
+                        self.job.generation.name(),
+                        self.context.node.upstream_name(upstream),
+                        self.job.generation.next_index()
                     );
                     self.spawn_cancel(permit);
                     excluded = vec![upstream];
@@ -182,11 +192,11 @@
         }
     }
 
-    /// Acquires a permit. A generation that has been sent before retries until
+    /// Acquires a permit. A generation that has been sent before keeps trying for
     /// [`RECOVERY_TIMEOUT_MS`].
     async fn acquire_permit(
         &self,
-        unsent: &mut Option<Unsent>,
+        proof: &mut Option<NotRunProof>,
         excluded: &mut Vec<UpstreamKey>,
     ) -> Result<Permit, End> {
         let started_ms = self.clock.now_ms();
@@ -200,7 +210,7 @@
                     .node
                     .acquire_permit(&request)
                     .instrument(info_span!("home.permit")) => result,
-                () = self.caller_left() => return Err(self.end_after_caller_left(unsent)),
+                () = self.caller_left() => return Err(self.end_after_caller_left(proof)),
             };
             let error = match result {
                 Ok(permit) => return Ok(permit),
@@ -209,11 +219,11 @@
             if error == NotGranted::NoEngine && !excluded.is_empty() {
                 excluded.clear();
                 tokio::time::sleep(RECOVERY_RETRY_PAUSE).await;
-                if unsent.is_none() {
+                if proof.is_none() {
                     continue;
                 }
             }
-            if let Some(proof) = unsent.take() {
+            if let Some(proof) = proof.take() {
                 return Err(End::NotRun(NotRun::new(
                     proof,
                     NotRunReason::NotGranted(error),
@@ -226,19 +236,19 @@
         }
     }
 
-    fn end_after_caller_left(&self, unsent: &mut Option<Unsent>) -> End {
-        match unsent.take() {
+    fn end_after_caller_left(&self, proof: &mut Option<NotRunProof>) -> End {
+        match proof.take() {
             Some(proof) => End::NotRun(NotRun::new(proof, NotRunReason::HostClosed)),
             None => End::Abandoned,
         }
     }
 
     /// Sends the generation to the engine of the permit.
-    async fn start(&mut self, permit: &Permit, unsent: &mut Option<Unsent>) -> Started {
+    async fn start(&mut self, permit: &Permit, proof: &mut Option<NotRunProof>) -> StartOutcome {
         self.attempt += 1;
         self.first_engine_token_ms = None;
         self.context
-            .with_budget(permit.upstream, RetryBudget::record_first_attempt);
+            .with_retry_budget(permit.upstream, RetryBudget::record_first_attempt);
         let span = info_span!("engine.generate", attempt = self.attempt);
         let request = GenerateRequest {
             traceparent: self.job.trace.traceparent(&span),
@@ -250,23 +260,23 @@
             output_limit_tokens: self.job.request.output_limit_tokens,
             priority: permit.priority,
         };
-        let is_first_dispatch = unsent.take().is_some();
+        let had_proof = proof.take().is_some();
         let sent = permit.engine.generate(&request);
         match sent.instrument(span).await {
-            Ok(stream) => Started::Streams(stream),
+            Ok(stream) => StartOutcome::Streams(stream),
             Err(EngineError::NotRun(_)) => {
-                if is_first_dispatch {
-                    *unsent = Some(Unsent::refused_by_upstream());
+                if had_proof {
+                    *proof = Some(NotRunProof::refused_by_upstream());
                 }
-                Started::NotRun
+                StartOutcome::NotRun
             }
             Err(EngineError::UnknownGeneration | EngineError::OutcomeUnknown(_)) => {
                 if !self.context.node.has(Safeguard::NotRunProof) {
-                    *unsent = Some(Unsent::refused_by_upstream());
+                    *proof = Some(NotRunProof::refused_by_upstream());
                 }
                 match self.resume(permit).await {
-                    Some(stream) => Started::Streams(stream),
-                    None => Started::EngineLost,
+                    Some(stream) => StartOutcome::Streams(stream),
+                    None => StartOutcome::EngineLost,
                 }
             }
         }
@@ -292,8 +302,10 @@
         request.only_now = true;
         let other = self.context.node.acquire_permit(&request).await.ok()?;
         info!(
-            "relay: {} moves to another engine",
-            self.job.generation.name()
+            "relay: {} moves from engine {} to {}",
+            self.job.generation.name(),
+            self.context.node.upstream_name(permit.upstream),
+            self.context.node.upstream_name(other.upstream)
         );
         Some(other)
     }
--- a/crates/entry/src/outcome.rs
+++ b/crates/entry/src/outcome.rs
@@ -4,16 +4,16 @@
 use fulmarpath_policy::{LimitExceeded, Millis};
 use fulmarpath_upstream::Finish;
 
-/// Proof that nothing of a request has been sent to any upstream.
+/// Proof that no upstream has run a request: it was sent to none, or each refused it.
 ///
-/// A request starts with one, and the first dispatch consumes it. A caller that gets "not run"
-/// while an engine runs the request would submit it again and get two different answers to one
-/// request. Since [`NotRun`] can't be built without this proof, no code path can report that
+/// A request starts with one, and loses it when an upstream may have run it. A caller that gets
+/// "not run" while an engine runs the request would submit it again and get two different answers
+/// to one request. Since [`NotRun`] can't be built without this proof, no code path can report that
 /// wrongly.
 #[derive(Debug)]
-pub struct Unsent(());
+pub struct NotRunProof(());
 
-impl Unsent {
+impl NotRunProof {
     /// The proof for a request that has just been received.
     pub(crate) fn fresh() -> Self {
         Self(())
@@ -32,13 +32,13 @@
     #[error("{0}")]
     NotGranted(NotGranted),
     /// Above the organisation's limit of requests per second.
-    #[error("could not accept more requests a second of this organisation")]
+    #[error("could not accept more requests per second from this organisation")]
     RateLimit,
     /// Above the organisation's limit of concurrent requests.
-    #[error("could not accept more requests at once of this organisation")]
+    #[error("could not accept more concurrent requests from this organisation")]
     ConcurrencyLimit,
-    /// This host has too many open streams.
-    #[error("could not open more streams on this host")]
+    /// This host has too many open requests.
+    #[error("could not accept more concurrent requests on this host")]
     TooManyStreams,
     /// This host accepts no new requests at present.
     #[error("could not take new work on this host")]
@@ -67,8 +67,8 @@
 const RETRY_AFTER_MS: Millis = 1_000;
 
 impl NotRun {
-    /// Reports a request that was never sent, with the reason.
-    pub(crate) fn new(_proof: Unsent, reason: NotRunReason) -> Self {
+    /// Reports a request that no upstream has run, with the reason.
+    pub(crate) fn new(_proof: NotRunProof, reason: NotRunReason) -> Self {
         let retry_after_ms = match reason {
             NotRunReason::NotGranted(error) => error.retry_after_ms(),
             NotRunReason::Quarantined(quarantined) => quarantined.retry_after_ms,
@@ -81,7 +81,7 @@
     }
 
     /// Reports a request that exceeds its organisation's limits.
-    pub(crate) fn limit_exceeded(_proof: Unsent, exceeded: LimitExceeded) -> Self {
+    pub(crate) fn limit_exceeded(_proof: NotRunProof, exceeded: LimitExceeded) -> Self {
         match exceeded {
             LimitExceeded::Rate { retry_after_ms } => Self {
                 reason: NotRunReason::RateLimit,
--- a/crates/gateway/src/attempt.rs
+++ b/crates/gateway/src/attempt.rs
@@ -15,7 +15,7 @@
 use crate::gateway::Gateway;
 use crate::head::{Continuation, Outbound, ResponseHead};
 use crate::inbound::InboundRequest;
-use crate::instance::Chosen;
+use crate::instance::ChosenUpstream;
 use crate::problem::Problem;
 use crate::record::Dispatch;
 use crate::tracker::{ANSWERED, InFlightRequest, RequestTracker};
@@ -23,16 +23,16 @@
 /// Connect timeout: several round trips between data centres, and an upstream's handshake. A lost
 /// SYN is retransmitted only after 1 s, by which time another upstream has answered.
 const CONNECT_TIMEOUT_MS: Millis = 250;
-/// How long an upstream that reports itself full is deprioritised.
-const FULL_PENALTY_MS: Millis = 200;
+/// How long an upstream that refuses a request, for instance because it is full, is deprioritised.
+const REFUSAL_PENALTY_MS: Millis = 200;
 /// How long an upstream that closes its connection, possibly because it is leaving, is
 /// deprioritised.
 const CLOSING_PENALTY_MS: Millis = 400;
 
 /// An upstream's response, of which only the head has been read.
-pub(crate) struct Answer {
+pub(crate) struct UpstreamResponse {
     pub(crate) head: ResponseHead,
-    pub(crate) response: Response<Incoming>,
+    pub(crate) http: Response<Incoming>,
     pub(crate) in_flight: InFlightRequest,
     /// Closed when dropped, which makes the upstream cancel the request.
     pub(crate) connection: Connection,
@@ -61,7 +61,7 @@
     /// The request was sent, and its outcome is unknown.
     Unknown,
     /// The request was sent, and the deadline passed.
-    Overdue,
+    TimedOut,
 }
 
 impl Failure {
@@ -76,7 +76,7 @@
             Self::Unsent => Problem::Unreachable,
             Self::Shed => Problem::AllRefused,
             Self::Unknown => Problem::Broken,
-            Self::Overdue => Problem::Timeout,
+            Self::TimedOut => Problem::Timeout,
         }
     }
 
@@ -85,7 +85,7 @@
             Self::Unsent => "unsent",
             Self::Shed => "shed",
             Self::Unknown => "unknown",
-            Self::Overdue => "overdue",
+            Self::TimedOut => "overdue",
         }
     }
 }
@@ -96,33 +96,33 @@
         self: &Arc<Self>,
         inbound: &InboundRequest,
         tracker: &mut RequestTracker,
-        chosen: Chosen,
+        chosen: ChosenUpstream,
         options: DispatchOptions,
-    ) -> Result<Answer, Failure> {
+    ) -> Result<UpstreamResponse, Failure> {
         tracker.begin_dispatch(Dispatch {
             instance: chosen.instance.clone(),
             at_ms: self.clock.now_ms().saturating_sub(tracker.arrived_ms),
             outcome: "sent".to_owned(),
         });
-        let answer = self.exchange(inbound, chosen, options, &tracker.id).await;
-        match &answer {
-            Ok(answer) => tracker.end_dispatch(if answer.response.status().is_success() {
+        let result = self.exchange(inbound, chosen, options, &tracker.id).await;
+        match &result {
+            Ok(response) => tracker.end_dispatch(if response.http.status().is_success() {
                 ANSWERED
             } else {
                 "failed"
             }),
             Err(failure) => tracker.end_dispatch(failure.name()),
         }
-        answer
+        result
     }
 
     async fn exchange(
         self: &Arc<Self>,
         inbound: &InboundRequest,
-        chosen: Chosen,
+        chosen: ChosenUpstream,
         options: DispatchOptions,
         id: &str,
-    ) -> Result<Answer, Failure> {
+    ) -> Result<UpstreamResponse, Failure> {
         let (address, key) = (chosen.address, chosen.key);
         let mut in_flight = InFlightRequest::new(self.clone(), chosen);
         let started_ms = self.clock.now_ms();
@@ -147,8 +147,8 @@
                 return Err(Failure::Unknown);
             }
         };
-        let response = match exchanged {
-            Ok(Ok(response)) => response,
+        let http = match exchanged {
+            Ok(Ok(http)) => http,
             Ok(Err(HttpError::Unreachable { .. })) => {
                 in_flight.set_verdict(Verdict::Failed);
                 return Err(Failure::Unsent);
@@ -160,23 +160,22 @@
             }
             Err(_) => {
                 in_flight.set_verdict(Verdict::Failed);
-                return Err(Failure::Overdue);
+                return Err(Failure::TimedOut);
             }
         };
-        let head = self
-            .dialect
-            .read_response(response.status(), response.headers());
+        let head = self.dialect.read_response(http.status(), http.headers());
         let now_ms = self.clock.now_ms();
         let is_mismatched = !head.is_not_run && head.id.as_deref() != Some(id);
-        let is_misdirected = response.status() == StatusCode::MISDIRECTED_REQUEST;
+        let is_misdirected = http.status() == StatusCode::MISDIRECTED_REQUEST;
         if !is_mismatched && !is_misdirected {
             self.apply_signals(&in_flight.chosen, head.signals);
         }
         if head.is_not_run {
             in_flight.set_verdict(Verdict::Shed);
-            self.instances.penalise_until(now_ms + FULL_PENALTY_MS, key);
+            self.instances
+                .penalise_until(now_ms + REFUSAL_PENALTY_MS, key);
             if is_misdirected {
-                self.instances.mark_leaving(key);
+                self.instances.mark_gone(key);
             }
             return Err(Failure::Shed);
         }
@@ -194,9 +193,9 @@
         self.instances
             .record_response(now_ms, key, latency_ms, head.load);
         self.metrics.first_byte_ms.observe(latency_ms as f64);
-        Ok(Answer {
+        Ok(UpstreamResponse {
             head,
-            response,
+            http,
             in_flight,
             connection,
         })
@@ -205,7 +204,7 @@
     fn outbound(
         &self,
         inbound: &InboundRequest,
-        chosen: &Chosen,
+        chosen: &ChosenUpstream,
         options: &DispatchOptions,
     ) -> Request<Full<bytes::Bytes>> {
         let outbound = Outbound {
--- a/crates/gateway/src/backpressure.rs
+++ b/crates/gateway/src/backpressure.rs
@@ -5,12 +5,12 @@
 use spdlog::info;
 
 use crate::gateway::Gateway;
-use crate::instance::Chosen;
+use crate::instance::ChosenUpstream;
 use crate::instances::Instances;
 
 impl Gateway {
     /// Applies the signals in the head of an upstream's own response.
-    pub(crate) fn apply_signals(&self, chosen: &Chosen, signals: Signals) {
+    pub(crate) fn apply_signals(&self, chosen: &ChosenUpstream, signals: Signals) {
         let now_ms = self.clock.now_ms();
         let change = self
             .instances
@@ -22,10 +22,10 @@
             (_, Some(limit)) => {
                 info!("backpressure: {instance} takes {limit} requests a second from all hosts")
             }
-            (_, None) => info!("backpressure: {instance} names no limit any more"),
+            (_, None) => info!("backpressure: {instance} no longer advertises a limit"),
         }
         if let Some(backoff_ms) = signals.backoff_ms {
-            info!("backpressure: {instance} wants nothing from this host for {backoff_ms} ms");
+            info!("backpressure: {instance} asks this host to back off for {backoff_ms} ms");
         }
         if after.is_leaving() && !before.is_leaving() {
             info!("backpressure: {instance} says that it leaves");
@@ -60,7 +60,8 @@
         backpressure.merge_limit(per_s, received_ms);
     }
 
-    /// Blocks starts of this host at an upstream until `until_ms`: its limit allows none before.
+    /// Blocks new requests of this host to an upstream until `until_ms`: its limit allows none
+    /// before.
     pub(crate) fn throttle_until(&self, upstream: UpstreamKey, until_ms: Millis) {
         let mut table = self.table.lock();
         let backpressure = table.backpressure.entry(upstream).or_default();
--- a/crates/gateway/src/control.rs
+++ b/crates/gateway/src/control.rs
@@ -1,4 +1,4 @@
-//! The engines' calls for probing an engine and for copying a generation's KV cache to another one.
+//! Calls to engines: probing an engine, and copying a generation's KV cache to another one.
 
 use std::net::SocketAddr;
 
@@ -49,7 +49,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ProbeResult {
     /// When the process that responds started, in Unix milliseconds by the engine's clock.
-    pub born_ms: Option<Millis>,
+    pub started_at_ms: Option<Millis>,
     /// The state of the engine.
     pub status: EngineStatus,
 }
@@ -63,7 +63,7 @@
     pub events: u64,
 }
 
-/// The engines' calls for probing an engine and for copying a generation's KV cache to another one.
+/// Calls to engines: probing an engine, and copying a generation's KV cache to another one.
 #[async_trait]
 pub trait EngineControl: Send + Sync {
     /// Copies the new part of a generation's KV cache while the generation continues.
--- a/crates/gateway/src/crashes.rs
+++ b/crates/gateway/src/crashes.rs
@@ -10,26 +10,26 @@
 
 use crate::gateway::Gateway;
 use crate::inbound::InboundRequest;
-use crate::instance::Chosen;
+use crate::instance::ChosenUpstream;
 
 /// An upstream that accepts connections may have been restarted already: its registration shows
-/// the new start within this time.
+/// the new incarnation within this time.
 const RESTART_TIMEOUT: Duration = Duration::from_millis(1_000);
 
 /// A run whose connection ended before its response did.
 #[derive(Debug, Clone)]
 pub(crate) struct InterruptedRun {
-    chosen: Chosen,
+    chosen: ChosenUpstream,
     request: String,
     pub(crate) content: ContentKey,
     pub(crate) service: String,
-    /// How long the response had run; `None` if none of it had arrived.
+    /// Time since the first bytes of the response; `None` if none had arrived.
     ran_ms: Option<Millis>,
 }
 
 impl InterruptedRun {
     pub(crate) fn new(
-        chosen: &Chosen,
+        chosen: &ChosenUpstream,
         inbound: &InboundRequest,
         request: &str,
         ran_ms: Option<Millis>,
@@ -43,7 +43,7 @@
         }
     }
 
-    /// The start of the upstream that ended.
+    /// The incarnation of the upstream that ended.
     pub(crate) fn upstream(&self) -> UpstreamKey {
         self.chosen.upstream
     }
@@ -71,7 +71,7 @@
 
     /// Whether an upstream has ended without notice. An upstream that had given notice ends as
     /// announced, regardless of the requests that ran there.
-    async fn has_ended(&self, chosen: &Chosen) -> bool {
+    async fn has_ended(&self, chosen: &ChosenUpstream) -> bool {
         if chosen.lost.is_cancelled() {
             return true;
         }
@@ -94,8 +94,8 @@
         let is_suspect = run.is_suspect();
         self.metrics.crash(is_suspect);
         let progress = match run.ran_ms {
-            Some(ran_ms) => format!("after {ran_ms} ms of its answer"),
-            None => "before its answer began".to_owned(),
+            Some(ran_ms) => format!("after {ran_ms} ms of its response"),
+            None => "before its response began".to_owned(),
         };
         info!(
             "crashes: {} ended without notice under request {}, content {:016x}, {progress}",
--- a/crates/gateway/src/dissemination.rs
+++ b/crates/gateway/src/dissemination.rs
@@ -34,8 +34,8 @@
 const STORE_UNREADABLE_TTL_MS: Millis = 2_500;
 /// Minimum time between two such announcements of one host.
 const STORE_UNREADABLE_INTERVAL_MS: Millis = 400;
-/// Changes of the upstreams within this time are announced together; a leaving upstream may receive
-/// requests for up to two seconds.
+/// Changes of the upstreams within this time are announced together. The delay is short against the
+/// two seconds for which a leaving upstream may still receive requests.
 const ANNOUNCE_DELAY: Duration = Duration::from_millis(100);
 
 /// What this host has announced, and what other hosts have announced about their store access.
@@ -182,7 +182,7 @@
     ) {
         match encode(kind, update) {
             Ok(value) => self.send_to_branches(kind, &value, audience),
-            Err(error) => warn!("spread: could not encode an update: {error}"),
+            Err(error) => warn!("spread: could not encode an update of {kind:?}: {error}"),
         }
     }
 
@@ -249,7 +249,9 @@
         };
         if let Err(error) = self.fleet.peers.call(host, call).await {
             warn!(
-                "spread: a host does not answer, its branch is sent the update directly: {error}"
+                "spread: could not forward an update of {kind:?}, sending it directly to the other \
+                 {} hosts of the branch: {error}",
+                rest.len()
             );
             self.send_to_branches(kind, &value, split_branch(&rest));
         }
@@ -271,7 +273,7 @@
             ReplicatedState::Evacuations => self.handle_evacuations(&value),
         };
         if let Err(error) = applied {
-            warn!("spread: could not decode an update: {error}");
+            warn!("spread: could not decode an update of {kind:?}: {error}");
             return;
         }
         self.send_to_branches(kind, &value, split_branch(&audience));
--- a/crates/gateway/src/engine_stream.rs
+++ b/crates/gateway/src/engine_stream.rs
@@ -9,7 +9,7 @@
 use hyper::body::{Bytes, Frame, Incoming};
 use tokio::time::timeout;
 
-use crate::attempt::Answer;
+use crate::attempt::UpstreamResponse;
 use crate::events::EventBuffer;
 use crate::gateway::Gateway;
 use crate::instance::Destination;
@@ -20,28 +20,28 @@
     Bytes,
     End,
     Broken,
-    Overdue,
+    TimedOut,
 }
 
 /// The response stream of the engine that currently generates.
 pub(crate) struct EngineStream {
     pub(crate) in_flight: InFlightRequest,
-    /// When its response began.
-    pub(crate) since_ms: Millis,
-    /// When the first bytes of its stream arrived.
-    pub(crate) begun_ms: Option<Millis>,
+    /// When the head of its response arrived.
+    pub(crate) response_at_ms: Millis,
+    /// When the first bytes of its body arrived.
+    pub(crate) first_bytes_ms: Option<Millis>,
     body: Incoming,
     _connection: Connection,
 }
 
 impl EngineStream {
-    pub(crate) fn new(now_ms: Millis, answer: Answer) -> Self {
+    pub(crate) fn new(now_ms: Millis, response: UpstreamResponse) -> Self {
         Self {
-            since_ms: now_ms,
-            begun_ms: None,
-            in_flight: answer.in_flight,
-            body: answer.response.into_body(),
-            _connection: answer.connection,
+            response_at_ms: now_ms,
+            first_bytes_ms: None,
+            in_flight: response.in_flight,
+            body: response.http.into_body(),
+            _connection: response.connection,
         }
     }
 
@@ -66,12 +66,13 @@
         match frame {
             Ok(Some(Ok(frame))) => {
                 push(events, &frame);
-                self.begun_ms.get_or_insert_with(|| gateway.clock.now_ms());
+                self.first_bytes_ms
+                    .get_or_insert_with(|| gateway.clock.now_ms());
                 StreamRead::Bytes
             }
             Ok(None) => StreamRead::End,
             Ok(Some(Err(_))) => StreamRead::Broken,
-            Err(_) => StreamRead::Overdue,
+            Err(_) => StreamRead::TimedOut,
         }
     }
 }
--- a/crates/gateway/src/fleet.rs
+++ b/crates/gateway/src/fleet.rs
@@ -56,7 +56,7 @@
     presence: Mutex<PresenceLog>,
     /// State that is being fetched from a peer.
     fetching: Mutex<HashSet<ReplicatedState>>,
-    /// Whether this start of the host has ever written its entry.
+    /// Whether this incarnation of the host has ever written its entry.
     has_written_entry: AtomicBool,
     has_entry: AtomicBool,
     /// Time of the last ping or answer from another host.
@@ -66,9 +66,9 @@
 impl Fleet {
     /// Creates a fleet of this host alone.
     ///
-    /// The name is unique to this start. A restarted host is a new member, and the previous one is
-    /// declared dead by not answering. If both were the same member, only a clock could tell which
-    /// start a rumour is about, and clocks jump.
+    /// The name is unique to this incarnation. A restarted host is a new member, and the previous
+    /// one is declared dead because it does not answer. If both were the same member, only a clock
+    /// could tell which incarnation a rumour is about, and clocks jump.
     pub(crate) fn new(now_ms: Millis, host: &HostRegistration, has_seeds: bool) -> Self {
         let start: u64 = rand::random();
         let member = MemberInfo {
@@ -91,7 +91,7 @@
         }
     }
 
-    /// Whether this start of the host has ever written its entry into the store.
+    /// Whether this incarnation of the host has ever written its entry into the store.
     pub(crate) fn has_written_entry(&self) -> bool {
         self.has_written_entry.load(Ordering::Relaxed)
     }
@@ -154,7 +154,7 @@
 impl Gateway {
     fn versions(&self) -> Versions {
         Versions {
-            root: self.version(),
+            root: self.configuration_version(),
             upstreams: self.roster.lock().revision(),
             circuits: self.circuit_breakers.digest(self.clock.now_ms()),
             evacuations: self.evacuations.lock().revision(),
@@ -194,7 +194,7 @@
         match self.send_ping(target.address, ping, digest).await {
             Some((pong, theirs)) => {
                 if pong.from.member.name != target.name {
-                    // Another start uses the address: the previous one has ended.
+                    // Another incarnation uses the address: the previous one has ended.
                     self.mark_dead(&target);
                 }
                 self.handle_pong(target.address, pong, theirs).await;
@@ -241,7 +241,7 @@
         let now_ms = self.clock.now_ms();
         self.fleet.last_contact_ms.store(now_ms, Ordering::Relaxed);
         let mut members = self.fleet.members.lock();
-        members.record_answer(now_ms, from);
+        members.record_contact(now_ms, from);
         for rumour in rumours {
             members.apply(now_ms, rumour);
         }
@@ -267,11 +267,11 @@
         let versions = ping.versions;
         let gateway = self.clone();
         tokio::spawn(async move { gateway.fetch_newer(address, versions, theirs).await });
-        let (answer, digest) = self.fleet.ping_message(self.versions());
+        let (own, digest) = self.fleet.ping_message(self.versions());
         let pong = Pong {
-            from: answer.from,
-            rumours: answer.rumours,
-            versions: answer.versions,
+            from: own.from,
+            rumours: own.rumours,
+            versions: own.versions,
         };
         (pong, digest)
     }
@@ -282,7 +282,7 @@
         if self.evacuations.lock().is_behind(theirs.evacuations) {
             self.fetch_evacuations(peer).await;
         }
-        if theirs.root > self.version()
+        if theirs.root > self.configuration_version()
             && let Some(configuration) = self.fetch_configuration(peer).await
         {
             self.apply_configuration(configuration, "a peer");
@@ -383,7 +383,7 @@
         match decode(kind, &value.ok()?) {
             Ok(held) => Some(held),
             Err(error) => {
-                warn!("fleet: could not decode the state of {peer}: {error}");
+                warn!("fleet: could not decode {kind:?} from {peer}: {error}");
                 None
             }
         }
--- a/crates/gateway/src/homes.rs
+++ b/crates/gateway/src/homes.rs
@@ -23,7 +23,7 @@
 /// Between two checks of a leaving engine that has nothing to migrate at the moment.
 const MIGRATION_CHECK_PERIOD: Duration = Duration::from_millis(25);
 
-/// This host's work for cells.
+/// State of this host's work as the home of cells, and in place of homes that do not answer.
 #[derive(Default)]
 pub(crate) struct CellDuties {
     /// Engines from which this host is migrating generations.
@@ -55,8 +55,8 @@
     }
 
     /// Asks the cell's home where to start a generation. If the home does not answer, this host
-    /// decides by its own table, which covers only its own generations; that is better than no
-    /// answer.
+    /// decides by its own table, which covers only its own generations: an imperfect placement is
+    /// better than none.
     pub(crate) async fn place(&self, cell: CellKey, request: PlacementRequest) -> Placement {
         if let Some((key, member)) = self.home_of(cell)
             && key != self.host_key()
@@ -76,8 +76,8 @@
             }
         }
         let placement = self.place_locally(cell, request);
-        // A cell's home counts its starts at a cold engine; a host that places in its stead has to
-        // request each start from the engine's home.
+        // A cell's home counts the generations that start at a cold engine; a host that places in
+        // its stead has to request each start from the engine's home.
         if let Placement::On { engine, .. } = placement
             && !self.is_home(cell)
             && let Err(retry_after_ms) = self.request_start_if_cold(engine).await
@@ -124,15 +124,12 @@
             let call = |client: GatewayPeerClient, context| async move {
                 client.ended(context, cell, run, end).await
             };
-            if gateway
-                .fleet
-                .peers
-                .call(member.address, call)
-                .await
-                .is_err()
-            {
+            if let Err(error) = gateway.fleet.peers.call(member.address, call).await {
                 // The next statement conveys the end as well.
-                warn!("cells: could not report the end of a generation to the home");
+                warn!(
+                    "cells: could not report the end of {:016x} to its home: {error}",
+                    run.0
+                );
             }
         });
     }
@@ -175,8 +172,8 @@
         };
         if changed && sent.is_err() {
             warn!(
-                "cells: {} is home of a cell and does not answer",
-                member.name
+                "cells: {} does not answer as the home of cell {:016x}",
+                member.name, cell.0
             );
         }
     }
@@ -237,7 +234,7 @@
     async fn request_migration(self: &Arc<Self>, migration: Migration) -> MigrationOutcome {
         let Migration { run, to, host, .. } = migration;
         if host == self.host_key() {
-            return migration_outcome(self.migrate_here(run, to).await);
+            return migration_outcome(self.migrate_relayed_run(run, to).await);
         }
         let member = {
             let members = self.fleet.members.lock();
@@ -256,14 +253,21 @@
         {
             Ok(answer) => migration_outcome(answer),
             Err(error) => {
-                warn!("cells: could not confirm a migration: {error}");
+                warn!(
+                    "cells: could not confirm the migration of {:016x} to {:016x}: {error}",
+                    run.0, to.0
+                );
                 MigrationOutcome::Orphaned
             }
         }
     }
 
     /// Migrates a generation that this host relays to another engine.
-    pub(crate) async fn migrate_here(&self, run: RunKey, to: UpstreamKey) -> MigrationAnswer {
+    pub(crate) async fn migrate_relayed_run(
+        &self,
+        run: RunKey,
+        to: UpstreamKey,
+    ) -> MigrationAnswer {
         let Some(destination) = self.instances.destination(self.clock.now_ms(), to) else {
             return MigrationAnswer::Stayed;
         };
--- a/crates/gateway/src/record.rs
+++ b/crates/gateway/src/record.rs
@@ -37,8 +37,8 @@
     pub request: String,
     /// The generation's key, as in the log lines of its cell's home.
     pub run: String,
-    /// Hash of the content and the organisation: equal for all retries of a caller. `None` if the
-    /// request was refused before that was known.
+    /// Hash of the content and the organisation: equal for all retries by a caller. `None` if the
+    /// request was refused before it was computed.
     pub content: Option<String>,
     /// The route's name; empty if no route matched.
     pub route: String,
@@ -79,15 +79,15 @@
 
     /// Explains the outcome of the request in one sentence.
     pub fn cause(&self) -> String {
-        let (end, upstreams) = (self.end(), self.upstreams);
-        format!("{end}; upstreams were known by revision {upstreams}")
+        let (outcome, upstreams) = (self.describe_outcome(), self.upstreams);
+        format!("{outcome}; upstreams were known by revision {upstreams}")
     }
 
-    fn end(&self) -> String {
+    fn describe_outcome(&self) -> String {
         let last = self.dispatches.last();
         let at = last.map_or("no upstream", |dispatch| dispatch.instance.as_str());
         match self.outcome.as_str() {
-            "answered" if self.status < 500 => self.answered(),
+            "answered" if self.status < 500 => self.describe_answered(),
             "answered" => format!(
                 "the upstream {at} itself failed it with status {}",
                 self.status
@@ -106,38 +106,42 @@
             ),
             "full" => "every engine of its cell was predicted to be full".to_owned(),
             "evacuated" => {
-                "every upstream of its service stood in an evacuated data centre".to_owned()
+                "every upstream of its service was in an evacuated data centre".to_owned()
             }
             "cold" => {
-                "no warm upstream of its service took work, and each cold one had got what it bears"
+                "no warm upstream of its service accepted work, and no cold one could take more \
+                 requests"
                     .to_owned()
             }
             "held_back" => {
-                "each upstream of its service that took work had got the limit that it named, or \
-                 had asked this host for rest"
+                "each upstream of its service that accepted work had reached the limit that it \
+                 named, or had asked this host to back off"
                     .to_owned()
             }
             "too_large" => "its prompt fits into no engine of its service".to_owned(),
             "quarantined" => format!(
-                "upstreams ended as they began to run requests of its content {}",
+                "upstreams crashed when they began to run requests with its content {}",
                 self.content.as_deref().unwrap_or_default()
             ),
-            "stopping" => "this host was stopping and might have cut it".to_owned(),
+            "stopping" => "this host was stopping and might not have finished it".to_owned(),
             "unreachable" => format!("no connection to {at} could be made"),
-            "too_late_to_send" => "its time was over before it could be sent".to_owned(),
-            "timeout" => format!("{at} did not answer within the time it had"),
-            "broken" => format!("{at} broke off, or sent what is no answer to it; it may have run"),
+            "too_late_to_send" => "its deadline passed before it could be sent".to_owned(),
+            "timeout" => format!("{at} did not answer before the deadline"),
+            "broken" => format!("{at} broke off or sent an invalid response; it may have run"),
             "stream_broken" => format!(
-                "{at} was lost after {} events and no copy of its memory could go on",
+                "{at} was lost after {} events and no engine could resume the stream",
                 self.events
             ),
-            "stream_gap" => format!("{at} went on behind event {}, with a hole", self.events),
-            "stream_overdue" => format!("its time was over after {} events", self.events),
+            "stream_gap" => format!(
+                "{at} resumed the stream after {} events, with a gap",
+                self.events
+            ),
+            "stream_overdue" => format!("its deadline passed after {} events", self.events),
             other => format!("it ended as `{other}`, which this version doesn't know"),
         }
     }
 
-    fn answered(&self) -> String {
+    fn describe_answered(&self) -> String {
         let moves = self.dispatches.len().saturating_sub(1);
         match self.first_event_ms {
             Some(first_ms) => format!(
--- a/crates/gateway/src/recovery.rs
+++ b/crates/gateway/src/recovery.rs
@@ -6,7 +6,7 @@
 use fulmarpath_wire::MigrationAnswer;
 use spdlog::info;
 
-use crate::attempt::{Answer, DispatchOptions};
+use crate::attempt::{DispatchOptions, UpstreamResponse};
 use crate::crashes::InterruptedRun;
 use crate::engine_stream::{EngineStream, StreamRead};
 use crate::head::Continuation;
@@ -14,8 +14,8 @@
 use crate::relay::{Relay, StoppedGeneration};
 use crate::start::StartedGeneration;
 
-/// A stopped engine closes its stream just before it responds; data in transit arrives within the
-/// latency between data centres.
+/// Time to read the data in transit from a stopped engine, which closes its stream just before it
+/// responds: the latency between data centres.
 const DRAIN_TIMEOUT_MS: Millis = 12;
 /// A running copy that does not resume within this time is no better than a silent engine.
 const RESUME_TIMEOUT_MS: Millis = 300;
@@ -23,8 +23,8 @@
 const MAX_RECOVERIES: u32 = 3;
 
 impl Relay {
-    /// Resumes after an engine was lost: from the running copy of the KV cache, or from the copy
-    /// that a migration has made so far.
+    /// Resumes after an engine was lost: from the copy that a migration has made so far, or else
+    /// from the running copy of the KV cache, or else by regenerating the rest.
     pub(crate) async fn recover(&mut self) -> bool {
         self.stream.in_flight.set_verdict(Verdict::Failed);
         let interrupted = self.interrupted_run();
@@ -65,8 +65,8 @@
     /// Describes the run that the engine broke off.
     fn interrupted_run(&self) -> InterruptedRun {
         let now_ms = self.gateway.clock.now_ms();
-        let begun_ms = self.stream.begun_ms;
-        let ran_ms = begun_ms.map(|begun_ms| now_ms.saturating_sub(begun_ms));
+        let first_bytes_ms = self.stream.first_bytes_ms;
+        let ran_ms = first_bytes_ms.map(|first_bytes_ms| now_ms.saturating_sub(first_bytes_ms));
         let chosen = &self.stream.in_flight.chosen;
         InterruptedRun::new(chosen, &self.inbound, &self.tracker.id, ran_ms)
     }
@@ -110,24 +110,24 @@
             &mut self.attempts,
             self.last_event,
         );
-        let Some(StartedGeneration { answer, backup }) = started.await else {
+        let Some(StartedGeneration { response, backup }) = started.await else {
             return false;
         };
         info!(
             "moves: request {} is made anew at {} after event {:?}",
-            self.tracker.id, answer.in_flight.chosen.instance, self.last_event
+            self.tracker.id, response.in_flight.chosen.instance, self.last_event
         );
         gateway.metrics.continuation("anew");
-        self.switch_to(answer, backup);
+        self.switch_to(response, backup);
         true
     }
 
     /// Replaces the current stream by that of another engine.
-    fn switch_to(&mut self, answer: Answer, backup: Option<Destination>) {
+    fn switch_to(&mut self, response: UpstreamResponse, backup: Option<Destination>) {
         self.has_just_switched = true;
         // An incomplete event is discarded: the next engine sends it in full.
         self.events.take_remainder();
-        self.stream = EngineStream::new(self.gateway.clock.now_ms(), answer);
+        self.stream = EngineStream::new(self.gateway.clock.now_ms(), response);
         self.backup = backup;
         self.handover.restart();
         let engine = self.stream.engine().upstream;
@@ -210,8 +210,8 @@
         };
         let gateway = self.gateway.clone();
         let sent = gateway.dispatch(&self.inbound, &mut self.tracker, chosen, options);
-        let answer = match sent.await {
-            Ok(answer) if answer.response.status().is_success() => answer,
+        let response = match sent.await {
+            Ok(response) if response.http.status().is_success() => response,
             Ok(_) | Err(_) => {
                 gateway.metrics.continuation("no");
                 return false;
@@ -221,11 +221,11 @@
         info!(
             "moves: request {} goes on at {} after event {:?}, {} ms",
             self.tracker.id,
-            answer.in_flight.chosen.instance,
+            response.in_flight.chosen.instance,
             self.last_event,
             gateway.clock.now_ms().saturating_sub(now_ms)
         );
-        self.switch_to(answer, backup);
+        self.switch_to(response, backup);
         true
     }
 }
--- a/crates/gateway/src/relay.rs
+++ b/crates/gateway/src/relay.rs
@@ -14,11 +14,11 @@
 use tokio::time::sleep;
 
 use crate::engine_stream::{EngineStream, StreamRead};
-use crate::events::{EventBuffer, split};
+use crate::events::{EventBuffer, split_events};
 use crate::gateway::Gateway;
 use crate::inbound::InboundRequest;
 use crate::instance::Destination;
-use crate::migration::{Migration, Step};
+use crate::migration::{Migration, StepOutcome};
 use crate::runs::MigrationOrder;
 use crate::start::{Attempts, StartedGeneration};
 use crate::tracker::RequestTracker;
@@ -32,7 +32,7 @@
 /// Time to read the bytes that arrived while this host itself was suspended.
 const RESUME_READ_MS: Millis = 4;
 
-/// Counts a generation at its cell's home until dropped.
+/// Reports the end of a generation to its cell's home when dropped.
 pub(crate) struct RunGuard {
     pub(crate) gateway: Arc<Gateway>,
     pub(crate) cell: CellKey,
@@ -97,14 +97,14 @@
         attempts: Attempts,
         started: StartedGeneration,
     ) -> Self {
-        let StartedGeneration { answer, backup } = started;
+        let StartedGeneration { response, backup } = started;
         let gateway = run_guard.gateway.clone();
         let traits = gateway.engine_traits(&inbound.service);
         Self {
             orders: gateway.runs.begin(run_guard.run),
             event_tokens: traits.map_or(1, |traits| traits.event_tokens),
-            status: answer.response.status().as_u16(),
-            stream: EngineStream::new(gateway.clock.now_ms(), answer),
+            status: response.http.status().as_u16(),
+            stream: EngineStream::new(gateway.clock.now_ms(), response),
             events: EventBuffer::default(),
             last_event: inbound.last_event,
             handover: Handover::default(),
@@ -149,7 +149,8 @@
         }
     }
 
-    /// Waits for the next event of any kind; `None` if the deadline has passed.
+    /// Waits for data from the engine, a migration order, the end of a migration step or a timeout,
+    /// whichever is first; `None` if the deadline has passed.
     async fn step(&mut self) -> Option<NextStep> {
         let until_ms = self.inbound.deadline_ms;
         let left_ms = until_ms.saturating_sub(self.gateway.clock.now_ms());
@@ -159,7 +160,7 @@
         let read = tokio::select! {
             biased;
             read = self.stream.read(&mut self.events, until_ms, &self.gateway), if reads => read,
-            () = sleep(Duration::from_millis(left_ms)), if !reads => StreamRead::Overdue,
+            () = sleep(Duration::from_millis(left_ms)), if !reads => StreamRead::TimedOut,
             () = lost.cancelled(), if reads => StreamRead::Broken,
             () = sleep(silence.unwrap_or_default()), if silence.is_some() => {
                 self.confirm_silence().await
@@ -168,15 +169,15 @@
                 self.begin_migration(order);
                 StreamRead::Bytes
             }
-            step = Migration::step(&mut self.migration), if self.migration.is_some() => {
-                return Some(self.advance(step));
+            outcome = Migration::step(&mut self.migration), if self.migration.is_some() => {
+                return Some(self.advance(outcome));
             }
         };
         match read {
             StreamRead::Bytes => Some(NextStep::Read),
             StreamRead::End => Some(self.handover.end_stream(StreamEnd::Complete)),
             StreamRead::Broken => Some(self.handover.end_stream(StreamEnd::Broken)),
-            StreamRead::Overdue => None,
+            StreamRead::TimedOut => None,
         }
     }
 
@@ -186,7 +187,10 @@
         let target_ms = self.inbound.route.gap_target_ms?;
         // Time spent by the previous engine, for a final copy or in silence, does not count as this
         // engine's silence.
-        let since_ms = self.tracker.last_event_ms()?.max(self.stream.since_ms);
+        let since_ms = self
+            .tracker
+            .last_event_ms()?
+            .max(self.stream.response_at_ms);
         let until_ms = since_ms + (target_ms as f32 * SILENCE_FRACTION) as Millis;
         let left_ms = until_ms.saturating_sub(self.gateway.clock.now_ms());
         can_fail_over.then(|| Duration::from_millis(left_ms))
@@ -198,7 +202,7 @@
         let until_ms = self.gateway.clock.now_ms() + RESUME_READ_MS;
         let read = self.stream.read(&mut self.events, until_ms, &self.gateway);
         match read.await {
-            StreamRead::Overdue => {
+            StreamRead::TimedOut => {
                 self.fail_over_from_silent_engine().await;
                 StreamRead::Bytes
             }
@@ -237,7 +241,7 @@
         };
         let mut fresh = BytesMut::new();
         let mut count = 0;
-        for event in split(&piece) {
+        for event in split_events(&piece) {
             let number = self.gateway.dialect.event_number(&event);
             if let (Some(number), Some(last)) = (number, self.last_event) {
                 if number <= last {
@@ -285,26 +289,26 @@
     }
 
     /// Handles the outcome of a migration step.
-    fn advance(&mut self, step: Step) -> NextStep {
-        let answer = match step {
-            Step::Copied => return self.handover.advance_migration(MigrationStep::Copied),
-            Step::Stopped { to, copy_id } => {
+    fn advance(&mut self, outcome: StepOutcome) -> NextStep {
+        let answer = match outcome {
+            StepOutcome::Copied => return self.handover.advance_migration(MigrationStep::Copied),
+            StepOutcome::Stopped { to, copy_id } => {
                 self.stopped = Some(StoppedGeneration {
                     to: Some(to),
                     copy_id,
                 });
                 return self.handover.advance_migration(MigrationStep::Stopped);
             }
-            Step::StoppedAtSource { copy_id } => {
+            StepOutcome::StoppedAtSource { copy_id } => {
                 self.stopped = Some(StoppedGeneration { to: None, copy_id });
                 return self.handover.advance_migration(MigrationStep::Stopped);
             }
-            Step::Stayed => MigrationAnswer::Stayed,
-            Step::Refused => MigrationAnswer::Refused,
+            StepOutcome::Stayed => MigrationAnswer::Stayed,
+            StepOutcome::Refused => MigrationAnswer::Refused,
             // Before the first event the generation is still queued in its engine, and there is no
             // copy.
-            Step::NotFound if self.tracker.events == 0 => MigrationAnswer::Stayed,
-            Step::NotFound | Step::Orphaned => MigrationAnswer::LeftBehind,
+            StepOutcome::NotFound if self.tracker.events == 0 => MigrationAnswer::Stayed,
+            StepOutcome::NotFound | StepOutcome::Orphaned => MigrationAnswer::LeftBehind,
         };
         let next = self.handover.advance_migration(MigrationStep::NotStopped);
         let has_copy = self.migration.as_ref().is_some_and(Migration::has_copy);
@@ -329,7 +333,8 @@
 }
 
 impl Drop for Relay {
-    /// The generation has ended or its caller has left while a copy is being made.
+    /// Discards the copy of a migration that is still in progress: the generation has ended or its
+    /// caller has left.
     fn drop(&mut self) {
         if let Some(migration) = self.migration.take() {
             migration.discard(MigrationAnswer::Over);
--- a/crates/gateway/src/start.rs
+++ b/crates/gateway/src/start.rs
@@ -7,12 +7,12 @@
 use fulmarpath_policy::{Millis, Placement, PlacementRequest, RunStatement, UpstreamKey, Verdict};
 use tokio::time::{sleep, timeout};
 
-use crate::attempt::{Answer, DispatchOptions, Failure};
+use crate::attempt::{DispatchOptions, Failure, UpstreamResponse};
 use crate::configuration::EngineTraits;
 use crate::drain::can_finish;
 use crate::gateway::Gateway;
 use crate::inbound::InboundRequest;
-use crate::instance::{Chosen, Destination};
+use crate::instance::{ChosenUpstream, Destination};
 use crate::key::data_centre_key;
 use crate::problem::Problem;
 use crate::relay::RunGuard;
@@ -31,13 +31,13 @@
 
 /// An engine selected for a generation, with the request counted there.
 struct SelectedEngine {
-    chosen: Chosen,
+    chosen: ChosenUpstream,
     backup: Option<Destination>,
 }
 
-/// A generation that an engine has begun to answer.
+/// A generation whose response has begun.
 pub(crate) struct StartedGeneration {
-    pub(crate) answer: Answer,
+    pub(crate) response: UpstreamResponse,
     /// The engine that keeps a running copy of the generation's KV cache.
     pub(crate) backup: Option<Destination>,
 }
@@ -45,7 +45,7 @@
 /// The engines that one request has been sent to.
 #[derive(Default)]
 pub(crate) struct Attempts {
-    tried: Vec<Chosen>,
+    tried: Vec<ChosenUpstream>,
     /// Number of engines on which it may have run.
     runs: u32,
     /// When the last engine was lost, if its stream had begun.
@@ -109,7 +109,7 @@
         }
         let started = self.start_on_any(inbound, run_guard, tracker, attempts, last_event);
         let started = started.await.ok()?;
-        let is_stream = started.answer.response.status().is_success();
+        let is_stream = started.response.http.status().is_success();
         is_stream.then_some(started)
     }
 
@@ -141,12 +141,12 @@
             // The circuit may have opened while the request waited for capacity.
             self.refuse_if_open(inbound)?;
             attempts.tried.push(selected.chosen.clone());
-            let tried = self.start_on(inbound, run_guard, tracker, selected, last_event);
-            let failure = match tried.await {
+            let attempt = self.start_on(inbound, run_guard, tracker, selected, last_event);
+            let failure = match attempt.await {
                 Ok(started) => {
                     attempts.runs += 1;
                     is_admitted = false;
-                    let has_failed = started.answer.response.status().is_server_error();
+                    let has_failed = started.response.http.status().is_server_error();
                     if !has_failed || !inbound.may_run_again(attempts.runs) {
                         return Ok(started);
                     }
@@ -161,7 +161,7 @@
             let is_last = match failure {
                 Failure::Unsent | Failure::Shed => false,
                 Failure::Unknown => !inbound.may_run_again(attempts.runs),
-                Failure::Overdue => true,
+                Failure::TimedOut => true,
             };
             if is_last {
                 break;
@@ -184,7 +184,7 @@
         }
         tracker.mark_placed(self.clock.now_ms());
         let statement = run_statement(inbound, run_guard, &selected);
-        self.runs.place(run_guard.cell, statement);
+        self.runs.record_dispatch(run_guard.cell, statement);
         let options = DispatchOptions {
             until_ms: inbound.deadline_ms,
             backup: selected.backup.as_ref().map(|backup| backup.address),
@@ -193,23 +193,22 @@
         };
         let engine = selected.chosen.upstream;
         let dispatch = self.dispatch(inbound, tracker, selected.chosen, options);
-        let answer = self
+        let result = self
             .report_silence(inbound, run_guard, engine, dispatch)
             .await;
         // A successful response without a signature does not come from the engine itself.
-        let answer = answer.and_then(|answer| {
-            let is_success = answer.response.status().is_success();
-            match is_success && !answer.head.is_signed {
+        let result = result.and_then(|response| {
+            let is_success = response.http.status().is_success();
+            match is_success && !response.head.is_signed {
                 true => Err(Failure::Unknown),
-                false => Ok(answer),
+                false => Ok(response),
             }
         });
-        if let Some(verdict) = engine_verdict(&answer) {
+        if let Some(verdict) = engine_verdict(&result) {
             self.report_engine_failure(run_guard.cell, engine, verdict);
         }
-        let answer = answer?;
         Ok(StartedGeneration {
-            answer,
+            response: result?,
             backup: selected.backup,
         })
     }
@@ -221,13 +220,13 @@
         inbound: &InboundRequest,
         run_guard: &RunGuard,
         engine: UpstreamKey,
-        dispatch: impl Future<Output = Result<Answer, Failure>>,
-    ) -> Result<Answer, Failure> {
+        dispatch: impl Future<Output = Result<UpstreamResponse, Failure>>,
+    ) -> Result<UpstreamResponse, Failure> {
         let mut dispatch = pin!(dispatch);
         let silence_timeout =
             Duration::from_millis(inbound.route.target_ms * SILENCE_TARGET_MULTIPLE);
-        if let Ok(answer) = timeout(silence_timeout, dispatch.as_mut()).await {
-            return answer;
+        if let Ok(result) = timeout(silence_timeout, dispatch.as_mut()).await {
+            return result;
         }
         self.report_engine_failure(run_guard.cell, engine, Verdict::Failed);
         dispatch.await
@@ -277,7 +276,7 @@
                     seen,
                 } => {
                     tracker.set_engine_snapshot(seen);
-                    if self.is_throttled(engine).await {
+                    if self.is_start_refused(engine).await {
                         // Other hosts may take every start of this engine, and this request has no
                         // time left to retry.
                         refused_by.extend(is_final_attempt.then_some(engine));
@@ -351,16 +350,16 @@
 
 /// The verdict to report about an engine after a response or a failed dispatch; `None` if there is
 /// nothing to report.
-fn engine_verdict(answer: &Result<Answer, Failure>) -> Option<Verdict> {
-    match answer {
-        Ok(answer) if answer.response.status().is_server_error() => Some(Verdict::Failed),
-        Ok(answer) if answer.head.is_closing || answer.head.signals.is_leaving => {
+fn engine_verdict(result: &Result<UpstreamResponse, Failure>) -> Option<Verdict> {
+    match result {
+        Ok(response) if response.http.status().is_server_error() => Some(Verdict::Failed),
+        Ok(response) if response.head.is_closing || response.head.signals.is_leaving => {
             Some(Verdict::Unheard)
         }
         Ok(_) => None,
         Err(Failure::Unsent) => Some(Verdict::Unheard),
         Err(Failure::Shed) => Some(Verdict::Shed),
-        Err(Failure::Unknown | Failure::Overdue) => Some(Verdict::Failed),
+        Err(Failure::Unknown | Failure::TimedOut) => Some(Verdict::Failed),
     }
 }
 
--- a/crates/gateway/src/start_limits.rs
+++ b/crates/gateway/src/start_limits.rs
@@ -1,4 +1,5 @@
-//! Limits how many requests start per second on cold and on rate-limited upstreams.
+//! Limits how many requests start per second on cold and on rate-limited upstreams. A start here is
+//! that of one request, not of an upstream's process.
 //!
 //! The limit of a cold upstream, or the limit that an overloaded upstream advertises, applies to
 //! the sum over all hosts, while each host sees only its own requests. With many hosts a static
@@ -18,7 +19,7 @@
 use tokio::time::{sleep, timeout};
 
 use crate::gateway::Gateway;
-use crate::instance::{Chosen, InstanceKey};
+use crate::instance::{ChosenUpstream, InstanceKey};
 use crate::instances::Selection;
 use crate::problem::Problem;
 
@@ -77,7 +78,7 @@
 /// Limits on the starts that one host grants at an upstream.
 #[derive(Debug, Clone, Copy, Default)]
 struct StartLimit {
-    /// Starts within any one second while the upstream is cold.
+    /// Requests that may start within any one second while the upstream is cold.
     cold: Option<u32>,
     /// The rate that follows from the limit that the upstream advertises.
     rate: Option<StartRate>,
@@ -122,7 +123,7 @@
         service: &str,
         excluded: &[InstanceKey],
         until_ms: Millis,
-    ) -> Result<Option<Chosen>, Problem> {
+    ) -> Result<Option<ChosenUpstream>, Problem> {
         loop {
             let now_ms = self.clock.now_ms();
             let found = self
@@ -131,7 +132,7 @@
             let (cold, full) = match found {
                 Selection::Warm(chosen) => return Ok(Some(chosen)),
                 Selection::NoneAvailable => return self.explain_no_upstream(now_ms, service),
-                Selection::Limited(upstream) if self.is_throttled(upstream).await => continue,
+                Selection::Limited(upstream) if self.is_start_refused(upstream).await => continue,
                 Selection::Limited(upstream) => {
                     match self.instances.reserve(self.clock.now_ms(), upstream) {
                         Some(chosen) => return Ok(Some(chosen)),
@@ -154,7 +155,7 @@
                 Err(wait_ms) => wait_ms,
             };
             if let Some(full) = full
-                && !self.is_throttled(full).await
+                && !self.is_start_refused(full).await
                 && let Some(chosen) = self.instances.reserve(self.clock.now_ms(), full)
             {
                 return Ok(Some(chosen));
@@ -173,7 +174,7 @@
     ///
     /// # Errors
     /// How long to wait for the next start at any of them, in ms.
-    async fn start_on_cold(&self, cold: &[UpstreamKey]) -> Result<Chosen, Millis> {
+    async fn start_on_cold(&self, cold: &[UpstreamKey]) -> Result<ChosenUpstream, Millis> {
         let mut min_wait_ms = NO_HOME_RETRY_MS;
         // Each host begins at a random upstream, which spreads the requests over the homes.
         let offset = rand::random_range(0..cold.len());
@@ -192,7 +193,8 @@
         Err(min_wait_ms)
     }
 
-    /// Adds a retry time to `AllRefused` if the upstreams that accept work throttle this host.
+    /// Replaces `AllRefused` by `Throttled`, which has a retry time, if the upstreams that accept
+    /// work throttle this host.
     pub(crate) fn refine_refusal(&self, problem: Problem, service: &str) -> Problem {
         let now_ms = self.clock.now_ms();
         match (problem, self.instances.available_at_ms(now_ms, service)) {
@@ -209,7 +211,7 @@
         &self,
         now_ms: Millis,
         service: &str,
-    ) -> Result<Option<Chosen>, Problem> {
+    ) -> Result<Option<ChosenUpstream>, Problem> {
         if !self.instances.is_evacuated(service) {
             return Ok(None);
         }
@@ -363,10 +365,10 @@
         cold.is_some_and(|cold| self.clock.now_ms() < cold.until_ms)
     }
 
-    /// Whether the advertised limit of an upstream leaves no start for this host now. In that case
-    /// the upstream is throttled locally until the time that the home gave, and other requests do
-    /// not ask the home until then.
-    pub(crate) async fn is_throttled(&self, upstream: UpstreamKey) -> bool {
+    /// Requests a start if the upstream advertises a limit; returns whether it was refused. In that
+    /// case the upstream is throttled locally until the time that the home gave, and other requests
+    /// do not ask the home until then.
+    pub(crate) async fn is_start_refused(&self, upstream: UpstreamKey) -> bool {
         let request = StartRequest {
             is_cold: false,
             limit: self
@@ -386,7 +388,7 @@
         &self,
         upstream: UpstreamKey,
         until_ms: Millis,
-    ) -> Option<Chosen> {
+    ) -> Option<ChosenUpstream> {
         let until_ms = until_ms.min(self.clock.now_ms() + CONTINUATION_WAIT_MS);
         while let Err(wait_ms) = self.request_start_if_limited(upstream).await {
             if self.clock.now_ms() + wait_ms > until_ms {
--- a/crates/gateway/src/tracker.rs
+++ b/crates/gateway/src/tracker.rs
@@ -8,13 +8,13 @@
 use crate::configuration::{Route, RouteKind};
 use crate::gateway::Gateway;
 use crate::head::GenerationHead;
-use crate::instance::Chosen;
+use crate::instance::ChosenUpstream;
 use crate::key::run_key;
 use crate::metrics::EndLabels;
 use crate::problem::Problem;
 use crate::record::{Dispatch, REQUEST_PREFIX, RequestRecord, Size};
 
-/// Outcome of a dispatch whose response head arrived.
+/// Outcome of a dispatch whose response has a success status.
 pub(crate) const ANSWERED: &str = "answered";
 
 impl RouteKind {
@@ -52,7 +52,7 @@
 impl RequestTracker {
     pub(crate) fn new(gateway: Arc<Gateway>, arrived_ms: Millis) -> Self {
         Self {
-            version: gateway.version(),
+            version: gateway.configuration_version(),
             gateway,
             id: String::new(),
             content: None,
@@ -157,7 +157,8 @@
         match serde_json::to_string(&self.record(outcome, status)) {
             Ok(line) => info!("{REQUEST_PREFIX}{line}"),
             Err(error) => {
-                spdlog::warn!("log: could not serialize the record of a request: {error}")
+                let id = &self.id;
+                spdlog::warn!("log: could not serialize the record of request {id}: {error}")
             }
         }
     }
@@ -195,12 +196,12 @@
 /// dropped.
 pub(crate) struct InFlightRequest {
     gateway: Arc<Gateway>,
-    pub(crate) chosen: Chosen,
+    pub(crate) chosen: ChosenUpstream,
     verdict: Verdict,
 }
 
 impl InFlightRequest {
-    pub(crate) fn new(gateway: Arc<Gateway>, chosen: Chosen) -> Self {
+    pub(crate) fn new(gateway: Arc<Gateway>, chosen: ChosenUpstream) -> Self {
         Self {
             gateway,
             chosen,
--- a/src/cmd/plan.rs
+++ b/src/cmd/plan.rs
@@ -23,7 +23,7 @@
 
 impl Run for Plan {
     fn run(&self) -> Result<(), CommandError> {
-        let desired = settings::check(&self.directory)?;
+        let desired = settings::read_declarations(&self.directory)?;
         block_on(async {
             let report: Report = self.target.get("/operator/status").await?;
             let active: Declarations = self.target.get("/operator/declarations").await?;
@@ -34,7 +34,7 @@
             let (count, revision) = (differences.len(), report.revision);
             println!("{count} differences from revision {revision}");
             if count > 0 {
-                println!("apply with --onto {revision} to be sure of applying just these");
+                println!("apply with --onto {revision} to apply exactly these differences");
             }
             Ok(())
         })
