--- a/crates/cluster/src/poison.rs
+++ b/crates/cluster/src/poison.rs
@@ -116,7 +116,7 @@
         let crashes = circuit.crashes.iter();
         let crashes: Vec<String> = crashes.map(|crash| format!("{:016x}", crash.0)).collect();
         info!(
-            "circuits: content {:016x} is {}, by this home in version {}, after {} crashes: {}",
+            "circuits: content {:016x} is {}, by this home in version {}; it had begun on {} that ended: {}",
             circuit.content.0,
             circuit.state.name(),
             circuit.version,
--- a/crates/cluster/src/swim.rs
+++ b/crates/cluster/src/swim.rs
@@ -56,7 +56,7 @@
             Some(pong) => self.handle_pong(target.address, pong).await,
             None => {
                 warn!(
-                    "members: {} answered no ping, neither directly nor through {} relays",
+                    "members: {} does not answer, neither directly nor through {} relays",
                     target.name, relay_count
                 );
                 self.members.lock().suspect(self.clock.now_ms(), key);
--- a/crates/gateway/src/backpressure.rs
+++ b/crates/gateway/src/backpressure.rs
@@ -25,7 +25,7 @@
             (_, None) => info!("backpressure: {instance} no longer advertises a limit"),
         }
         if let Some(backoff_ms) = signals.backoff_ms {
-            info!("backpressure: {instance} asks this host to back off for {backoff_ms} ms");
+            info!("backpressure: {instance} wants nothing from this host for {backoff_ms} ms");
         }
         if after.is_leaving() && !before.is_leaving() {
             info!("backpressure: {instance} says that it leaves");
