--- a/crates/settings/tests/check.rs
+++ b/crates/settings/tests/check.rs
@@ -161,3 +161,25 @@
         ]
     );
 }
+
+/// Guards against a misspelt check in `engine_checks` that is ignored: orders then rely on a fencing
+/// number that the engines were meant to check.
+#[test]
+fn unknown_engine_checks_are_reported() {
+    let directory = Path::new(env!("CARGO_TARGET_TMPDIR")).join("unknown-engine-checks");
+    std::fs::create_dir_all(&directory).expect("create the directory");
+    for name in ["models", "services", "organisations", "presets"] {
+        let file = format!("{name}.yaml");
+        let example = path("../../examples/association").join(&file);
+        let mut text = std::fs::read_to_string(example).expect("read the example");
+        if name == "models" {
+            text += "    engine_checks: [fence]\n";
+        }
+        std::fs::write(directory.join(&file), text).expect("write the file");
+    }
+    let Err(SettingsDiagnostics(found)) = read_declarations(&directory) else {
+        panic!("an unknown check was accepted");
+    };
+    assert_eq!(found.len(), 1);
+    assert!(found[0].file.ends_with("models.yaml"), "{}", found[0]);
+}
--- a/src/dev.rs
+++ b/src/dev.rs
@@ -43,6 +43,8 @@
     pub engine: EngineSpec,
     /// Time in milliseconds without data after which a stream is resumed.
     pub silence_bound_ms: u64,
+    /// Limit of concurrent open requests on a host.
+    pub stream_limit: usize,
     /// A safeguard that is disabled on all hosts.
     pub disabled_safeguard: Option<Safeguard>,
 }
@@ -54,6 +56,7 @@
             engines: 4,
             engine: EngineSpec::default(),
             silence_bound_ms: 1_000,
+            stream_limit: 4_096,
             disabled_safeguard: None,
         }
     }
@@ -207,7 +210,7 @@
             plain_bound_ms: 1_500,
             header_limit_bytes: 16_384,
             body_limit_bytes: 1_048_576,
-            stream_limit: 4_096,
+            stream_limit: self.spec.stream_limit,
             operator_key_sha256: key_hash(OPERATOR_KEY),
             otlp_address: None,
             log_form: LogFormat::Text,
--- a/tests/completions.rs
+++ b/tests/completions.rs
@@ -93,3 +93,19 @@
     let traces: Vec<String> = records.flat_map(|record| record.traceparents).collect();
     assert_eq!(traces, [trace]);
 }
+
+/// Guards against a host that accepts more streams than `stream_limit`: a request counts as open only
+/// until its response begins, so streams that are still being sent are not counted.
+#[tokio::test(flavor = "multi_thread")]
+async fn open_streams_count_towards_the_limit() {
+    let spec = DeploymentSpec {
+        stream_limit: 1,
+        ..DeploymentSpec::default()
+    };
+    let deployment = Deployment::start(spec).await.expect("it starts");
+    let address = deployment.caller_address(0);
+    let first = open(address, &request("a long report #400")).await;
+    let second = complete(address, &request("classify #1")).await;
+    assert_eq!(second.problem.as_deref(), Some("not-run/stream-limit"));
+    assert!(read(first, usize::MAX).await.is_complete);
+}
