--- a/crates/gateway/src/record.rs
+++ b/crates/gateway/src/record.rs
@@ -129,7 +129,7 @@
             "timeout" => format!("{at} did not answer before the deadline"),
             "broken" => format!("{at} broke off or sent an invalid response; it may have run"),
             "stream_broken" => format!(
-                "{at} was lost after {} events and no engine could resume the stream",
+                "{at} was lost after {} events and no copy of its KV cache could be resumed",
                 self.events
             ),
             "stream_gap" => format!(
