--- a/crates/bench/tests/soak.rs
+++ b/crates/bench/tests/soak.rs
@@ -165,7 +165,7 @@
     // Callers' requests are named by the seed, 7411 in hexadecimal.
     let text = format!(
         "#!/bin/sh\n\
-        (while kill -0 $$ && ! grep -qs 1cf3- \"${{2%.yaml}}.log\"; do sleep 0.1; done\n\
+        (while ! grep -qs 1cf3- \"${{2%.yaml}}.log\"; do kill -0 $$ || exit; sleep 0.1; done\n\
         kill -KILL $$) &\n\
         exec {} \"$@\"\n",
         binary().display()
