--- a/crates/store/src/error.rs
+++ b/crates/store/src/error.rs
@@ -1,18 +1,18 @@
-//! What can go wrong at the platform.
+//! Errors of calls to the platform.
 
 use fulmarpath_http::HttpError;
 
 /// A failed call to the platform.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum PlatformError {
-    /// The call certainly had no effect: it was never sent, or was refused.
+    /// The call certainly had no effect: it was not sent, or was refused.
     #[error("could not reach the platform")]
     NotExecuted(#[source] HttpError),
-    /// The call may have taken effect although no answer came.
-    #[error("could not learn whether the platform carried out the call")]
+    /// The call may have taken effect, but no usable response arrived.
+    #[error("could not determine whether the platform executed the call")]
     OutcomeUnknown(#[source] HttpError),
-    /// A conditional write found another version.
-    #[error("could not write {key}: its version is another")]
+    /// A conditional write found a different version.
+    #[error("could not write {key}: its version differs from the expected one")]
     Conflict {
         /// The object's key.
         key: String,
--- a/crates/store/src/host_list.rs
+++ b/crates/store/src/host_list.rs
@@ -1,4 +1,4 @@
-//! The host list: live and leaving hosts, engines and plain services. It lags.
+//! The platform's list of hosts, engines and plain services. It may be stale.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -8,11 +8,11 @@
 
 use crate::error::PlatformError;
 
-/// What a listed process does.
+/// Role of a listed process.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Role {
-    /// One of our own hosts; its address is the one for peers.
+    /// A host of this system; the listed address is the one for peers.
     Entry,
     /// A model engine.
     Engine,
@@ -20,60 +20,60 @@
     Plain,
 }
 
-/// What the list says of a process.
+/// State of a listed process.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ListedState {
-    /// It takes work.
+    /// It accepts requests.
     Live,
-    /// It finishes what runs and takes nothing new.
+    /// It finishes running requests and accepts no new ones.
     Leaving,
 }
 
-/// One process of the list.
+/// An entry of the host list.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HostEntry {
-    /// Unique name.
+    /// The unique name.
     pub name: String,
-    /// What it does.
+    /// Its role.
     pub role: Role,
-    /// Where it stands.
+    /// The data centre where it runs.
     pub data_centre: String,
-    /// The model of an engine, or the service's name of a plain service; empty for hosts.
+    /// Model of an engine, or service name of a plain service; empty for hosts.
     #[serde(default)]
     pub serves: String,
-    /// Where it listens.
+    /// Listening address.
     pub address: SocketAddr,
-    /// Live or leaving.
+    /// Whether it accepts requests.
     pub state: ListedState,
 }
 
-/// The whole list at one version.
+/// The complete list at one version.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HostListing {
-    /// Grows with each change of the list.
+    /// Increases with each change of the list.
     pub version: u64,
-    /// Every listed process.
+    /// All listed processes.
     pub hosts: Vec<HostEntry>,
 }
 
 /// The platform's host list.
 #[async_trait]
 pub trait HostList: Send + Sync {
-    /// Reads the whole list.
+    /// Reads the complete list.
     async fn read(&self) -> Result<HostListing, PlatformError>;
 }
 
-const CALL_BOUND: Duration = Duration::from_millis(2_000);
+const CALL_TIMEOUT: Duration = Duration::from_millis(2_000);
 
-/// The host list over HTTP, as docs/PROTOCOL-host-list.md states it.
+/// HTTP client of the host list; the protocol is in docs/PROTOCOL-host-list.md.
 #[derive(Debug, Clone)]
 pub struct HttpHostList {
     address: SocketAddr,
 }
 
 impl HttpHostList {
-    /// A client of the host list at `address`.
+    /// Creates a client of the host list at `address`.
     pub fn new(address: SocketAddr) -> Self {
         Self { address }
     }
@@ -82,7 +82,7 @@
 #[async_trait]
 impl HostList for HttpHostList {
     async fn read(&self) -> Result<HostListing, PlatformError> {
-        let call = fulmarpath_http::get(self.address, "/hosts", CALL_BOUND).await?;
-        Ok(call.json(CALL_BOUND).await?)
+        let call = fulmarpath_http::get(self.address, "/hosts", CALL_TIMEOUT).await?;
+        Ok(call.json(CALL_TIMEOUT).await?)
     }
 }
--- a/crates/store/src/lib.rs
+++ b/crates/store/src/lib.rs
@@ -1,4 +1,4 @@
-//! The platform's object API and host list: a trait each, and its hyper client.
+//! The platform's object API and host list: a trait and an HTTP client for each.
 
 mod error;
 mod host_list;
--- a/crates/store/src/object_api.rs
+++ b/crates/store/src/object_api.rs
@@ -1,4 +1,4 @@
-//! The object API: versioned values with conditional writes and watches.
+//! The platform's object API: versioned values with conditional writes and watches.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -12,13 +12,13 @@
 
 use crate::error::PlatformError;
 
-/// An object's version; it grows with each write of that object.
+/// Version of an object; increases with each write of that object.
 pub type Version = u64;
 
-/// A value as it was read.
+/// An object's value and version, as read.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Object {
-    /// The version of this value.
+    /// Version of the value.
     pub version: Version,
     /// The value, at most 1 MB.
     pub value: Bytes,
@@ -29,36 +29,36 @@
 pub trait ObjectApi: Send + Sync {
     /// Reads an object.
     async fn read(&self, key: &str) -> Result<Option<Object>, PlatformError>;
-    /// Creates an object where none stands.
+    /// Creates an object; fails with [`PlatformError::Conflict`] if it exists.
     async fn create(&self, key: &str, value: Bytes) -> Result<Version, PlatformError>;
-    /// Replaces an object that still has version `expected`.
+    /// Replaces an object; fails with [`PlatformError::Conflict`] if its version isn't `expected`.
     async fn replace(
         &self,
         key: &str,
         value: Bytes,
         expected: Version,
     ) -> Result<Version, PlatformError>;
-    /// Removes an object; harmless where none stands.
+    /// Deletes an object; no error if it doesn't exist.
     async fn delete(&self, key: &str) -> Result<(), PlatformError>;
-    /// Waits at most `bound` until the object has a version above `seen`.
+    /// Waits at most `time_limit` for a version of the object above `seen`.
     async fn watch(
         &self,
         key: &str,
         seen: Version,
-        bound: Duration,
+        time_limit: Duration,
     ) -> Result<Option<Object>, PlatformError>;
 }
 
-const CALL_BOUND: Duration = Duration::from_millis(2_000);
+const CALL_TIMEOUT: Duration = Duration::from_millis(2_000);
 
-/// The object API over HTTP, as docs/PROTOCOL-object-api.md states it.
+/// HTTP client of the object API; the protocol is in docs/PROTOCOL-object-api.md.
 #[derive(Debug, Clone)]
 pub struct HttpObjectApi {
     address: SocketAddr,
 }
 
 impl HttpObjectApi {
-    /// A client of the object API at `address`.
+    /// Creates a client of the object API at `address`.
     pub fn new(address: SocketAddr) -> Self {
         Self { address }
     }
@@ -69,17 +69,17 @@
         path: String,
         condition: Option<(hyper::header::HeaderName, String)>,
         value: Bytes,
-        bound: Duration,
+        time_limit: Duration,
     ) -> Result<Call, PlatformError> {
         let mut request = Request::builder().method(method).uri(path);
-        if let Some((name, wanted)) = condition {
-            request = request.header(name, wanted);
+        if let Some((name, value)) = condition {
+            request = request.header(name, value);
         }
         let address = self.address;
         let request = request
             .body(Full::new(value))
             .map_err(|_| HttpError::Unreachable { address })?;
-        Ok(send(address, request, bound).await?)
+        Ok(send(address, request, time_limit).await?)
     }
 
     async fn write(
@@ -90,15 +90,15 @@
     ) -> Result<Version, PlatformError> {
         let path = format!("/objects/{key}");
         let call = self
-            .call(Method::PUT, path, Some(condition), value, CALL_BOUND)
+            .call(Method::PUT, path, Some(condition), value, CALL_TIMEOUT)
             .await?;
         match call.status() {
             StatusCode::OK => Ok(version(&call)?),
             StatusCode::PRECONDITION_FAILED => Err(PlatformError::Conflict { key: key.into() }),
             StatusCode::SERVICE_UNAVAILABLE | StatusCode::TOO_MANY_REQUESTS => {
-                Err(PlatformError::NotExecuted(unforeseen(&call)))
+                Err(PlatformError::NotExecuted(unexpected_status(&call)))
             }
-            _ => Err(PlatformError::OutcomeUnknown(unforeseen(&call))),
+            _ => Err(PlatformError::OutcomeUnknown(unexpected_status(&call))),
         }
     }
 }
@@ -108,7 +108,7 @@
     async fn read(&self, key: &str) -> Result<Option<Object>, PlatformError> {
         let path = format!("/objects/{key}");
         let call = self
-            .call(Method::GET, path, None, Bytes::new(), CALL_BOUND)
+            .call(Method::GET, path, None, Bytes::new(), CALL_TIMEOUT)
             .await?;
         object(call).await
     }
@@ -130,11 +130,11 @@
     async fn delete(&self, key: &str) -> Result<(), PlatformError> {
         let path = format!("/objects/{key}");
         let call = self
-            .call(Method::DELETE, path, None, Bytes::new(), CALL_BOUND)
+            .call(Method::DELETE, path, None, Bytes::new(), CALL_TIMEOUT)
             .await?;
         match call.status() {
             StatusCode::OK | StatusCode::NOT_FOUND => Ok(()),
-            _ => Err(PlatformError::OutcomeUnknown(unforeseen(&call))),
+            _ => Err(PlatformError::OutcomeUnknown(unexpected_status(&call))),
         }
     }
 
@@ -142,12 +142,15 @@
         &self,
         key: &str,
         seen: Version,
-        bound: Duration,
+        time_limit: Duration,
     ) -> Result<Option<Object>, PlatformError> {
-        let path = format!("/watch/{key}?after={seen}&wait_ms={}", bound.as_millis());
-        let bound = bound + CALL_BOUND;
+        let path = format!(
+            "/watch/{key}?after={seen}&wait_ms={}",
+            time_limit.as_millis()
+        );
+        let time_limit = time_limit + CALL_TIMEOUT;
         let call = self
-            .call(Method::GET, path, None, Bytes::new(), bound)
+            .call(Method::GET, path, None, Bytes::new(), time_limit)
             .await?;
         object(call).await
     }
@@ -157,11 +160,11 @@
     match call.status() {
         StatusCode::OK => {
             let version = version(&call)?;
-            let value = call.bytes(CALL_BOUND).await?;
+            let value = call.bytes(CALL_TIMEOUT).await?;
             Ok(Some(Object { version, value }))
         }
         StatusCode::NOT_FOUND | StatusCode::NOT_MODIFIED => Ok(None),
-        _ => Err(PlatformError::NotExecuted(unforeseen(&call))),
+        _ => Err(PlatformError::NotExecuted(unexpected_status(&call))),
     }
 }
 
@@ -175,7 +178,7 @@
         })
 }
 
-fn unforeseen(call: &Call) -> HttpError {
+fn unexpected_status(call: &Call) -> HttpError {
     HttpError::Status {
         address: call.address,
         status: call.status().as_u16(),
--- a/crates/upstream/src/engine.rs
+++ b/crates/upstream/src/engine.rs
@@ -1,4 +1,4 @@
-//! A model engine and its client.
+//! Model engines and their HTTP client.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -9,25 +9,25 @@
 
 use crate::message::{CacheEvents, GenerateRequest, LoadReport, Order, ResumeRequest, StreamItem};
 
-/// A failed exchange with an engine.
+/// A engine_error exchange with an engine.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum EngineError {
-    /// The engine never saw the request, or refused it: nothing ran.
+    /// The engine never received the request, or refused it: nothing ran.
     #[error("could not start on the engine")]
     NotRun(#[source] HttpError),
-    /// The engine doesn't know the generation any more.
+    /// The engine doesn't have the generation any more.
     #[error("could not find the generation on the engine")]
     UnknownGeneration,
-    /// The exchange broke after the request was sent.
-    #[error("could not hear from the engine")]
+    /// The exchange failed after the request was sent: it may have run.
+    #[error("could not get a usable response from the engine")]
     OutcomeUnknown(#[source] HttpError),
 }
 
-/// A running stream of tokens.
+/// A stream of generated tokens.
 #[async_trait]
 pub trait TokenStream: Send {
-    /// The next item, due within `silence`; `None` where the engine ended the stream.
-    async fn next(&mut self, silence: Duration) -> Result<Option<StreamItem>, EngineError>;
+    /// Waits at most `silence_timeout` for the next item; `None` if the engine ended the stream.
+    async fn next(&mut self, silence_timeout: Duration) -> Result<Option<StreamItem>, EngineError>;
 }
 
 /// A model engine.
@@ -38,28 +38,28 @@
         &self,
         request: &GenerateRequest,
     ) -> Result<Box<dyn TokenStream>, EngineError>;
-    /// Reads on from a generation that runs there.
+    /// Resumes the stream of a generation that the engine runs.
     async fn resume(&self, request: &ResumeRequest) -> Result<Box<dyn TokenStream>, EngineError>;
-    /// Stops a generation; harmless where it has ended.
+    /// Cancels a generation; no error if it has ended.
     async fn cancel(&self, generation: &str) -> Result<(), EngineError>;
-    /// The engine's load.
+    /// Reads the engine's load.
     async fn load(&self) -> Result<LoadReport, EngineError>;
-    /// The cache events after `number`.
+    /// Reads the prefix cache events after event `number`.
     async fn cache_events(&self, number: u64) -> Result<CacheEvents, EngineError>;
-    /// Gives an order; `false` where a newer fencing number was seen.
+    /// Sends an order; `false` if the engine has seen a newer fencing number.
     async fn order(&self, order: &Order) -> Result<bool, EngineError>;
 }
 
-const CALL_BOUND: Duration = Duration::from_millis(2_000);
+const CALL_TIMEOUT: Duration = Duration::from_millis(2_000);
 
-/// An engine over HTTP.
+/// HTTP client of an engine.
 #[derive(Debug, Clone)]
 pub struct HttpEngine {
     address: SocketAddr,
 }
 
 impl HttpEngine {
-    /// A client of the engine at `address`.
+    /// Creates a client of the engine at `address`.
     pub fn new(address: SocketAddr) -> Self {
         Self { address }
     }
@@ -71,40 +71,42 @@
         &self,
         request: &GenerateRequest,
     ) -> Result<Box<dyn TokenStream>, EngineError> {
-        stream(post_json(self.address, "/generate", request, CALL_BOUND).await)
+        stream(post_json(self.address, "/generate", request, CALL_TIMEOUT).await)
     }
 
     async fn resume(&self, request: &ResumeRequest) -> Result<Box<dyn TokenStream>, EngineError> {
-        stream(post_json(self.address, "/resume", request, CALL_BOUND).await)
+        stream(post_json(self.address, "/resume", request, CALL_TIMEOUT).await)
     }
 
     async fn cancel(&self, generation: &str) -> Result<(), EngineError> {
         let path = format!("/cancel/{generation}");
-        let call = post_json(self.address, &path, &(), CALL_BOUND).await;
-        call.map(|_| ()).map_err(failed)
+        let call = post_json(self.address, &path, &(), CALL_TIMEOUT).await;
+        call.map(|_| ()).map_err(engine_error)
     }
 
     async fn load(&self) -> Result<LoadReport, EngineError> {
-        let call = get(self.address, "/load", CALL_BOUND)
+        let call = get(self.address, "/load", CALL_TIMEOUT)
             .await
-            .map_err(failed)?;
-        call.json(CALL_BOUND).await.map_err(failed)
+            .map_err(engine_error)?;
+        call.json(CALL_TIMEOUT).await.map_err(engine_error)
     }
 
     async fn cache_events(&self, number: u64) -> Result<CacheEvents, EngineError> {
         let path = format!("/cache-events?after={number}");
-        let call = get(self.address, &path, CALL_BOUND).await.map_err(failed)?;
-        call.json(CALL_BOUND).await.map_err(failed)
+        let call = get(self.address, &path, CALL_TIMEOUT)
+            .await
+            .map_err(engine_error)?;
+        call.json(CALL_TIMEOUT).await.map_err(engine_error)
     }
 
     async fn order(&self, order: &Order) -> Result<bool, EngineError> {
-        let call = post_json(self.address, "/orders", order, CALL_BOUND)
+        let call = post_json(self.address, "/orders", order, CALL_TIMEOUT)
             .await
-            .map_err(failed)?;
+            .map_err(engine_error)?;
         match call.status() {
             StatusCode::OK => Ok(true),
             StatusCode::CONFLICT => Ok(false),
-            _ => Err(EngineError::OutcomeUnknown(unforeseen(&call))),
+            _ => Err(EngineError::OutcomeUnknown(unexpected_status(&call))),
         }
     }
 }
@@ -115,10 +117,10 @@
 
 #[async_trait]
 impl TokenStream for LineStream {
-    async fn next(&mut self, silence: Duration) -> Result<Option<StreamItem>, EngineError> {
+    async fn next(&mut self, silence_timeout: Duration) -> Result<Option<StreamItem>, EngineError> {
         let Some(line) = self
             .lines
-            .next(silence)
+            .next(silence_timeout)
             .await
             .map_err(EngineError::OutcomeUnknown)?
         else {
@@ -133,19 +135,19 @@
     }
 }
 
-fn stream(answer: Result<Call, HttpError>) -> Result<Box<dyn TokenStream>, EngineError> {
-    let call = answer.map_err(failed)?;
+fn stream(response: Result<Call, HttpError>) -> Result<Box<dyn TokenStream>, EngineError> {
+    let call = response.map_err(engine_error)?;
     match call.status() {
         StatusCode::OK => Ok(Box::new(LineStream {
             lines: Lines::new(call),
         })),
         StatusCode::NOT_FOUND => Err(EngineError::UnknownGeneration),
-        StatusCode::SERVICE_UNAVAILABLE => Err(EngineError::NotRun(unforeseen(&call))),
-        _ => Err(EngineError::OutcomeUnknown(unforeseen(&call))),
+        StatusCode::SERVICE_UNAVAILABLE => Err(EngineError::NotRun(unexpected_status(&call))),
+        _ => Err(EngineError::OutcomeUnknown(unexpected_status(&call))),
     }
 }
 
-fn failed(error: HttpError) -> EngineError {
+fn engine_error(error: HttpError) -> EngineError {
     if error.is_unsent() {
         EngineError::NotRun(error)
     } else {
@@ -153,7 +155,7 @@
     }
 }
 
-fn unforeseen(call: &Call) -> HttpError {
+fn unexpected_status(call: &Call) -> HttpError {
     HttpError::Status {
         address: call.address,
         status: call.status().as_u16(),
--- a/crates/upstream/src/lib.rs
+++ b/crates/upstream/src/lib.rs
@@ -1,4 +1,4 @@
-//! Model engines and plain services: a trait each, and its hyper client.
+//! Model engines and plain services: a trait and an HTTP client for each.
 
 mod engine;
 mod message;
--- a/crates/upstream/src/message.rs
+++ b/crates/upstream/src/message.rs
@@ -1,36 +1,36 @@
-//! The messages of the engine protocol, as docs/PROTOCOL-engine.md states it.
+//! Messages of the engine protocol, which is described in docs/PROTOCOL-engine.md.
 
 use serde::{Deserialize, Serialize};
 
-/// Starts a generation, or goes on with one that another engine began.
+/// Starts a generation, or continues one that another engine began.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct GenerateRequest {
     /// The trace that the generation belongs to (W3C Trace Context).
     pub traceparent: Option<String>,
-    /// Names the generation; every token carries it back.
+    /// Name of the generation; the engine repeats it with each token.
     pub generation: String,
-    /// Which dispatch of the generation this is; every token carries it back.
+    /// Number of this dispatch of the generation; the engine repeats it with each token.
     pub attempt: u32,
-    /// The model to run.
+    /// Name of the model.
     pub model: String,
     /// The caller's prompt.
     pub prompt: String,
-    /// Tokens that are already out; the engine goes on after them.
+    /// Tokens already generated; the engine continues after them.
     pub already_out: Vec<String>,
-    /// The answer's bound, with the tokens that are already out.
+    /// Limit of output tokens, including those already generated.
     pub output_limit_tokens: u32,
-    /// Higher runs first and is paused last.
+    /// Generations of higher priority run first and are preempted last.
     pub priority: i32,
 }
 
-/// Reads on from a generation that still runs on the engine.
+/// Resumes the stream of a generation that still runs on the engine.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ResumeRequest {
-    /// The generation.
+    /// Name of the generation.
     pub generation: String,
-    /// The attempt that reads on; tokens of older ones cease.
+    /// Number of the new attempt; the engine sends no more tokens to older ones.
     pub attempt: u32,
-    /// The first token wanted.
+    /// Index of the first token to send.
     pub next_index: u32,
 }
 
@@ -38,13 +38,13 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Finish {
-    /// The model ended its answer.
+    /// The model ended its output.
     Stop,
-    /// The bound on output was reached.
+    /// The limit of output tokens was reached.
     Length,
 }
 
-/// One line of a stream.
+/// One line of a token stream.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(tag = "kind", rename_all = "snake_case")]
 pub enum StreamItem {
@@ -52,102 +52,102 @@
     Token {
         /// The generation it belongs to.
         generation: String,
-        /// The attempt that asked for it.
+        /// The attempt that requested it.
         attempt: u32,
-        /// Its place in the answer, from 0.
+        /// Its index in the output, from 0.
         index: u32,
         /// Its text.
         text: String,
     },
-    /// The answer is whole.
+    /// The generation is complete.
     Done {
         /// The generation it belongs to.
         generation: String,
-        /// The attempt that asked for it.
+        /// The attempt that requested it.
         attempt: u32,
-        /// How many tokens the whole answer has.
+        /// Number of tokens of the complete output.
         total_tokens: u32,
         /// Why it ended.
         finish: Finish,
     },
-    /// Nothing new, but the engine is alive.
+    /// No new token, but the engine is alive.
     Heartbeat,
 }
 
-/// Whether an engine takes work.
+/// Whether an engine accepts new generations.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum EngineState {
-    /// It takes work.
+    /// It accepts new generations.
     #[default]
     Live,
-    /// It takes nothing new.
+    /// It finishes running generations and accepts no new ones.
     Leaving,
 }
 
-/// An engine's own account of its load; it may be some time old.
+/// Load as reported by an engine; it may be stale.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LoadReport {
-    /// Generations in the batch.
+    /// Generations in the current batch.
     pub running: u32,
-    /// Generations that wait for memory, the paused ones with them.
+    /// Generations that wait for memory, including preempted ones.
     pub waiting: u32,
-    /// Memory in use.
+    /// KV cache in use, in tokens.
     pub used_tokens: u32,
-    /// Memory in all.
+    /// KV cache size, in tokens.
     pub memory_tokens: u32,
-    /// Generations that were paused since the engine started.
+    /// Preemptions since the engine started.
     pub preemptions: u64,
-    /// Whether it takes work.
+    /// Whether it accepts new generations.
     pub state: EngineState,
 }
 
 /// A change of an engine's prefix cache.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CacheEvent {
-    /// Grows by one with each event; a gap shows that events were lost.
+    /// Sequence number, increased by one per event; a gap shows that events were lost.
     pub number: u64,
     /// Hash of the prefix.
     pub prefix: u64,
-    /// Whether it is cached now.
+    /// Whether the prefix is cached after the event.
     pub cached: bool,
 }
 
-/// Events since a number.
+/// Prefix cache events after a sequence number.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CacheEvents {
-    /// In order of their numbers, perhaps with gaps.
+    /// Events in order of their numbers, possibly with gaps.
     pub events: Vec<CacheEvent>,
 }
 
-/// What an order asks of an engine.
+/// The kind of an order.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(tag = "what", rename_all = "snake_case")]
 pub enum OrderKind {
-    /// Load a model's version.
+    /// Load a version of a model.
     LoadModel {
-        /// The model.
+        /// Name of the model.
         model: String,
         /// Its version.
         version: String,
     },
     /// Load an adapter.
     LoadAdapter {
-        /// The adapter.
+        /// Name of the adapter.
         adapter: String,
     },
-    /// Change role.
+    /// Change the engine's role.
     ChangeRole {
         /// The new role.
         role: String,
     },
 }
 
-/// An order under a fencing number.
+/// An order with its fencing number.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Order {
-    /// Grows with each holder of the orderer's lease.
+    /// Fencing number; increases with each new holder of the order dispatcher's lease.
     pub fencing: u64,
-    /// What is wanted.
+    /// What the engine shall do.
     pub kind: OrderKind,
 }
--- a/crates/upstream/src/plain.rs
+++ b/crates/upstream/src/plain.rs
@@ -1,4 +1,4 @@
-//! A plain service and its client.
+//! Plain HTTP services and their client.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -13,35 +13,35 @@
 /// A call to a plain service.
 #[derive(Debug, Clone)]
 pub struct PlainCall {
-    /// The method.
+    /// The HTTP method.
     pub method: Method,
-    /// Path and query behind the service's name.
+    /// Path and query after the service's name.
     pub path: String,
-    /// The content type, where the caller gave one.
+    /// The content type, if the caller sent one.
     pub content_type: Option<String>,
-    /// The body.
+    /// The request body.
     pub body: Bytes,
 }
 
-/// A whole answer of a plain service.
+/// A complete response of a plain service.
 #[derive(Debug, Clone)]
 pub struct PlainResponse {
-    /// Its status.
+    /// The HTTP status.
     pub status: StatusCode,
-    /// Its content type.
+    /// The content type, if the service sent one.
     pub content_type: Option<String>,
-    /// Its body.
+    /// The response body.
     pub body: Bytes,
 }
 
-/// A failed call to a plain service.
+/// A plain_error call to a plain service.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum PlainError {
-    /// The service never saw the call.
+    /// The service never received the call.
     #[error("could not reach the service")]
     NotRun(#[source] HttpError),
-    /// The call was sent and no whole answer came.
-    #[error("could not learn the outcome of the call")]
+    /// The call was sent, but no complete response arrived.
+    #[error("could not determine the outcome of the call")]
     OutcomeUnknown(#[source] HttpError),
 }
 
@@ -50,21 +50,21 @@
 pub trait Plain: Send + Sync {
     /// Sends the call once.
     async fn call(&self, call: PlainCall) -> Result<PlainResponse, PlainError>;
-    /// Whether it still takes connections, after it has broken one off.
+    /// Whether it still accepts connections, after it has closed one unexpectedly.
     async fn is_listening(&self) -> bool;
 }
 
-/// A plain service over HTTP.
+/// HTTP client of a plain service.
 #[derive(Debug, Clone)]
 pub struct HttpPlain {
     address: SocketAddr,
-    bound: Duration,
+    timeout: Duration,
 }
 
 impl HttpPlain {
-    /// A client of the service at `address`, which may take `bound` to answer.
-    pub fn new(address: SocketAddr, bound: Duration) -> Self {
-        Self { address, bound }
+    /// Creates a client of the service at `address`, with a response timeout.
+    pub fn new(address: SocketAddr, timeout: Duration) -> Self {
+        Self { address, timeout }
     }
 }
 
@@ -79,14 +79,16 @@
         let request = request
             .body(Full::new(call.body))
             .map_err(|_| PlainError::NotRun(HttpError::Unreachable { address }))?;
-        let answer = send(address, request, self.bound).await.map_err(failed)?;
-        let status = answer.status();
-        let headers = answer.response.headers();
+        let response = send(address, request, self.timeout)
+            .await
+            .map_err(plain_error)?;
+        let status = response.status();
+        let headers = response.response.headers();
         let content_type = headers
             .get(CONTENT_TYPE)
             .and_then(|value| value.to_str().ok())
             .map(str::to_owned);
-        let body = answer.bytes(self.bound).await.map_err(failed)?;
+        let body = response.bytes(self.timeout).await.map_err(plain_error)?;
         Ok(PlainResponse {
             status,
             content_type,
@@ -99,7 +101,7 @@
     }
 }
 
-fn failed(error: HttpError) -> PlainError {
+fn plain_error(error: HttpError) -> PlainError {
     if error.is_unsent() {
         PlainError::NotRun(error)
     } else {
